--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AnswerCut.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AnswerCut.java
@@ -20,15 +20,16 @@
 import java.io.IOException;
 
 /**
- * An answer was ended before its caller had all of it, because the caller did not read it.
+ * Log line: an answer was ended before its caller had received all of it, because the caller did
+ * not read it.
  *
  * @param id the request
- * @param organisation whose it is; empty if nobody's
- * @param reason why
- * @param unreadBytes what was held of it
- * @param unreadMs since when the caller has taken nothing, in milliseconds
- * @param level the level of the process
- * @param heldBytes what the process held for all requests
+ * @param organisation the organisation of the request; empty if none
+ * @param reason why the answer was ended
+ * @param unreadBytes bytes of the answer that the caller has not read
+ * @param unreadMs time since the caller last read anything, in milliseconds
+ * @param level the memory level of the process
+ * @param heldBytes bytes that the process has reserved for all requests
  */
 record AnswerCut(
         String id,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AnswerPassing.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AnswerRelay.java
@@ -25,14 +25,14 @@
 import java.util.List;
 
 /**
- * Passes an upstream's answer on to the caller: a stream event by event as they come, anything else
- * once it is whole, unless it is too large to be held.
+ * Relays an upstream's answer to the caller. A stream is relayed event by event as it arrives; any
+ * other answer is buffered and sent when it is complete, unless it is too large to buffer.
  */
-final class AnswerPassing {
-    private static final int SUCCESS_TO = 299;
+final class AnswerRelay {
+    private static final int MAX_SUCCESS_STATUS = 299;
 
-    private final MemoryKeeper memory;
-    private final MemoryAccount.Holding holding;
+    private final MemoryManager memory;
+    private final MemoryAccount.Holding reservation;
     private final ServerExchange exchange;
     private final AttemptHistory history;
     private final boolean stream;
@@ -41,79 +41,79 @@
     private EventSplitter splitter = new EventSplitter();
     private HeaderList headers = HeaderList.EMPTY;
     private int status;
-    private boolean passing;
+    private boolean relaying;
 
     /**
-     * Creates the passing of a request's answer.
+     * Creates a relay for the answer to one request.
      *
-     * @param memory bounds what is held back
-     * @param exchange the caller's request
-     * @param history told of what was passed on
-     * @param stream true if the answer is a series of events
-     * @param onFirstByte runs before the first byte is sent
+     * @param memory limits the bytes that are buffered
+     * @param exchange the caller's exchange
+     * @param history records what was relayed
+     * @param stream true if the answer is an event stream
+     * @param onFirstByte runs when the first byte of the answer is sent
      */
-    AnswerPassing(
-            MemoryKeeper memory,
+    AnswerRelay(
+            MemoryManager memory,
             ServerExchange exchange,
             AttemptHistory history,
             boolean stream,
             Runnable onFirstByte) {
         this.memory = memory;
-        this.holding = memory.account().open(HeldKind.ANSWERS_PARSED);
+        this.reservation = memory.account().open(HeldKind.ANSWERS_PARSED);
         this.exchange = exchange;
         this.history = history;
         this.stream = stream;
         this.onFirstByte = onFirstByte;
     }
 
-    /** Forgets what an attempt that failed left unfinished. */
+    /** Discards the incomplete event that a failed attempt left behind. */
     void newAttempt() {
         splitter = new EventSplitter();
     }
 
-    void head(int answered, HeaderList fields) {
-        status = answered;
+    void head(int answerStatus, HeaderList fields) {
+        status = answerStatus;
         headers = fields;
         buffered.reset();
-        passing = stream && answered <= SUCCESS_TO;
+        relaying = stream && answerStatus <= MAX_SUCCESS_STATUS;
     }
 
-    /** Takes a part of the body; returns how many events of the stream are whole with it. */
+    /** Relays or buffers a part of the body; returns the number of events that it completes. */
     int body(byte[] bytes) {
-        if (passing && stream) {
-            int events = passEvents(splitter.take(bytes));
-            holdBack(splitter.pendingBytes());
+        if (relaying && stream) {
+            int events = relayEvents(splitter.append(bytes));
+            reservePending(splitter.pendingBytes());
             return events;
         }
-        if (passing) {
-            passBytes(bytes);
+        if (relaying) {
+            relayBytes(bytes);
             return 0;
         }
         buffered.writeBytes(bytes);
-        if (buffered.size() > memory.answerBytes()) {
-            passing = true;
-            passBytes(buffered.toByteArray());
+        if (buffered.size() > memory.maxBufferedAnswerBytes()) {
+            relaying = true;
+            relayBytes(buffered.toByteArray());
             buffered = new ByteArrayOutputStream();
         }
-        holding.set(buffered.size());
+        reservation.set(buffered.size());
         return 0;
     }
 
-    /** Ends the answer, which the upstream ended as whole. */
+    /** Ends the answer after the upstream has sent all of it. */
     void end() {
-        if (passing) {
-            passBytes(splitter.rest());
+        if (relaying) {
+            relayBytes(splitter.remainder());
             begin();
             exchange.end();
         } else if (history.hasAnswerBegun()) {
             exchange.abort();
         } else {
-            respondWhole();
+            respondBuffered();
         }
     }
 
-    /** Sends what was held back as the whole answer. */
-    void respondWhole() {
+    /** Sends the buffered bytes as the complete answer. */
+    void respondBuffered() {
         onFirstByte.run();
         exchange.respond(status, headers.endToEnd(), buffered.toByteArray());
     }
@@ -122,22 +122,25 @@
         return status;
     }
 
-    /** Gives back what was held back; nothing more is passed on. */
+    /** Releases the reserved bytes; nothing more is relayed. */
     void close() {
-        holding.close();
+        reservation.close();
     }
 
-    /** An event that never ends would be held without end, so one above the bound ends it all. */
-    private void holdBack(int bytes) {
-        holding.set(bytes);
+    /**
+     * Reserves the bytes of an incomplete event. An event above the bound cuts the answer, since an
+     * event that never ends would be buffered without limit.
+     */
+    private void reservePending(int bytes) {
+        reservation.set(bytes);
         if (bytes > memory.account().budget().answerBytes()) {
-            memory.cut(exchange, MemoryKeeper.CutReason.EVENT_TOO_LARGE);
+            memory.cut(exchange, MemoryManager.CutReason.EVENT_TOO_LARGE);
         }
     }
 
-    private int passEvents(List<StreamEvent> events) {
+    private int relayEvents(List<StreamEvent> events) {
         for (StreamEvent event : events) {
-            passBytes(event.bytes());
+            relayBytes(event.bytes());
             if (!event.id().isEmpty()) {
                 history.eventPassed(event.id());
             }
@@ -145,7 +148,7 @@
         return events.size();
     }
 
-    private void passBytes(byte[] bytes) {
+    private void relayBytes(byte[] bytes) {
         if (bytes.length > 0) {
             begin();
             exchange.write(bytes);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AttemptCalls.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AttemptCalls.java
@@ -24,24 +24,29 @@
 import io.trailladder.entry.port.RequestProtocol;
 import io.trailladder.platform.http.HostPort;
 
-/** Writes the calls that carry a request to upstreams. */
+/** Creates the outgoing calls that send a request to upstreams. */
 final class AttemptCalls {
-    /** Bounds of the time that a connection may take to come about, in milliseconds. */
-    private static final long MAX_CONNECT_MILLIS = 400;
+    /** Longest time-out for opening a connection, in milliseconds. */
+    private static final long MAX_CONNECT_TIMEOUT_MILLIS = 400;
 
-    private static final long LEAST_CONNECT_MILLIS = 50;
+    /** Shortest time-out for opening a connection, in milliseconds. */
+    private static final long MIN_CONNECT_TIMEOUT_MILLIS = 50;
 
-    /** Part of the time left that a connection may take: another attempt must still be possible. */
-    private static final int CONNECT_SHARE = 3;
+    /**
+     * Opening a connection may take this fraction (1/n) of the time remainingMillis, so that
+     * another attempt is still possible.
+     */
+    private static final int CONNECT_TIMEOUT_DIVISOR = 3;
 
-    /** Longest rest of a connection that is used again, in milliseconds. */
-    private static final long KEPT_MILLIS = 1_500;
+    /** Longest idle time after which a connection is reused, in milliseconds. */
+    private static final long MAX_IDLE_MILLIS = 1_500;
 
     /**
-     * The same for requests that may not be repeated, in milliseconds: a connection that the
-     * upstream has just closed would leave it open whether they ran.
+     * Longest idle time of a reused connection for requests that may not be repeated, in
+     * milliseconds. On a connection that the upstream has just closed it would be unknown whether
+     * such a request ran.
      */
-    private static final long KEPT_UNREPEATABLE_MILLIS = 400;
+    private static final long MAX_IDLE_UNREPEATABLE_MILLIS = 400;
 
     private final RequestProtocol protocol;
     private final ServerExchange exchange;
@@ -56,15 +61,16 @@
     }
 
     /**
-     * Writes a call.
+     * Creates a call.
      *
-     * @param upstream the upstream
-     * @param lastEventId the last event that the caller has; empty for a beginning
-     * @param nowMillis the time
+     * @param upstream the upstream to call
+     * @param lastEventId id of the last event that the caller has received; empty to start from the
+     *     beginning
+     * @param nowMillis the current time, in milliseconds
      * @return the call
      */
     OutgoingCall to(Upstream upstream, String lastEventId, long nowMillis) {
-        long left = request.deadlineMillis() - nowMillis;
+        long remainingMillis = request.deadlineMillis() - nowMillis;
         HeaderList headers =
                 protocol.attempt(
                         exchange.headers(),
@@ -72,7 +78,7 @@
                                 upstream.id(),
                                 request.organisation(),
                                 request.priority(),
-                                left,
+                                remainingMillis,
                                 lastEventId));
         return new OutgoingCall(
                 HostPort.parse(upstream.address()),
@@ -80,13 +86,14 @@
                 exchange.uri(),
                 headers,
                 exchange.body(),
-                request.route().repeatable() ? KEPT_MILLIS : KEPT_UNREPEATABLE_MILLIS,
-                connectMillis(left),
+                request.route().repeatable() ? MAX_IDLE_MILLIS : MAX_IDLE_UNREPEATABLE_MILLIS,
+                connectTimeoutMillis(remainingMillis),
                 connections.mostResting(request.service(), upstream));
     }
 
-    private static long connectMillis(long leftMillis) {
+    private static long connectTimeoutMillis(long remainingMillis) {
         return Math.max(
-                LEAST_CONNECT_MILLIS, Math.min(MAX_CONNECT_MILLIS, leftMillis / CONNECT_SHARE));
+                MIN_CONNECT_TIMEOUT_MILLIS,
+                Math.min(MAX_CONNECT_TIMEOUT_MILLIS, remainingMillis / CONNECT_TIMEOUT_DIVISOR));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DecisionLog.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DecisionLog.java
@@ -28,8 +28,8 @@
 import java.util.Locale;
 
 /**
- * Writes one structured line for each decision. The line's fields are those of the decision's
- * record.
+ * Writes one structured log line for each decision. The fields of the line are those of the
+ * decision's record.
  *
  * @since 0.2
  */
@@ -39,15 +39,15 @@
     private DecisionLog() {}
 
     /**
-     * One kind of decision. Its fields are written one by one: a library that looks them up by
-     * reflection takes a process that has just started a tenth of a second.
+     * One kind of decision. Implementations write their fields one by one, because a library that
+     * finds them by reflection costs a process a tenth of a second when it starts.
      */
     public interface Decision {
         /**
-         * Writes the decision's fields.
+         * Writes the fields of the decision.
          *
-         * @param json writes into an open object
-         * @throws IOException if it cannot write
+         * @param json the generator, with an object open
+         * @throws IOException if writing fails
          */
         void write(JsonGenerator json) throws IOException;
     }
@@ -56,12 +56,12 @@
      * A request was accepted or refused before any attempt.
      *
      * @param id the request
-     * @param route the route; empty if there is none
-     * @param organisation whose it is; empty if not known
+     * @param route the name of the route; empty if none
+     * @param organisation the organisation; empty if unknown
      * @param size units counted against the organisation's limit
-     * @param policyVersion version of the policy that decided
-     * @param objectiveMs time inside which its answer is in time, in milliseconds; 0 if refused
-     * @param outcome what was decided
+     * @param policyVersion version of the policy that was applied
+     * @param objectiveMs objective for the time to the first answer, in milliseconds; 0 if refused
+     * @param outcome the decision
      */
     public record Intake(
             String id,
@@ -90,14 +90,15 @@
      * @param id the request
      * @param attempt number of the attempt, from 1
      * @param upstream the upstream
-     * @param predictedMs predicted time to its first answer, in milliseconds
-     * @param costs what made it up, by cost term
-     * @param running requests under way there
-     * @param waitingTokens prompt tokens waiting there
-     * @param cachedTokens tokens of the prompt it probably holds
-     * @param candidates upstreams weighed
+     * @param predictedMs predicted time to the first answer, in milliseconds
+     * @param costs the parts of the prediction, by cost term
+     * @param running number of requests in progress at the upstream
+     * @param waitingTokens prompt tokens waiting at the upstream
+     * @param cachedTokens prompt tokens that the upstream probably has in its cache
+     * @param candidates number of upstreams compared
      * @param peersAgeMs age of the oldest peer digest that was used, in milliseconds
-     * @param resumeAfter the last event the caller has; empty for a beginning
+     * @param resumeAfter id of the last event that the caller has received; empty to start from the
+     *     beginning
      */
     public record Dispatch(
             String id,
@@ -135,10 +136,10 @@
      *
      * @param id the request
      * @param upstream the upstream
-     * @param failure how it failed
+     * @param failure the kind of failure
      * @param status the upstream's HTTP status; 0 if none came
      * @param afterMs time since the attempt was sent, in milliseconds
-     * @param recovery what is done now
+     * @param recovery the action taken
      */
     public record AttemptFailed(
             String id, String upstream, String failure, int status, long afterMs, String recovery)
@@ -158,12 +159,12 @@
      * A request ended.
      *
      * @param id the request
-     * @param outcome how
+     * @param outcome how the request ended
      * @param status the HTTP status that the caller was sent; 0 if none
-     * @param upstream the last upstream; empty if there was none
-     * @param attempts upstreams it was sent to
+     * @param upstream the last upstream; empty if none
+     * @param attempts number of times it was sent to an upstream
      * @param tookMs time since it was accepted, in milliseconds
-     * @param firstMs time to the first byte of the answer, in milliseconds; below 0 if there was
+     * @param firstMs time to the first byte of the answer, in milliseconds; negative if there was
      *     none
      */
     public record Ended(
@@ -188,12 +189,12 @@
     }
 
     /**
-     * The process began to believe something new.
+     * The process adopted a new value for a part of its state.
      *
-     * @param what what it is about
+     * @param what the part of the state
      * @param value the new value
-     * @param source where it was learned
-     * @param version its version or revision
+     * @param source where the value came from
+     * @param version version or revision of the value
      */
     public record Belief(String what, String value, String source, long version)
             implements Decision {
@@ -207,11 +208,11 @@
     }
 
     /**
-     * A dependency was lost or regained, or the process started, stopped or read its settings anew.
+     * A dependency was lost or regained, or the process started, stopped or reloaded its settings.
      *
      * @param what the dependency or the process
      * @param state its new state
-     * @param detail what led to it
+     * @param detail the cause or further details
      */
     public record Lifecycle(String what, String state, String detail) implements Decision {
         @Override
@@ -223,13 +224,13 @@
     }
 
     /**
-     * Calls to the platform's store since the line before. Each sort is a field, such as {@code
-     * "members renewal"}, with their number.
+     * Calls to the platform's store since the previous line. Each purpose and kind of call is a
+     * field, such as {@code "members renewal"}, whose value is the number of calls.
      *
-     * @param counts the calls
+     * @param counts the numbers of calls
      */
     public record StoreUse(List<StoreCalls.Count> counts) implements Decision {
-        /** Copies the counts. */
+        /** Creates the decision with a copy of the counts. */
         public StoreUse {
             counts = List.copyOf(counts);
         }
@@ -237,9 +238,9 @@
         @Override
         public void write(JsonGenerator json) throws IOException {
             for (StoreCalls.Count count : counts) {
-                String sort = count.purpose() + " " + count.kind();
+                String field = count.purpose() + " " + count.kind();
                 json.writeNumberField(
-                        sort.toLowerCase(Locale.ROOT).replace('_', ' '), count.calls());
+                        field.toLowerCase(Locale.ROOT).replace('_', ' '), count.calls());
             }
         }
     }
@@ -247,10 +248,10 @@
     /**
      * A duty call was made.
      *
-     * @param duty which duty
-     * @param subject what it is about
+     * @param duty the duty
+     * @param subject what the duty concerns
      * @param token the fencing token
-     * @param result the platform's answer
+     * @param result the platform's response
      */
     public record Duty(String duty, String subject, long token, String result) implements Decision {
         @Override
@@ -263,7 +264,7 @@
     }
 
     /**
-     * Writes a line.
+     * Writes the log line of a decision.
      *
      * @param decision the decision
      */
@@ -274,10 +275,12 @@
         }
     }
 
-    /** Turns a decision into text when the line is written, and tells if that is much later. */
-    private record Line(Decision decision, Instant made) {
-        /** Several times what the writing thread pauses, in milliseconds. */
-        private static final long TOLD_FROM_MILLIS = 500;
+    /** A line that is formatted when it is written, with the delay until then if it is long. */
+    private record Line(Decision decision, Instant decidedAt) {
+        /**
+         * Delay from which a line states it, in milliseconds: several pauses of the writing thread.
+         */
+        private static final long MIN_REPORTED_DELAY_MILLIS = 500;
 
         @Override
         public String toString() {
@@ -285,14 +288,14 @@
             StringWriter text = new StringWriter();
             try (JsonGenerator json = JSON.createGenerator(text)) {
                 json.writeStartObject();
-                json.writeStringField("time", LineTime.text(made));
+                json.writeStringField("time", LineTime.text(decidedAt));
                 json.writeStringField("level", "INFO");
                 json.writeObjectFieldStart("decision");
                 json.writeStringField("kind", kind);
                 decision.write(json);
-                long held = System.currentTimeMillis() - made.toEpochMilli();
-                if (held >= TOLD_FROM_MILLIS) {
-                    json.writeNumberField("heldMs", held);
+                long delayMillis = System.currentTimeMillis() - decidedAt.toEpochMilli();
+                if (delayMillis >= MIN_REPORTED_DELAY_MILLIS) {
+                    json.writeNumberField("heldMs", delayMillis);
                 }
                 json.writeEndObject();
                 json.writeEndObject();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/EventSplitter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/EventSplitter.java
@@ -22,8 +22,8 @@
 import java.util.List;
 
 /**
- * Cuts the body of an event stream into whole events, so that a stream that breaks off inside an
- * event can go on at another upstream.
+ * Splits the body of an event stream into complete events, so that a stream that is interrupted
+ * within an event can be resumed at another upstream.
  *
  * @since 0.2
  */
@@ -34,28 +34,28 @@
     private boolean lineEmpty = true;
 
     /**
-     * A whole event.
+     * A complete event.
      *
-     * @param id its name; empty if it has none
-     * @param bytes its bytes, with the empty line that ends it
+     * @param id the value of its {@code id} field; empty if it has none
+     * @param bytes its bytes, including the empty line that ends it
      */
     public record StreamEvent(String id, byte[] bytes) {}
 
     /**
-     * Takes a part of the body.
+     * Appends a part of the body.
      *
      * @param bytes the part
-     * @return the events that are whole with it
+     * @return the events that this part completes
      */
-    public List<StreamEvent> take(byte[] bytes) {
+    public List<StreamEvent> append(byte[] bytes) {
         List<StreamEvent> events = new ArrayList<>();
         int from = 0;
         for (int at = 0; at < bytes.length; at++) {
             byte b = bytes[at];
             if (b == '\n' && lineEmpty) {
-                byte[] whole = whole(bytes, from, at + 1);
+                byte[] event = completeEvent(bytes, from, at + 1);
                 from = at + 1;
-                events.add(new StreamEvent(idOf(whole), whole));
+                events.add(new StreamEvent(idOf(event), event));
             } else if (b == '\n') {
                 lineEmpty = true;
             } else if (b != '\r') {
@@ -67,34 +67,34 @@
     }
 
     /**
-     * Returns the bytes after the last whole event.
+     * Returns the bytes after the last complete event.
      *
-     * @return the bytes; none if the body ended with a whole event
+     * @return the bytes; empty if the body so far ends with a complete event
      */
-    public byte[] rest() {
+    public byte[] remainder() {
         return pending.toByteArray();
     }
 
     /**
-     * Returns how many bytes came after the last whole event.
+     * Returns the number of bytes after the last complete event.
      *
-     * @return bytes that are held back
+     * @return the number of buffered bytes
      */
     public int pendingBytes() {
         return pending.size();
     }
 
-    private byte[] whole(byte[] bytes, int from, int to) {
+    private byte[] completeEvent(byte[] bytes, int from, int to) {
         if (pending.size() == 0) {
             return Arrays.copyOfRange(bytes, from, to);
         }
         pending.write(bytes, from, to - from);
-        byte[] whole = pending.toByteArray();
+        byte[] event = pending.toByteArray();
         pending.reset();
-        return whole;
+        return event;
     }
 
-    /** Returns the rest of the first line that names the event. */
+    /** Returns the value of the first {@code id} line of an event; empty if there is none. */
     private static String idOf(byte[] event) {
         int line = 0;
         while (line < event.length) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/GatewayMetrics.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/GatewayMetrics.java
@@ -24,19 +24,19 @@
 import java.util.Locale;
 
 /**
- * The figures of a gateway process. Label values come from the policy and from enums, so callers
- * cannot add series.
+ * The metrics of a gateway process. Label values come from the policy and from enums, so callers
+ * cannot add time series.
  *
- * <p>Samples of single requests (exemplars) are off: nobody reads them, and they have a thread of
- * their own that wakes some five times a second.
+ * <p>Exemplars are disabled: nobody reads them, and they would need a thread of their own that
+ * wakes about five times a second.
  *
  * @since 0.2
  */
 public final class GatewayMetrics {
-    private static final double[] SECONDS = {
+    private static final double[] BUCKETS_SECONDS = {
         0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 2.4, 5, 10, 30
     };
-    private static final double MILLIS = 1000.0;
+    private static final double MILLIS_PER_SECOND = 1000.0;
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private final Counter requests =
@@ -56,7 +56,7 @@
     private final Counter versionAnswers =
             Counter.builder()
                     .name("trailladder_rollout_answers_total")
-                    .help("Answers of both versions during roll-outs by what they say of theirs")
+                    .help("Answers of both versions during roll-outs by result")
                     .labelNames("service", "version", "result")
                     .register(registry);
     private final Counter events =
@@ -86,8 +86,9 @@
     private final Gauge listAge =
             gauge(
                     "trailladder_upstream_list_age_seconds",
-                    "Time since the store or a peer last showed that the list is current");
-    private final Gauge peers = gauge("trailladder_peers_heard", "Peers heard lately");
+                    "Time since the store or a peer last confirmed that the list is current");
+    private final Gauge peers =
+            gauge("trailladder_peers_heard", "Peers from which digests were received lately");
     private final Gauge members =
             gauge("trailladder_processes", "Processes that share limits, as this one counts them");
     private final Gauge open = gauge("trailladder_open_requests", "Requests in flight");
@@ -98,44 +99,44 @@
     private final Gauge unusableEntries =
             gauge(
                     "trailladder_upstream_entries_unusable",
-                    "Entries in the platform's store that name no upstream to use");
+                    "Entries in the platform's store that describe no usable upstream");
 
     private final Gauge limited =
+            gauge("trailladder_upstreams_limited", "Upstreams that announce a request limit");
+    private final Gauge backingOff =
             gauge(
-                    "trailladder_upstreams_limited",
-                    "Upstreams that name how many requests they take");
-    private final Gauge resting =
-            gauge("trailladder_upstreams_resting", "Upstreams that asked this process for rest");
+                    "trailladder_upstreams_resting",
+                    "Upstreams that requested a back-off from this process");
 
     private final Gauge refusedRequests =
             gauge(
                     "trailladder_crashing_requests",
-                    "Requests refused for upstreams ended under them");
+                    "Requests refused because upstreams ended while running them");
     private final Gauge rememberedRequests =
             gauge(
                     "trailladder_crash_suspects",
-                    "Requests remembered for upstreams ended under them");
+                    "Requests remembered because upstreams ended while running them");
 
     private final Gauge readingSpeed =
             serviceGauge(
                     "trailladder_upstream_tokens_per_second",
-                    "Prompt tokens that an upstream is believed to read in a second");
+                    "Estimated prompt tokens that an upstream reads per second");
     private final Gauge runSeconds =
             serviceGauge(
                     "trailladder_upstream_run_seconds",
-                    "Time that a request is believed to take at an upstream");
+                    "Estimated time that a request takes at an upstream");
     private final Gauge observations =
             serviceGauge(
                     "trailladder_upstream_observations",
-                    "Answers behind what is believed of upstreams; older ones count less");
+                    "Answers behind the estimates for upstreams; older ones count less");
 
-    /** What is counted inside the process. */
+    /** The events inside the process that are counted. */
     public enum Event {
         /** A connection brought an answer that belongs to another request. */
         FOREIGN_ANSWER,
-        /** The store did not answer, or turned a call away. */
+        /** The store did not answer, or refused a call. */
         STORE_FAILURE,
-        /** A peer told of a newer policy than the store did. */
+        /** A peer reported a newer policy than the store did. */
         POLICY_FROM_PEER,
         /** A second attempt was not made because the budget was used up. */
         RETRY_BUDGET_EMPTY,
@@ -143,30 +144,32 @@
         DUTY_FAILURE,
         /** A request was sent to another region. */
         SENT_TO_OTHER_REGION,
-        /** A request was not sent because upstreams ended under it before. */
+        /** A request was not sent because upstreams ended while running it before. */
         REFUSED_AS_CRASHING,
-        /** An answer was the first to tell that its upstream leaves. */
+        /** An answer was the first report that its upstream is leaving. */
         UPSTREAM_SAID_IT_LEAVES,
-        /** An upstream that was not resting asked this process for rest. */
+        /** An upstream without a back-off in force requested one from this process. */
         UPSTREAM_ASKED_FOR_REST,
         /**
-         * An answer named a limit of its upstream that was not known, another one, or none more.
+         * An answer announced a new or changed limit of its upstream, or that the limit has ended.
          */
         UPSTREAM_CHANGED_ITS_LIMIT,
-        /** What an answer said of its upstream could not be read. */
+        /** What an answer reported about its upstream could not be parsed. */
         UPSTREAM_NOTICE_UNREADABLE,
-        /** A request was not sent since its upstream no longer takes it, by what it has said. */
+        /** A request was not sent because its upstream has reported that it takes no more. */
         SENDING_WITHHELD,
-        /** The store, or a peer, named a later epoch of the store's history than before. */
+        /** The store or a peer reported a later epoch of the store's history than before. */
         STORE_EPOCH_CHANGED,
-        /** An earlier epoch of the store's history was named, or one that cannot be true. */
+        /** An earlier or an impossible epoch of the store's history was reported, and ignored. */
         STORE_EPOCH_PASSED_OVER,
-        /** A peer told of a change of an upstream that counts as older than the list here. */
+        /**
+         * A peer reported a change of an upstream that is older than the list here, and is ignored.
+         */
         UPSTREAM_NEWS_PASSED_OVER
     }
 
     /**
-     * Returns the registry, to be exposed.
+     * Returns the registry that exposes the metrics.
      *
      * @return the registry
      */
@@ -177,32 +180,32 @@
     /**
      * Records the end of a request.
      *
-     * @param organisation whose it was; empty if nobody's
-     * @param service the service; empty if none was chosen
-     * @param outcome how it ended
-     * @param millis how long it took, in milliseconds
+     * @param organisation the organisation of the request; empty if none
+     * @param service the service; empty if none was selected
+     * @param outcome how the request ended
+     * @param millis duration of the request, in milliseconds
      */
-    public void ended(String organisation, String service, String outcome, long millis) {
+    public void requestEnded(String organisation, String service, String outcome, long millis) {
         requests.labelValues(organisation, service, outcome).inc();
-        wholeAnswer.labelValues(organisation, service).observe(millis / MILLIS);
+        wholeAnswer.labelValues(organisation, service).observe(millis / MILLIS_PER_SECOND);
     }
 
     /**
      * Records the first byte of an answer.
      *
-     * @param organisation whose request it was; empty if nobody's
+     * @param organisation the organisation of the request; empty if none
      * @param service the service
      * @param millis time since the request was accepted, in milliseconds
      */
     public void firstAnswer(String organisation, String service, long millis) {
-        firstAnswer.labelValues(organisation, service).observe(millis / MILLIS);
+        firstAnswer.labelValues(organisation, service).observe(millis / MILLIS_PER_SECOND);
     }
 
     /**
-     * Counts an attempt's result.
+     * Counts the result of an attempt.
      *
      * @param service the service
-     * @param result how it ended
+     * @param result how the attempt ended
      */
     public void attempt(String service, String result) {
         attempts.labelValues(service, result).inc();
@@ -213,7 +216,7 @@
      *
      * @param service the service
      * @param version the version of the upstream that gave it
-     * @param sort what it says of the version
+     * @param sort how the answer counts for the version
      */
     public void versionAnswered(String service, String version, AnswerSort sort) {
         versionAnswers.labelValues(service, version, sort.name().toLowerCase(Locale.ROOT)).inc();
@@ -231,8 +234,8 @@
     /**
      * Counts a call to the platform's store.
      *
-     * @param purpose what it is for
-     * @param kind its kind
+     * @param purpose the purpose of the call
+     * @param kind the kind of call
      */
     public void storeCall(StoreCalls.Purpose purpose, StoreCalls.Kind kind) {
         storeCalls
@@ -246,24 +249,24 @@
      * Records the state of the process.
      *
      * @param policy version of the policy in force
-     * @param listed upstreams listed
-     * @param heard peers heard lately
-     * @param sharing processes that share limits, as this one counts them
-     * @param inFlight requests in flight
-     * @param leads true while it leads
-     * @param opened connections opened since its start
+     * @param listed number of upstreams listed
+     * @param receivedFrom number of peers from which digests were received lately
+     * @param sharing number of processes that share limits, as this one counts them
+     * @param inFlight number of requests in flight
+     * @param leads true while this process leads
+     * @param opened number of connections opened since the start
      */
     public void state(
             long policy,
             int listed,
-            int heard,
+            int receivedFrom,
             int sharing,
             int inFlight,
             boolean leads,
             long opened) {
         policyVersion.set((double) policy);
         upstreams.set(listed);
-        peers.set(heard);
+        peers.set(receivedFrom);
         members.set(sharing);
         open.set(inFlight);
         leading.set(leads ? 1 : 0);
@@ -271,50 +274,50 @@
     }
 
     /**
-     * Records what the list of upstreams is.
+     * Records the state of the list of upstreams.
      *
-     * @param epoch epoch of the store's history; 0 if none is named
-     * @param revision the list's revision
-     * @param ageMillis time since it was last shown to be current, in milliseconds
+     * @param epoch epoch of the store's history; 0 if the store reports none
+     * @param revision revision of the list
+     * @param ageMillis time since the list was last confirmed as current, in milliseconds
      */
-    public void list(long epoch, long revision, long ageMillis) {
+    public void upstreamList(long epoch, long revision, long ageMillis) {
         storeEpoch.set((double) epoch);
         listRevision.set((double) revision);
-        listAge.set(ageMillis / MILLIS);
+        listAge.set(ageMillis / MILLIS_PER_SECOND);
     }
 
     /**
-     * Records how many entries in the platform's store name no upstream to use.
+     * Records the number of entries in the platform's store that describe no usable upstream.
      *
-     * @param count how many
+     * @param count the number of entries
      */
     public void unusableEntries(int count) {
         unusableEntries.set(count);
     }
 
     /**
-     * Sets how many upstreams name a limit.
+     * Records the number of upstreams that announce a limit.
      *
-     * @param count a count
+     * @param count the number of upstreams
      */
     public void limited(int count) {
         limited.set(count);
     }
 
     /**
-     * Records how many upstreams have asked this process for rest that is not over.
+     * Records the number of upstreams with a back-off in force at this process.
      *
-     * @param count how many
+     * @param count the number of upstreams
      */
-    public void resting(int count) {
-        resting.set(count);
+    public void backingOff(int count) {
+        backingOff.set(count);
     }
 
     /**
-     * Records what is known of requests under which upstreams ended.
+     * Records the numbers of requests that upstreams ended while running.
      *
-     * @param refused how many are refused
-     * @param remembered how many are remembered
+     * @param refused number of requests that are refused
+     * @param remembered number of requests that are remembered
      */
     public void crashing(int refused, int remembered) {
         refusedRequests.set(refused);
@@ -322,14 +325,14 @@
     }
 
     /**
-     * Records what is believed of a service's upstreams.
+     * Records the estimates for the upstreams of a service.
      *
      * @param service the service
-     * @param estimate what is believed
+     * @param estimate the estimates
      */
     public void upstreams(String service, EngineEstimate estimate) {
-        readingSpeed.labelValues(service).set(MILLIS / estimate.millisPerToken());
-        runSeconds.labelValues(service).set(estimate.runMillis() / MILLIS);
+        readingSpeed.labelValues(service).set(MILLIS_PER_SECOND / estimate.millisPerToken());
+        runSeconds.labelValues(service).set(estimate.runMillis() / MILLIS_PER_SECOND);
         observations.labelValues(service).set(estimate.observations());
     }
 
@@ -352,7 +355,7 @@
                 .name(name)
                 .help(help)
                 .labelNames("organisation", "service")
-                .classicUpperBounds(SECONDS)
+                .classicUpperBounds(BUCKETS_SECONDS)
                 .classicOnly()
                 .register(registry);
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/GatewaySettings.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/GatewaySettings.java
@@ -21,20 +21,20 @@
 import java.util.Map;
 
 /**
- * All that a gateway process is told when it starts, and again when its settings change.
+ * The settings of a gateway process, read when it starts and again when they change.
  *
- * @param node who and where it is
- * @param listen where it listens
+ * @param node identity and place of the process
+ * @param listen addresses on which it listens
  * @param seeds addresses of peers, which may be stale
- * @param store the platform's store
- * @param cloud the platform's API for duties
- * @param retries bounds of second attempts
- * @param tolerance how far organisations' limits may be overshot
- * @param rollouts what a version under test may get
- * @param timing bounds of time
- * @param limits what the process may use
- * @param regions which data centres lie in which region
- * @param notes what was set aside when the settings were read, to be logged
+ * @param store address of the platform's store
+ * @param cloud address of the platform's API for duties
+ * @param retries bounds of retries
+ * @param tolerance how far organisations' limits may be exceeded
+ * @param rollouts bounds of requests to a version under test
+ * @param timing time limits
+ * @param limits resources that the process may use
+ * @param regions the region of each data centre
+ * @param notes remarks on options that were missing or ignored, to be logged
  * @since 0.2
  */
 public record GatewaySettings(
@@ -50,30 +50,30 @@
         Limits limits,
         Regions regions,
         List<String> notes) {
-    /** Processor of a process whose settings do not tell it, in cores. */
-    public static final double USUAL_CORES = 1;
+    /** Number of processor cores assumed if the settings state none. */
+    public static final double DEFAULT_CORES = 1;
 
-    /** Bandwidth of a process whose settings do not tell it, in megabits a second. */
-    public static final double USUAL_LINK_MBPS = 1_000;
+    /** Bandwidth assumed if the settings state none, in megabits per second. */
+    public static final double DEFAULT_LINK_MBPS = 1_000;
 
-    /** Copies the lists. */
+    /** Creates settings with copies of the lists. */
     public GatewaySettings {
         seeds = List.copyOf(seeds);
         notes = List.copyOf(notes);
     }
 
     /**
-     * Creates settings of one region without known limits.
+     * Creates settings of a single region without known resource limits.
      *
-     * @param node who and where it is
-     * @param listen where it listens
+     * @param node identity and place of the process
+     * @param listen addresses on which it listens
      * @param seeds addresses of peers, which may be stale
-     * @param store the platform's store
-     * @param cloud the platform's API for duties
-     * @param retries bounds of second attempts
-     * @param tolerance how far organisations' limits may be overshot
-     * @param rollouts what a version under test may get
-     * @param timing bounds of time
+     * @param store address of the platform's store
+     * @param cloud address of the platform's API for duties
+     * @param retries bounds of retries
+     * @param tolerance how far organisations' limits may be exceeded
+     * @param rollouts bounds of requests to a version under test
+     * @param timing time limits
      */
     public GatewaySettings(
             Node node,
@@ -101,9 +101,9 @@
     }
 
     /**
-     * Returns this process as the others are to know it.
+     * Returns the entry under which this process registers with the others.
      *
-     * @return its entry
+     * @return the entry
      */
     public GatewayMember self() {
         return new GatewayMember(
@@ -115,98 +115,99 @@
     }
 
     /**
-     * Who and where a process is.
+     * Identity and place of a process.
      *
-     * @param name its name, unlike all others
+     * @param name its unique name
      * @param dataCentre its data centre
      * @param firstStart true only if the whole installation starts for the first time
-     * @param cores processor it may use, in cores
-     * @param linkMbps bandwidth of its network link, in megabits a second
+     * @param cores number of processor cores it may use
+     * @param linkMbps bandwidth of its network link, in megabits per second
      */
     public record Node(
             String name, String dataCentre, boolean firstStart, double cores, double linkMbps) {
         /**
-         * Creates a process of usual size.
+         * Creates a process of default size.
          *
-         * @param name its name, unlike all others
+         * @param name its unique name
          * @param dataCentre its data centre
          * @param firstStart true only if the whole installation starts for the first time
          */
         public Node(String name, String dataCentre, boolean firstStart) {
-            this(name, dataCentre, firstStart, USUAL_CORES, USUAL_LINK_MBPS);
+            this(name, dataCentre, firstStart, DEFAULT_CORES, DEFAULT_LINK_MBPS);
         }
     }
 
     /**
-     * Where a process listens.
+     * Addresses on which a process listens.
      *
-     * @param callers for callers
-     * @param health for the balancer's question whether it is ready
-     * @param peers for its peers
-     * @param metrics for its own figures
+     * @param callers address for callers
+     * @param health address for the readiness checks of the load balancer
+     * @param peers address for peers
+     * @param metrics address for its metrics
      */
     public record Listen(HostPort callers, HostPort health, HostPort peers, HostPort metrics) {}
 
     /**
-     * Bounds of second attempts, over all processes.
+     * Bounds of retries over all processes.
      *
-     * @param ratio second attempts allowed for each request
-     * @param allowance second attempts allowed on top in a window
+     * @param ratio retries allowed for each request
+     * @param allowance further retries allowed in each window
      * @param windowMillis length of the window, in milliseconds
      */
     public record Retries(double ratio, double allowance, long windowMillis) {}
 
     /**
-     * How far all processes together may overshoot an organisation's limit.
+     * How far all processes together may exceed an organisation's limit.
      *
-     * @param ratio part of the limit
-     * @param units units on top
+     * @param ratio excess as a ratio of the limit
+     * @param units further units
      */
     public record Tolerance(double ratio, double units) {}
 
     /**
-     * What all processes together may send to a version that is not yet found good.
+     * Requests that all processes together may send to a version that is not yet approved.
      *
      * @param ordered true if operators order roll-outs on this platform
-     * @param share part of the service's requests
-     * @param allowance requests on top
+     * @param share ratio of the service's requests, from 0 to 1
+     * @param allowance further requests
      */
     public record Rollouts(boolean ordered, double share, double allowance) {
-        /** For platforms without roll-outs. */
+        /** The value for platforms without roll-outs. */
         public static final Rollouts NONE = new Rollouts(false, 0, 0);
     }
 
     /**
-     * Bounds of time, all in milliseconds.
+     * Time limits, all in milliseconds.
      *
-     * @param graceMillis time between SIGTERM and the end
+     * @param graceMillis time from SIGTERM by which the process must have ended
      * @param leaseMillis time to live of the leader's lease
      * @param usageWindowMillis length of a usage window
      */
     public record Timing(long graceMillis, long leaseMillis, long usageWindowMillis) {}
 
     /**
-     * What the process may use; it is killed above that.
+     * Resources that the process may use; it is killed if it uses more.
      *
-     * @param memoryBytes memory, in bytes; 0 if not told
-     * @param descriptors open files and sockets; 0 if not told
+     * @param memoryBytes memory, in bytes; 0 if unknown
+     * @param descriptors number of open files and sockets; 0 if unknown
      */
     public record Limits(long memoryBytes, int descriptors) {
-        /** For settings that tell none. */
+        /** The value for settings that state no limits. */
         public static final Limits UNKNOWN = new Limits(0, 0);
     }
 
     /**
-     * Which data centres lie in which region.
+     * The region of each data centre.
      *
-     * @param own the region of the process; empty if all is one region
-     * @param byDataCentre the region of each data centre, by its name; empty if all is one region
+     * @param own the region of the process; empty if there is a single region
+     * @param byDataCentre names of regions by name of data centre; empty if there is a single
+     *     region
      */
     public record Regions(String own, Map<String, String> byDataCentre) {
-        /** For settings that tell none: all data centres lie in the same one. */
+        /** The value for settings that name no regions: all data centres are in the same one. */
         public static final Regions ONE = new Regions("", Map.of());
 
-        /** Copies the table. */
+        /** Creates regions with a copy of the map. */
         public Regions {
             byDataCentre = Map.copyOf(byDataCentre);
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryKeeper.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryManager.java
@@ -31,75 +31,79 @@
 import java.util.function.Supplier;
 
 /**
- * Keeps the process inside its memory: it tells whether requests may be taken in, and ends answers
- * that are not read when there is no room. Calls of the process itself, which keep it alive, never
- * ask it.
+ * Keeps the process within its memory budget: decides whether requests may be accepted, and ends
+ * unread answers when memory runs short. Calls that the process itself needs to keep running are
+ * not subject to it.
  *
  * @since 0.2
  */
-public final class MemoryKeeper implements UnreadAnswers {
-    /** How often room is made while the process is pressed, in milliseconds. */
-    public static final long CHECK_MILLIS = 250;
+public final class MemoryManager implements UnreadAnswers {
+    /** Interval between calls of {@link #tick}, in milliseconds. */
+    public static final long CHECK_INTERVAL_MILLIS = 250;
 
     /**
-     * An answer above its bound whose caller took nothing for this long, in milliseconds, is ended:
-     * a stream that can be resumed at any level, another in a pressed process. One that reads on is
-     * delivered, however large, while there is memory; a pressed process ends such streams as well.
+     * Time without a read by the caller, in milliseconds, after which an answer above its bound is
+     * ended: a resumable stream at any memory level, any other answer if the level is not {@code
+     * CALM}. While the caller keeps reading, an answer of any size is delivered as long as there is
+     * memory; resumable streams above the bound are ended in any case if the level is not {@code
+     * CALM}.
      */
-    private static final long STALLED_MILLIS = 1_000;
+    private static final long STALL_TIMEOUT_MILLIS = 1_000;
 
-    /** Part of the usual bound that is held back of an answer in a pressed process. */
-    private static final int PRESSED_PART = 4;
+    /**
+     * Divides the bound of buffered bytes per answer while the memory level is not {@code CALM}.
+     */
+    private static final int PRESSED_DIVISOR = 4;
 
     private final MemoryAccount account;
     private final MemoryMetrics metrics;
     private final LongSupplier nowMillis;
-    private final Consumer<Runnable> later;
+    private final Consumer<Runnable> deferred;
     private Supplier<List<ServerExchange>> unread = List::of;
 
-    /** Why an answer was ended before its caller had all of it. */
+    /** The reason why an answer was ended before its caller had received all of it. */
     public enum CutReason {
-        /** Its caller read nothing for the idle limit of the policy. */
+        /** The caller read nothing for the idle time-out of the policy. */
         NOT_READ,
-        /** More of it was held than the bound of one answer. */
+        /** The unread bytes exceeded the bound for one answer. */
         OVER_BOUND,
-        /** The process was full, and it was the one chosen. */
+        /** The memory level was {@code FULL}, and the answer was chosen to free memory. */
         NO_ROOM,
-        /** One event of it was larger than the bound of one answer. */
+        /** A single event was larger than the bound for one answer. */
         EVENT_TOO_LARGE
     }
 
     /**
-     * Creates a keeper.
+     * Creates a manager.
      *
-     * @param account what is held
-     * @param metrics the figures
-     * @param nowMillis the time, in milliseconds
-     * @param later runs a task after what is being done now
+     * @param account the account of reserved bytes
+     * @param metrics the metrics to update
+     * @param nowMillis supplies the current time, in milliseconds
+     * @param deferred runs a task after the current one
      */
-    public MemoryKeeper(
+    public MemoryManager(
             MemoryAccount account,
             MemoryMetrics metrics,
             LongSupplier nowMillis,
-            Consumer<Runnable> later) {
+            Consumer<Runnable> deferred) {
         this.account = account;
         this.metrics = metrics;
         this.nowMillis = nowMillis;
-        this.later = later;
+        this.deferred = deferred;
         account.onLevel(this::levelChanged);
     }
 
     /**
-     * Sets where answers that are not read are found.
+     * Sets the source of unread answers.
      *
-     * @param answers lists them
+     * @param answers lists the exchanges with unread answers
      */
     public void unreadAnswers(Supplier<List<ServerExchange>> answers) {
         unread = answers;
     }
 
     /**
-     * Returns what is held.
+     * Returns the account of reserved bytes.
      *
      * @return the account
      */
@@ -108,49 +112,51 @@
     }
 
     /**
-     * Tells whether a request may be taken in, and counts it if not.
+     * Checks whether there is memory for a request, and counts it as refused if not.
      *
-     * @param bytes what it announces
-     * @return false if it is to be refused, before it has run
+     * @param bytes the announced size of its body, in bytes
+     * @return false if the request must be refused before it runs
      */
-    public boolean hasRoom(long bytes) {
-        boolean room = account.hasRoom(bytes);
-        if (!room) {
-            metrics.refused();
+    public boolean hasCapacity(long bytes) {
+        boolean capacity = account.hasRoom(bytes);
+        if (!capacity) {
+            metrics.requestRefused();
         }
-        return room;
+        return capacity;
     }
 
-    /** Counts a request that was refused while its body was read. */
-    public void refusedWhileRead() {
-        metrics.refused();
+    /** Counts a request that was refused while its body was being read. */
+    public void countRefusedWhileReading() {
+        metrics.requestRefused();
     }
 
     /**
-     * Returns how much of one answer may be held back before it is passed on as it comes.
+     * Returns how much of one answer may be buffered before it is relayed as it arrives.
      *
-     * @return bytes
+     * @return the bound in bytes
      */
-    public long answerBytes() {
+    public long maxBufferedAnswerBytes() {
         long bound = account.budget().answerBytes();
-        return account.level() == MemoryLevel.CALM ? bound : bound / PRESSED_PART;
+        return account.level() == MemoryLevel.CALM ? bound : bound / PRESSED_DIVISOR;
     }
 
-    /** Makes room if the process needs it; to be called again and again. */
+    /**
+     * Ends unread answers if memory runs short; to be called every {@link #CHECK_INTERVAL_MILLIS}.
+     */
     public void tick() {
         if (account.level() == MemoryLevel.FULL) {
-            makeRoom();
+            freeMemory();
         } else if (account.level() == MemoryLevel.PRESSED) {
-            endStalled();
+            cutStalled();
         }
     }
 
     /**
-     * Records what is held.
+     * Records the current state in the metrics.
      *
-     * @param refusedConnections connections closed unread since the start
+     * @param refusedConnections number of connections closed unread since the start
      */
-    public void tellState(long refusedConnections) {
+    public void recordState(long refusedConnections) {
         metrics.state(account, refusedConnections);
     }
 
@@ -159,9 +165,9 @@
         if (!exchange.answerOwner().resumable() || exchange.isCut()) {
             return;
         }
-        boolean stalled = exchange.unreadMillis(nowMillis.getAsLong()) >= STALLED_MILLIS;
+        boolean stalled = exchange.unreadMillis(nowMillis.getAsLong()) >= STALL_TIMEOUT_MILLIS;
         if (stalled || account.level() != MemoryLevel.CALM) {
-            later.accept(() -> cutIfHeld(exchange));
+            deferred.accept(() -> cutIfUnread(exchange));
         }
     }
 
@@ -171,14 +177,15 @@
     }
 
     /**
-     * Ends an answer; one that was ended already, but is still held, is closed at once.
+     * Ends an answer. If it was ended before but its bytes are still reserved, it is closed at
+     * once.
      *
-     * @param exchange its request
-     * @param reason why
+     * @param exchange the exchange of the answer
+     * @param reason why it is ended
      */
     public void cut(ServerExchange exchange, CutReason reason) {
         if (!exchange.isCut()) {
-            metrics.cut(reason);
+            metrics.answerCut(reason);
             DecisionLog.write(
                     new AnswerCut(
                             exchange.answerOwner().id(),
@@ -192,17 +199,17 @@
         exchange.cut();
     }
 
-    /** Between the decision and now its caller may have read all of it. */
-    private void cutIfHeld(ServerExchange exchange) {
+    /** Ends an answer unless its caller has read all of it since the decision. */
+    private void cutIfUnread(ServerExchange exchange) {
         if (exchange.unreadBytes() > 0 && !exchange.isCut()) {
             cut(exchange, CutReason.OVER_BOUND);
         }
     }
 
-    private void makeRoom() {
-        List<ServerExchange> held = unread.get();
-        List<WaitingAnswer> waiting = new ArrayList<>(held.size());
-        for (ServerExchange exchange : held) {
+    private void freeMemory() {
+        List<ServerExchange> exchanges = unread.get();
+        List<WaitingAnswer> waiting = new ArrayList<>(exchanges.size());
+        for (ServerExchange exchange : exchanges) {
             waiting.add(
                     new WaitingAnswer(
                             waiting.size(),
@@ -212,15 +219,15 @@
         }
         long needed = account.total() - account.budget().roomFrom();
         for (WaitingAnswer chosen : AnswerChoice.toEnd(waiting, needed)) {
-            cut(held.get(chosen.key()), CutReason.NO_ROOM);
+            cut(exchanges.get(chosen.key()), CutReason.NO_ROOM);
         }
     }
 
-    private void endStalled() {
+    private void cutStalled() {
         long now = nowMillis.getAsLong();
         for (ServerExchange exchange : unread.get()) {
-            boolean above = exchange.unreadBytes() > account.budget().answerBytes();
-            if (above && exchange.unreadMillis(now) >= STALLED_MILLIS) {
+            boolean overBound = exchange.unreadBytes() > account.budget().answerBytes();
+            if (overBound && exchange.unreadMillis(now) >= STALL_TIMEOUT_MILLIS) {
                 cut(exchange, CutReason.OVER_BOUND);
             }
         }
@@ -244,7 +251,7 @@
                                 + "; was "
                                 + before.name().toLowerCase(Locale.ROOT)));
         if (now == MemoryLevel.FULL) {
-            later.accept(this::tick);
+            deferred.accept(this::tick);
         }
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryMetrics.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryMetrics.java
@@ -24,7 +24,7 @@
 import java.util.Locale;
 
 /**
- * The figures of what a process holds for others.
+ * The metrics of the memory that a process reserves for callers and upstreams.
  *
  * @since 0.2
  */
@@ -34,83 +34,83 @@
     private final Gauge budget;
     private final Gauge level;
     private final Gauge connections;
-    private final Counter cut;
-    private final Counter refused;
+    private final Counter answerCut;
+    private final Counter requestRefused;
 
     /**
-     * Creates the figures.
+     * Creates and registers the metrics.
      *
-     * @param registry where they are exposed
+     * @param registry the registry that exposes them
      */
     public MemoryMetrics(PrometheusRegistry registry) {
         held =
                 Gauge.builder()
                         .name("trailladder_held_bytes")
-                        .help("Bytes held for callers and upstreams by kind")
+                        .help("Bytes reserved for callers and upstreams by kind")
                         .labelNames("kind")
                         .register(registry);
         peak =
                 Gauge.builder()
                         .name("trailladder_held_peak_bytes")
-                        .help("Most bytes held since the start")
+                        .help("Maximum of reserved bytes since the start")
                         .register(registry);
         budget =
                 Gauge.builder()
                         .name("trailladder_held_budget_bytes")
-                        .help("Bytes that may be held")
+                        .help("Bytes that may be reserved")
                         .register(registry);
         level =
                 Gauge.builder()
                         .name("trailladder_memory_level")
-                        .help("1 for the level that holds")
+                        .help("1 for the current memory level, 0 for others")
                         .labelNames("level")
                         .register(registry);
         connections =
                 Gauge.builder()
                         .name("trailladder_connections_refused")
-                        .help("Callers' connections closed unread because all others were busy")
+                        .help("Caller connections closed unread because all others were busy")
                         .register(registry);
-        cut =
+        answerCut =
                 Counter.builder()
                         .name("trailladder_answers_cut_total")
                         .help("Answers ended because their callers did not read them, by reason")
                         .labelNames("reason")
                         .register(registry);
-        refused =
+        requestRefused =
                 Counter.builder()
                         .name("trailladder_refused_no_room_total")
-                        .help("Requests refused before they ran because there was no room")
+                        .help("Requests refused before they ran for lack of memory")
                         .register(registry);
     }
 
     /**
-     * Counts an answer that was ended.
+     * Counts an answer that was ended early.
      *
-     * @param reason why
+     * @param reason why it was ended
      */
-    public void cut(MemoryKeeper.CutReason reason) {
-        cut.labelValues(reason.name().toLowerCase(Locale.ROOT)).inc();
+    public void answerCut(MemoryManager.CutReason reason) {
+        answerCut.labelValues(reason.name().toLowerCase(Locale.ROOT)).inc();
     }
 
-    /** Counts a request that was refused. */
-    public void refused() {
-        refused.inc();
+    /** Counts a request that was refused for lack of memory. */
+    public void requestRefused() {
+        requestRefused.inc();
     }
 
     /**
-     * Records what is held.
+     * Records the current state.
      *
-     * @param account the account
-     * @param refusedConnections connections closed unread since the start
+     * @param account the account of reserved bytes
+     * @param refusedConnections number of connections closed unread since the start
      */
     public void state(MemoryAccount account, long refusedConnections) {
         connections.set((double) refusedConnections);
         for (HeldKind kind : HeldKind.values()) {
             held.labelValues(kind.name().toLowerCase(Locale.ROOT)).set((double) account.held(kind));
         }
-        for (MemoryLevel one : MemoryLevel.values()) {
-            level.labelValues(one.name().toLowerCase(Locale.ROOT))
-                    .set(one == account.level() ? 1 : 0);
+        for (MemoryLevel candidate : MemoryLevel.values()) {
+            level.labelValues(candidate.name().toLowerCase(Locale.ROOT))
+                    .set(candidate == account.level() ? 1 : 0);
         }
         peak.set((double) account.peak());
         budget.set((double) account.budget().bytes());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Quotas.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Quotas.java
@@ -31,64 +31,67 @@
 import java.util.function.Predicate;
 
 /**
- * The organisations' limits over all processes.
+ * The rate limits of organisations, shared by all processes.
  *
  * @since 0.2
  */
 public final class Quotas {
-    private static final double FILLED_AFTER_RESTART = 0.6;
+    private static final double RESTART_LEVEL_RATIO = 0.6;
 
     /**
-     * Part of the tolerance that is used, so that what peers tell late refuses nobody within the
-     * limit. The rest is for processes that hear nobody.
+     * Ratio of the tolerance that is used, so that late reports of peers do not cause refusals
+     * within the limit. The rest is left for processes that receive no reports.
      */
-    private static final double TOLERANCE_USED = 0.1;
+    private static final double TOLERANCE_RATIO = 0.1;
 
     /**
-     * Part of an organisation's burst that a process lets pass before it tells its peers out of
-     * turn. Each process grants from what it knows, so that together they let pass what is asked
-     * between two digests.
+     * Ratio of an organisation's burst that a process admits before it sends its peers an early
+     * digest. Each process admits by the use that it knows of, so all processes together could
+     * otherwise admit everything that is requested between two digests.
      */
-    private static final double MUCH_PART = 0.05;
+    private static final double EARLY_REPORT_RATIO = 0.05;
 
     /**
-     * Most bursts that a process lets pass between two digests: what was saved, and the tolerance.
+     * Maximum number of bursts that a process admits between two digests: what was saved up, and
+     * the tolerance.
      */
-    private static final double MOST_AT_ONCE = 2;
+    private static final double MAX_BURSTS_PER_DIGEST = 2;
 
-    private static final int MOST_REMEMBERED = 50_000;
+    private static final int MAX_REMEMBERED_USES = 50_000;
 
     private final boolean firstStart;
     private final GatewaySettings.Tolerance tolerance;
     private final Map<String, QuotaBucket> buckets = new HashMap<>();
-    private Runnable onMuchUsed = () -> {};
+    private Runnable onMuchUnreported = () -> {};
 
-    /** What was told last, by life and organisation; lives of processes long gone fall out. */
-    private final Map<String, Double> seen = new RecentMap<>(MOST_REMEMBERED);
+    /** Units last reported, by incarnation and organisation; the oldest entries are evicted. */
+    private final Map<String, Double> lastReported = new RecentMap<>(MAX_REMEMBERED_USES);
 
     /**
-     * Lives that have told of their use before, so that what they do not name is used for nothing.
+     * Incarnations that have reported their use before, so that an organisation which they have not
+     * named was unused until then.
      */
-    private final Set<String> heard = Collections.newSetFromMap(new RecentMap<>(MOST_REMEMBERED));
+    private final Set<String> knownIncarnations =
+            Collections.newSetFromMap(new RecentMap<>(MAX_REMEMBERED_USES));
 
-    private final Map<String, Double> ofLeaves = new RecentMap<>(MOST_REMEMBERED);
-    private final Map<String, Double> told = new HashMap<>();
+    private final Map<String, Double> usedByLeaf = new RecentMap<>(MAX_REMEMBERED_USES);
+    private final Map<String, Double> reportedByThis = new HashMap<>();
 
-    /** What other regions have let pass, by organisation. */
-    private final Map<String, Double> ofRegions = new HashMap<>();
+    /** Units that other regions have admitted, by organisation. */
+    private final Map<String, Double> usedByOtherRegions = new HashMap<>();
 
-    /** What is told of one organisation: all units, and the part that was told before. */
-    private record Told(double used, double before) {
-        static Told all(double used) {
+    /** The reported use of one organisation: all units, and the part that was reported before. */
+    private record Told(double used, double reportedBefore) {
+        static Told allReportedBefore(double used) {
             return new Told(used, used);
         }
     }
 
     /**
-     * Creates limits of no organisations.
+     * Creates quotas without organisations.
      *
      * @param firstStart true if nothing was served before
-     * @param tolerance how far limits may be overshot
+     * @param tolerance how far limits may be exceeded
      */
     public Quotas(boolean firstStart, GatewaySettings.Tolerance tolerance) {
         this.firstStart = firstStart;
@@ -96,14 +99,14 @@
     }
 
     /**
-     * Takes the limits of a policy over.
+     * Applies the limits of a policy.
      *
      * @param policy the policy
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
-    public void policy(ServingPolicy policy, long nowMillis) {
+    public void applyPolicy(ServingPolicy policy, long nowMillis) {
         for (OrganisationSpec organisation : policy.organisations()) {
-            RateSpec limit = lenient(organisation.limit());
+            RateSpec limit = withTolerance(organisation.limit());
             QuotaBucket known = buckets.get(organisation.name());
             if (known == null) {
                 double level = firstStart ? limit.burst() : levelAfterRestart(limit);
@@ -120,8 +123,8 @@
      *
      * @param organisation the organisation
      * @param units the request's size
-     * @param nowMillis the time
-     * @return 0 if the request may go on, else milliseconds until asking again may help
+     * @param nowMillis the current time, in milliseconds
+     * @return 0 if the request is admitted, else the milliseconds after which a retry may succeed
      */
     public long tryTake(String organisation, double units, long nowMillis) {
         QuotaBucket bucket = buckets.get(organisation);
@@ -129,32 +132,32 @@
             return 0;
         }
         long wait = bucket.tryTake(units, nowMillis);
-        if (wait == 0 && bucket.isMuch(untold(organisation, bucket), MUCH_PART)) {
-            onMuchUsed.run();
+        if (wait == 0 && bucket.isMuch(unreported(organisation, bucket), EARLY_REPORT_RATIO)) {
+            onMuchUnreported.run();
         }
         return wait;
     }
 
     /**
-     * Has somebody told whenever this process has let much pass that its peers do not know of.
+     * Sets a task for when this process has admitted much that its peers do not know of.
      *
-     * @param told runs then, with each further request until peers are told
+     * @param task runs then, and again with each further request until peers have the report
      */
-    public void onMuchUsed(Runnable told) {
-        onMuchUsed = told;
+    public void onMuchUnreported(Runnable task) {
+        onMuchUnreported = task;
     }
 
-    private double untold(String organisation, QuotaBucket bucket) {
-        return bucket.used() - told.getOrDefault(organisation, 0.0);
+    private double unreported(String organisation, QuotaBucket bucket) {
+        return bucket.used() - reportedByThis.getOrDefault(organisation, 0.0);
     }
 
     /**
-     * Gives units back that were not used.
+     * Returns units that were not used.
      *
      * @param organisation the organisation
      * @param units the request's size
      */
-    public void giveBack(String organisation, double units) {
+    public void returnUnits(String organisation, double units) {
         QuotaBucket bucket = buckets.get(organisation);
         if (bucket != null) {
             bucket.giveBack(units);
@@ -162,183 +165,189 @@
     }
 
     /**
-     * Has the next message of a process count as its first one: what it has let pass since the last
-     * one that was heard has come by another way, or its part of the limit was left to it.
+     * Makes the next report of a process count as its first one. What it has admitted since its
+     * last received report has arrived by another path, or was covered by the part of the limit
+     * that was left to it.
      *
-     * @param life names the life of the process
+     * @param incarnation the incarnation of the process
      */
-    public void beginAnew(String life) {
-        seen.keySet().removeIf(key -> key.startsWith(life + '/'));
-        heard.remove(life);
+    public void resetIncarnation(String incarnation) {
+        lastReported.keySet().removeIf(key -> key.startsWith(incarnation + '/'));
+        knownIncarnations.remove(incarnation);
     }
 
     /**
-     * Takes over what peers have let pass. A first message of a life tells no increase, but the
-     * level. What later ones name for the first time was used since, as uses of nothing are not
-     * told.
+     * Records the use that a peer reports. The first report of an incarnation gives no increase but
+     * the level. An organisation that a later report names for the first time was used since the
+     * report before, as unused organisations are not reported.
      *
-     * @param life names the life of the peer that tells it
-     * @param uses what was let pass since that life began
-     * @param nowMillis the time
+     * @param incarnation the incarnation of the reporting peer
+     * @param uses units admitted since that incarnation started
+     * @param nowMillis the current time, in milliseconds
      */
-    public void peerUsed(String life, List<OrganisationUse> uses, long nowMillis) {
+    public void recordPeerUse(String incarnation, List<OrganisationUse> uses, long nowMillis) {
         for (OrganisationUse use : uses) {
-            peerUsed(life, use, nowMillis);
+            recordPeerUse(incarnation, use, nowMillis);
         }
-        heard.add(life);
+        knownIncarnations.add(incarnation);
     }
 
     /**
-     * Takes over what the processes of another region have let pass.
+     * Records the use that the processes of another region report.
      *
-     * @param life names the life of the process that tells it
-     * @param uses what was let pass since that life began
-     * @param nowMillis the time
+     * @param incarnation the incarnation of the reporting process
+     * @param uses units admitted since that incarnation started
+     * @param nowMillis the current time, in milliseconds
      */
-    public void regionUsed(String life, List<OrganisationUse> uses, long nowMillis) {
+    public void recordRegionUse(String incarnation, List<OrganisationUse> uses, long nowMillis) {
         for (OrganisationUse use : uses) {
-            double units = peerUsed(life, use, nowMillis);
-            ofRegions.merge(use.organisation(), units, Double::sum);
+            double units = recordPeerUse(incarnation, use, nowMillis);
+            usedByOtherRegions.merge(use.organisation(), units, Double::sum);
         }
-        heard.add(life);
+        knownIncarnations.add(incarnation);
     }
 
-    private double peerUsed(String life, OrganisationUse use, long nowMillis) {
+    private double recordPeerUse(String incarnation, OrganisationUse use, long nowMillis) {
         QuotaBucket bucket = buckets.get(use.organisation());
         if (bucket == null) {
             return 0;
         }
-        if (!seen.containsKey(key(life, use))) {
-            if (isFirstUse(life, use, bucket)) {
-                seen.put(key(life, use), 0.0);
+        if (!lastReported.containsKey(key(incarnation, use))) {
+            if (isFirstUse(incarnation, use, bucket)) {
+                lastReported.put(key(incarnation, use), 0.0);
             } else {
                 bucket.atMost(use.level(), nowMillis);
             }
         }
-        double units = increase(life, use);
+        double units = increase(incarnation, use);
         bucket.takenByPeers(units, nowMillis);
         return units;
     }
 
     /**
-     * More than the limit gives at once was used for longer, and its figure has fallen out here.
+     * Whether a use that is named for the first time began since the report before. A use above
+     * what the limit allows between two digests is older, and its entry was evicted here.
      */
-    private boolean isFirstUse(String life, OrganisationUse use, QuotaBucket bucket) {
-        return heard.contains(life) && !bucket.isMuch(use.used(), MOST_AT_ONCE);
+    private boolean isFirstUse(String incarnation, OrganisationUse use, QuotaBucket bucket) {
+        return knownIncarnations.contains(incarnation)
+                && !bucket.isMuch(use.used(), MAX_BURSTS_PER_DIGEST);
     }
 
     /**
-     * Takes over what a process has let pass that relies on this one to tell the others.
+     * Records the use of a leaf, which relies on this process to report it to the others.
      *
-     * @param life names the life of that process
-     * @param uses what it let pass since its start
-     * @param nowMillis the time
+     * @param incarnation the incarnation of the leaf
+     * @param uses units it has admitted since its start
+     * @param nowMillis the current time, in milliseconds
      */
-    public void leafUsed(String life, List<OrganisationUse> uses, long nowMillis) {
+    public void recordLeafUse(String incarnation, List<OrganisationUse> uses, long nowMillis) {
         for (OrganisationUse use : uses) {
             QuotaBucket bucket = buckets.get(use.organisation());
             if (bucket != null) {
-                double units = increase(life, use);
+                double units = increase(incarnation, use);
                 bucket.takenByLeaf(units, nowMillis);
-                ofLeaves.merge(key(life, use), units, Double::sum);
+                usedByLeaf.merge(key(incarnation, use), units, Double::sum);
             }
         }
     }
 
     /**
-     * Sets the part of every limit that the processes share that hear one another.
+     * Sets the part of every limit that is shared by the processes that receive digests of each
+     * other.
      *
      * @param part above 0, at most 1
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void sharedPart(double part, long nowMillis) {
         buckets.values().forEach(bucket -> bucket.sharedPart(part, nowMillis));
     }
 
     /**
-     * Has limits used as far as the others leave them if they go on as they last did.
+     * Assumes that the others go on using limits at their last rate, and admits what they leave.
      *
-     * @param part the least part of each that is this process's own, above 0, at most 1
-     * @param nowMillis the time
+     * @param part the minimum part of each limit for this process, above 0, at most 1
+     * @param nowMillis the current time, in milliseconds
      */
-    public void othersGoOn(double part, long nowMillis) {
+    public void assumeOthersContinue(double part, long nowMillis) {
         buckets.values().forEach(bucket -> bucket.othersGoOn(part, nowMillis));
     }
 
     /**
-     * Tells that others are heard again that were taken to go on.
+     * Ends the assumption that the others go on at their last rate, since they are received again.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
-    public void othersWentOn(long nowMillis) {
+    public void othersReceivedAgain(long nowMillis) {
         buckets.values().forEach(bucket -> bucket.othersWentOn(nowMillis));
     }
 
     /**
-     * Returns what this process has let pass, to be told to the hub it relies on.
+     * Returns the use of this process, to be reported to the hub it relies on.
      *
-     * @param nowMillis the time
-     * @return its use of limited organisations
+     * @param nowMillis the current time, in milliseconds
+     * @return the use by organisation
      */
     public List<OrganisationUse> ownUses(long nowMillis) {
         return uses(
                 nowMillis,
                 (name, bucket) -> {
-                    Double before = told.put(name, bucket.used());
+                    Double before = reportedByThis.put(name, bucket.used());
                     return new Told(bucket.used(), before == null ? 0 : before);
                 });
     }
 
     /**
-     * Returns what this process, and those that rely on it, have let pass.
+     * Returns the use of this process and of the leaves that rely on it.
      *
-     * @param nowMillis the time
-     * @return their use of limited organisations
+     * @param nowMillis the current time, in milliseconds
+     * @return the use by organisation
      */
     public List<OrganisationUse> groupUses(long nowMillis) {
         return uses(
                 nowMillis,
                 (name, bucket) -> {
-                    told.put(name, bucket.used());
-                    return Told.all(bucket.usedByGroup());
+                    reportedByThis.put(name, bucket.used());
+                    return Told.allReportedBefore(bucket.usedByGroup());
                 });
     }
 
     /**
-     * Returns what the processes of the own region have let pass, to be told to other regions.
+     * Returns the use of all processes of the own region, to be reported to other regions.
      *
-     * @param nowMillis the time
-     * @return their use of limited organisations
+     * @param nowMillis the current time, in milliseconds
+     * @return the use by organisation
      */
     public List<OrganisationUse> regionUses(long nowMillis) {
         return uses(
                 nowMillis,
-                (name, bucket) -> Told.all(bucket.usedByAll() - ofRegions.getOrDefault(name, 0.0)));
+                (name, bucket) ->
+                        Told.allReportedBefore(
+                                bucket.usedByAll() - usedByOtherRegions.getOrDefault(name, 0.0)));
     }
 
     /**
-     * Returns what all processes have let pass but one that relies on this process.
+     * Returns the use of all processes except one leaf.
      *
-     * @param leafLife names the life of that one
-     * @param nowMillis the time
-     * @return the use of limited organisations
+     * @param leafIncarnation the incarnation of the leaf
+     * @param nowMillis the current time, in milliseconds
+     * @return the use by organisation
      */
-    public List<OrganisationUse> restUses(String leafLife, long nowMillis) {
+    public List<OrganisationUse> usesWithoutLeaf(String leafIncarnation, long nowMillis) {
         return uses(
                 nowMillis,
                 (name, bucket) -> {
-                    double ofLeaf = ofLeaves.getOrDefault(leafLife + '/' + name, 0.0);
-                    return Told.all(bucket.usedByAll() - ofLeaf);
+                    double ofLeaf = usedByLeaf.getOrDefault(leafIncarnation + '/' + name, 0.0);
+                    return Told.allReportedBefore(bucket.usedByAll() - ofLeaf);
                 });
     }
 
     /**
-     * Computes the size of a request in a limit's units.
+     * Computes the size of a request in the units of a limit.
      *
      * @param limit the limit
-     * @param tokensIn tokens of its prompt; 0 if not told
-     * @param tokensOut most tokens that come out
-     * @return units
+     * @param tokensIn number of prompt tokens; 0 if unknown
+     * @param tokensOut maximum number of output tokens
+     * @return the size in units
      */
     public static int size(RateSpec limit, int tokensIn, int tokensOut) {
         if (!limit.inTokens()) {
@@ -348,44 +357,47 @@
         return tokens > 0 ? tokens : limit.unsizedTokens();
     }
 
-    private double increase(String life, OrganisationUse use) {
-        Double before = seen.put(key(life, use), use.used());
+    private double increase(String incarnation, OrganisationUse use) {
+        Double before = lastReported.put(key(incarnation, use), use.used());
         return use.used() - (before == null ? use.toldBefore() : before);
     }
 
-    private static String key(String life, OrganisationUse use) {
-        return life + '/' + use.organisation();
+    private static String key(String incarnation, OrganisationUse use) {
+        return incarnation + '/' + use.organisation();
     }
 
     private List<OrganisationUse> uses(
-            long nowMillis, BiFunction<String, QuotaBucket, Told> figures) {
+            long nowMillis, BiFunction<String, QuotaBucket, Told> reportOf) {
         List<OrganisationUse> uses = new ArrayList<>();
         buckets.forEach(
                 (name, bucket) -> {
-                    Told figure = figures.apply(name, bucket);
+                    Told reported = reportOf.apply(name, bucket);
                     uses.add(
                             new OrganisationUse(
                                     name,
-                                    figure.used(),
-                                    figure.before(),
+                                    reported.used(),
+                                    reported.reportedBefore(),
                                     bucket.levelOfAll(nowMillis)));
                 });
         return uses;
     }
 
-    /** Nobody may know what was used before all processes restarted at once, perhaps twice. */
+    /**
+     * Returns the level of a limit after a restart. If all processes restart at once, perhaps
+     * twice, none may know what was used before.
+     */
     private static double levelAfterRestart(RateSpec limit) {
-        return Math.min(limit.perSecond(), limit.burst() * FILLED_AFTER_RESTART);
+        return Math.min(limit.perSecond(), limit.burst() * RESTART_LEVEL_RATIO);
     }
 
-    /** Uses a part of the tolerance. */
-    private RateSpec lenient(RateSpec limit) {
+    /** Returns a limit raised by the part of the tolerance that is used. */
+    private RateSpec withTolerance(RateSpec limit) {
         if (!limit.limited()) {
             return limit;
         }
         return new RateSpec(
-                limit.perSecond() * (1 + TOLERANCE_USED * tolerance.ratio()),
-                limit.burst() + TOLERANCE_USED * tolerance.units(),
+                limit.perSecond() * (1 + TOLERANCE_RATIO * tolerance.ratio()),
+                limit.burst() + TOLERANCE_RATIO * tolerance.units(),
                 limit.inTokens(),
                 limit.unsizedTokens());
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RefusedAsCrashing.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RefusedAsCrashing.java
@@ -24,12 +24,12 @@
 import java.util.List;
 
 /**
- * A log line: a request is not sent to an upstream because upstreams ended under it before.
+ * Log line: a request is not sent to an upstream because upstreams ended while running it before.
  *
- * @param id the request's try
- * @param request the request, the same at all its tries
- * @param ends the ends that count
- * @param nowMillis the time to which their ages are told, in milliseconds
+ * @param id the id of this try of the request
+ * @param request the fingerprint of the request, the same for all its tries
+ * @param ends the ends of upstreams that count
+ * @param nowMillis the time at which their ages are computed, in milliseconds
  */
 record RefusedAsCrashing(
         String id, RequestFingerprint request, List<CrashHistory.Known> ends, long nowMillis)
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
@@ -39,13 +39,13 @@
 import java.util.function.Consumer;
 
 /**
- * Brings one accepted request to its end: sends it to upstreams, passes the answer on, and does
- * what {@link RecoveryPolicy} decides when an attempt fails.
+ * Runs one accepted request until it ends: sends it to upstreams, relays the answer, and carries
+ * out what {@link RecoveryPolicy} decides when an attempt fails.
  */
-final class RequestDriver implements Attempt.Owner {
-    private static final int FAILURES = 300;
-    private static final int SERVER_ERRORS = 500;
-    private static final byte[] NO_BYTES = {};
+final class RequestDriver implements Attempt.Listener {
+    private static final int MIN_FAILURE_STATUS = 300;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
+    private static final byte[] EMPTY_BODY = {};
 
     private final ServingContext context;
     private final ServerExchange exchange;
@@ -56,13 +56,13 @@
     private final AttemptHistory history = new AttemptHistory();
     private final LoopTimer deadline;
     private final AttemptCalls calls;
-    private final AnswerPassing answer;
-    private final SilenceWatch silence;
-    private final BodyRoom bodyRoom;
+    private final AnswerRelay answer;
+    private final ResponseTimeoutWatch responseTimeout;
+    private final BodyCapacitySelector selector;
     private Attempt attempt;
-    private boolean started;
-    private boolean over;
-    private long firstMillis = -1;
+    private boolean runStarted;
+    private boolean finished;
+    private long firstByteMillis = -1;
 
     RequestDriver(
             ServingContext context,
@@ -83,14 +83,14 @@
         }
         this.calls = new AttemptCalls(context, exchange, request);
         this.answer =
-                new AnswerPassing(context.memory(), exchange, history, isStream(), this::firstByte);
+                new AnswerRelay(context.memory(), exchange, history, isStream(), this::firstByte);
         boolean resumable = isStream() && request.route().repeatable();
         exchange.answerOwner(new AnswerOwner(request.id(), request.organisation(), resumable));
-        this.silence = new SilenceWatch(context, request, history);
-        this.bodyRoom = new BodyRoom(context, request);
-        exchange.onGone(this::callerGone);
-        long left = request.deadlineMillis() - context.loop().nowMillis();
-        this.deadline = context.loop().schedule(left, this::timeOver);
+        this.responseTimeout = new ResponseTimeoutWatch(context, request, history);
+        this.selector = new BodyCapacitySelector(context, request);
+        exchange.onGone(this::callerDisconnected);
+        long remainingMillis = request.deadlineMillis() - context.loop().nowMillis();
+        this.deadline = context.loop().schedule(remainingMillis, this::deadlineReached);
     }
 
     void start() {
@@ -100,14 +100,17 @@
         nextAttempt();
     }
 
-    /** Tells whether the request runs at an upstream now. */
-    boolean runsAt(String upstream) {
+    /** Whether the request is currently at an upstream. */
+    boolean isRunningAt(String upstream) {
         return attempt != null && attempt.upstream().id().equals(upstream);
     }
 
-    /** Returns how long the upstream has been silent, in milliseconds. */
-    long silentMillis() {
-        return attempt == null ? 0 : attempt.silentMillis();
+    /**
+     * Returns the time since the upstream last sent anything, in milliseconds; 0 without an
+     * attempt.
+     */
+    long unresponsiveMillis() {
+        return attempt == null ? 0 : attempt.unresponsiveMillis();
     }
 
     boolean isStream() {
@@ -115,23 +118,24 @@
     }
 
     /**
-     * Goes on at another upstream if the request may. It stays at one that leaves while no other
-     * takes requests: the notice leaves it time, and to move would end it for certain.
+     * Moves the request to another upstream if it may be repeated or has not been sent. It stays at
+     * an upstream that is leaving while no other takes requests: the notice leaves it time, and
+     * moving would end it for certain.
      */
-    void moveAway(AttemptFailure reason) {
+    void moveToOtherUpstream(AttemptFailure reason) {
         if (attempt == null || (attempt.isSent() && !request.route().repeatable())) {
             return;
         }
         long now = context.loop().nowMillis();
-        boolean leaves = reason == AttemptFailure.LEAVING;
-        if (!leaves || context.availability().isAnyTaking(request.service(), now)) {
+        boolean leaving = reason == AttemptFailure.LEAVING;
+        if (!leaving || context.availability().isAnyTaking(request.service(), now)) {
             attempt.fail(reason);
         }
     }
 
-    /** Breaks the request off because the process ends. */
+    /** Ends the request because the process stops. */
     void stop() {
-        if (over) {
+        if (finished) {
             return;
         }
         Ending ending = RecoveryPolicy.endingOf(history, isUnderWay());
@@ -140,13 +144,13 @@
     }
 
     /**
-     * Ends the request if it is one that ends upstreams: the upstream that has it may not have
-     * begun to run it, and lives on if it is taken back.
+     * Ends the request if it is one that makes upstreams end. Its upstream may not have started to
+     * run it, and then survives if the request is cancelled.
      *
-     * @param found the request that was found to end upstreams
+     * @param found the fingerprint of the request that makes upstreams end
      */
-    void stopIf(RequestFingerprint found) {
-        if (!over && crashes.stops(found)) {
+    void stopIfMatches(RequestFingerprint found) {
+        if (!finished && crashes.stops(found)) {
             stop();
         }
     }
@@ -155,7 +159,7 @@
     public void sending(Attempt sender) {
         history.sent(sender.upstream().id());
         if (request.prompt().tokensIn() == 0) {
-            startedRunning();
+            recordRunStarted();
         }
     }
 
@@ -168,20 +172,20 @@
     public void body(Attempt sender, byte[] bytes) {
         int events = answer.body(bytes);
         if (events > 0) {
-            sender.events(events);
-            startedRunning();
+            sender.eventsReceived(events);
+            recordRunStarted();
         }
     }
 
     @Override
     public void ended(Attempt sender) {
-        if (answer.status() >= SERVER_ERRORS && !history.hasAnswerBegun()) {
+        if (answer.status() >= MIN_SERVER_ERROR_STATUS && !history.hasAnswerBegun()) {
             attemptFailed(sender, AttemptFailure.SERVER_ERROR);
             return;
         }
         attempt = null;
         context.metrics().attempt(request.service(), "whole");
-        if (answer.status() < FAILURES) {
+        if (answer.status() < MIN_FAILURE_STATUS) {
             crashes.ranWhole();
         }
         answer.end();
@@ -195,13 +199,13 @@
 
     private void nextAttempt() {
         long now = context.loop().nowMillis();
-        Optional<Selection> choice = bodyRoom.choose(history.tried(), now);
+        Optional<Selection> choice = selector.choose(history.tried(), now);
         if (choice.isEmpty() && request.route().repeatable() && !history.tried().isEmpty()) {
-            choice = bodyRoom.choose(Set.of(), now);
+            choice = selector.choose(Set.of(), now);
         }
-        long held = choice.isEmpty() ? context.rollouts().heldMillis(request.service()) : 0;
-        if (held > 0) {
-            context.loop().schedule(held, this::goOn);
+        long waitMillis = choice.isEmpty() ? context.rollouts().heldMillis(request.service()) : 0;
+        if (waitMillis > 0) {
+            context.loop().schedule(waitMillis, this::continueAfterRollout);
         } else if (choice.isEmpty()) {
             turnAwayWithoutChoice(now);
         } else if (!history.hasAnswerBegun()
@@ -213,18 +217,22 @@
     }
 
     private void turnAwayWithoutChoice(long now) {
-        long none =
+        long unavailableMillis =
                 context.availability().noneTakesMillis(request.service(), request.priority(), now);
-        if (none > 0) {
-            turnAway(TurnedAway.NONE_TAKES, none);
+        if (unavailableMillis > 0) {
+            turnAway(TurnedAway.NONE_AVAILABLE, unavailableMillis);
         } else {
-            turnAway(bodyRoom.wasShort() ? TurnedAway.NO_BODY_ROOM : TurnedAway.NO_UPSTREAM, 0);
+            turnAway(
+                    selector.wasCapacityShort()
+                            ? TurnedAway.NO_BODY_CAPACITY
+                            : TurnedAway.NO_UPSTREAM,
+                    0);
         }
     }
 
-    /** Tries again after a roll-out has had it wait. */
-    private void goOn() {
-        if (over) {
+    /** Makes the next attempt after the request has waited for a roll-out. */
+    private void continueAfterRollout() {
+        if (finished) {
             return;
         }
         if (crashes.refusesFurther()) {
@@ -234,10 +242,10 @@
         }
     }
 
-    /** Ends the request at once because what it waits for does not come in time. */
+    /** Ends the request at once because no upstream can serve it in time. */
     private void turnAway(String reason, long placeMillis) {
-        long left = request.deadlineMillis() - context.loop().nowMillis();
-        DecisionLog.write(new TurnedAway(request.id(), reason, placeMillis, left));
+        long remainingMillis = request.deadlineMillis() - context.loop().nowMillis();
+        DecisionLog.write(new TurnedAway(request.id(), reason, placeMillis, remainingMillis));
         giveUp(RecoveryPolicy.endingOf(history, false));
     }
 
@@ -256,15 +264,15 @@
                         selection.candidates(),
                         context.peersAgeMillis().getAsLong(),
                         history.lastEventId()));
-        selection.crossing().ifPresent(this::crosses);
+        selection.crossing().ifPresent(this::recordCrossing);
         context.selector().sent(request, upstream.id());
         answer.newAttempt();
         attempt = new Attempt(context, request, selection, this);
-        silence.watch(attempt, selection);
+        responseTimeout.watch(attempt, selection);
         attempt.start(calls.to(upstream, history.lastEventId(), now));
     }
 
-    private void crosses(Crossing crossing) {
+    private void recordCrossing(Crossing crossing) {
         context.metrics().count(GatewayMetrics.Event.SENT_TO_OTHER_REGION);
         DecisionLog.write(
                 new SentAcross(
@@ -275,20 +283,20 @@
     }
 
     private void firstByte() {
-        firstMillis = context.loop().nowMillis() - request.acceptedMillis();
-        context.metrics().firstAnswer(request.organisation(), request.service(), firstMillis);
+        firstByteMillis = context.loop().nowMillis() - request.acceptedMillis();
+        context.metrics().firstAnswer(request.organisation(), request.service(), firstByteMillis);
     }
 
-    private void startedRunning() {
-        if (!started) {
-            started = true;
+    private void recordRunStarted() {
+        if (!runStarted) {
+            runStarted = true;
             context.usage().started(request.organisation(), context.clock().millis());
         }
     }
 
     private void attemptFailed(Attempt sender, AttemptFailure failure) {
         attempt = null;
-        silence.stop();
+        responseTimeout.stop();
         history.failed(sender.upstream().id(), failure);
         crashes.failed(sender, failure);
         context.metrics().attempt(request.service(), failure.name());
@@ -297,11 +305,11 @@
         if (!(recovery instanceof GiveUp) && crashes.refusesFurther()) {
             recovery = RecoveryPolicy.after(request, history, failure, false, now);
         }
-        boolean neverArrived =
+        boolean notReceived =
                 failure == AttemptFailure.UNREACHABLE || failure == AttemptFailure.NOT_SENT;
-        boolean paid = silence.takePaid() || neverArrived;
+        boolean charged = responseTimeout.takeRetryCharged() || notReceived;
         if (!(recovery instanceof GiveUp)
-                && !paid
+                && !charged
                 && !context.budgets().tryRetry(request.service(), now)) {
             context.metrics().count(GatewayMetrics.Event.RETRY_BUDGET_EMPTY);
             recovery = RecoveryPolicy.after(request, history, failure, false, now);
@@ -327,16 +335,16 @@
 
     private void giveUp(Ending ending, Attempt last) {
         if (ending == Ending.NOT_RUN) {
-            context.quotas().giveBack(request.organisation(), units);
+            context.quotas().returnUnits(request.organisation(), units);
         }
         switch (ending) {
-            case PASSED_ON -> answer.respondWhole();
+            case PASSED_ON -> answer.respondBuffered();
             case BROKEN_OFF -> exchange.abort();
             default ->
                     exchange.respond(
                             ending.status(),
                             context.protocol().refusal(retryAfterMillis(ending)),
-                            NO_BYTES);
+                            EMPTY_BODY);
         }
         int status = ending == Ending.PASSED_ON ? answer.status() : ending.status();
         end(ending.name(), status, last);
@@ -344,12 +352,12 @@
 
     private long retryAfterMillis(Ending ending) {
         return ending == Ending.NOT_RUN && !crashes.hasStopped()
-                ? context.returns().place(request, context.loop().nowMillis())
+                ? context.retryAfter().retryAfterMillis(request, context.loop().nowMillis())
                 : 0;
     }
 
-    private void timeOver() {
-        if (over) {
+    private void deadlineReached() {
+        if (finished) {
             return;
         }
         Ending ending = RecoveryPolicy.endingInTime(history, isUnderWay());
@@ -366,8 +374,8 @@
         return attempt != null && attempt.isSent();
     }
 
-    private void callerGone() {
-        if (!over) {
+    private void callerDisconnected() {
+        if (!finished) {
             Attempt last = attempt;
             cancelAttempt();
             end(exchange.isCut() ? "answer-cut" : "caller-gone", 0, last);
@@ -383,12 +391,13 @@
     }
 
     private void end(String outcome, int status, Attempt last) {
-        over = true;
+        finished = true;
         answer.close();
-        silence.stop();
+        responseTimeout.stop();
         deadline.cancel();
-        long took = context.loop().nowMillis() - request.acceptedMillis();
-        context.metrics().ended(request.organisation(), request.service(), outcome, took);
+        long durationMillis = context.loop().nowMillis() - request.acceptedMillis();
+        context.metrics()
+                .requestEnded(request.organisation(), request.service(), outcome, durationMillis);
         String upstream = last == null ? "" : last.upstream().id();
         DecisionLog.write(
                 new Ended(
@@ -397,8 +406,8 @@
                         status,
                         upstream,
                         history.sent(),
-                        took,
-                        firstMillis));
+                        durationMillis,
+                        firstByteMillis));
         onEnd.accept(this);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestIdentity.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestIdentity.java
@@ -19,16 +19,16 @@
 import io.trailladder.entry.http.ServerExchange;
 import java.util.function.Supplier;
 
-/** Knows a request's fingerprint, which is made when it is first asked for: few ever are. */
+/** The fingerprint of a request, computed on first use because few requests need it. */
 final class RequestIdentity {
-    private final Supplier<RequestFingerprint> maker;
+    private final Supplier<RequestFingerprint> fingerprintSupplier;
     private RequestFingerprint fingerprint;
 
     RequestIdentity(Supplier<RequestFingerprint> maker) {
-        this.maker = maker;
+        this.fingerprintSupplier = maker;
     }
 
-    /** Returns the identity of a caller's request. */
+    /** Creates the identity of a caller's request. */
     static RequestIdentity of(ServerExchange exchange, String host, String callerKey) {
         return new RequestIdentity(
                 () ->
@@ -41,7 +41,7 @@
 
     RequestFingerprint fingerprint() {
         if (fingerprint == null) {
-            fingerprint = maker.get();
+            fingerprint = fingerprintSupplier.get();
         }
         return fingerprint;
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestIntake.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestIntake.java
@@ -37,8 +37,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Decides of each request whether it is accepted, by the policy in force and the organisation's
- * limit.
+ * Accepts or refuses each request, according to the policy in force, the limit of the organisation
+ * and the memory of the process.
  *
  * @since 0.2
  */
@@ -49,50 +49,53 @@
     private static final int OVER_LIMIT = 429;
     private static final int UNAVAILABLE = 503;
 
-    /** When a caller may come back that met a process without policy: the store is asked again. */
-    private static final long NO_POLICY_RETRY_MILLIS = 500;
+    /**
+     * Time to retry after a refusal for lack of policy or upstreams; the store is read again
+     * meanwhile.
+     */
+    private static final long NO_POLICY_RETRY_AFTER_MILLIS = 500;
 
-    /** When a caller may come back that met a stopping process: another one takes it at once. */
-    private static final long STOPPING_RETRY_MILLIS = 30;
+    /** Time to retry after a refusal by a stopping process; another process accepts it at once. */
+    private static final long STOPPING_RETRY_AFTER_MILLIS = 30;
 
-    /** When a caller may come back that met a full process: another one takes it at once. */
-    private static final long FULL_RETRY_MILLIS = 30;
+    /** Time to retry after a refusal for lack of memory; another process accepts it at once. */
+    private static final long FULL_RETRY_AFTER_MILLIS = 30;
 
-    private static final String NO_ROOM = "no room in memory";
+    private static final String NO_MEMORY_REASON = "no room in memory";
     private static final long DEFAULT_WAIT_MILLIS = 60_000;
-    private static final byte[] NO_BYTES = {};
-    private static final byte[] CRASHING =
+    private static final byte[] EMPTY_BODY = {};
+    private static final byte[] CRASHING_BODY =
             "not run: the servers that ran this request before ended under it\n"
                     .getBytes(StandardCharsets.UTF_8);
 
     private final ServingContext context;
     private final PolicyKeeper policies;
     private final SplittableRandom random;
-    private final StartingRequests<ServerExchange> starting;
+    private final StartupRequestQueue<ServerExchange> starting;
     private final Set<RequestDriver> open = new HashSet<>();
     private boolean refusing;
 
     /**
      * Creates an intake.
      *
-     * @param context what requests share
+     * @param context the objects that requests share
      * @param policies the policy in force
-     * @param informed tells whether policy and upstreams are known
-     * @param random draws the services of routes that are split
+     * @param stateKnown whether policy and upstreams are known
+     * @param random selects the services of routes that are split
      */
     public RequestIntake(
             ServingContext context,
             PolicyKeeper policies,
-            BooleanSupplier informed,
+            BooleanSupplier stateKnown,
             SplittableRandom random) {
         this.context = context;
         this.policies = policies;
         this.random = random;
         this.starting =
-                new StartingRequests<>(
+                new StartupRequestQueue<>(
                         context.loop()::nowMillis,
                         context.loop()::schedule,
-                        informed,
+                        stateKnown,
                         new StartOutcome());
     }
 
@@ -100,14 +103,14 @@
     public void handle(ServerExchange exchange) {
         Optional<ServingPolicy> policy = policies.policy();
         if (refusing) {
-            refuse(exchange, "", UNAVAILABLE, STOPPING_RETRY_MILLIS, "stopping");
+            refuse(exchange, "", UNAVAILABLE, STOPPING_RETRY_AFTER_MILLIS, "stopping");
             return;
         }
-        if (!context.memory().hasRoom(0)) {
-            refuse(exchange, "", UNAVAILABLE, FULL_RETRY_MILLIS, NO_ROOM);
+        if (!context.memory().hasCapacity(0)) {
+            refuse(exchange, "", UNAVAILABLE, FULL_RETRY_AFTER_MILLIS, NO_MEMORY_REASON);
             return;
         }
-        if (policy.isEmpty() || starting.isUninformed()) {
+        if (policy.isEmpty() || starting.isStateUnknown()) {
             starting.hold(exchange);
             return;
         }
@@ -121,74 +124,76 @@
 
     @Override
     public boolean answersWithoutBody(ServerExchange exchange) {
-        if (context.memory().hasRoom(exchange.announcedBytes())) {
+        if (context.memory().hasCapacity(exchange.announcedBytes())) {
             return false;
         }
-        refuse(exchange, "", UNAVAILABLE, FULL_RETRY_MILLIS, NO_ROOM);
+        refuse(exchange, "", UNAVAILABLE, FULL_RETRY_AFTER_MILLIS, NO_MEMORY_REASON);
         return true;
     }
 
     @Override
     public void refuse(ServerExchange exchange, int status) {
         if (status == UNAVAILABLE) {
-            context.memory().refusedWhileRead();
-            refuse(exchange, "", status, FULL_RETRY_MILLIS, NO_ROOM);
+            context.memory().countRefusedWhileReading();
+            refuse(exchange, "", status, FULL_RETRY_AFTER_MILLIS, NO_MEMORY_REASON);
         } else {
             refuse(exchange, "", status, 0, "cannot be read");
         }
     }
 
     /**
-     * Returns how many requests are in flight.
+     * Returns the number of requests in flight.
      *
-     * @return a count
+     * @return the number of requests
      */
     public int open() {
         return open.size();
     }
 
     /**
-     * Has requests leave an upstream that was lost without notice, if it has been silent.
+     * Moves requests away from an upstream that was lost without notice, if they have received
+     * nothing for some time.
      *
      * @param upstream the upstream
-     * @param silentMillis least silence, in milliseconds
+     * @param unresponsiveMillis the minimum time without anything received, in milliseconds
      */
-    public void lost(Upstream upstream, long silentMillis) {
+    public void upstreamLost(Upstream upstream, long unresponsiveMillis) {
         for (RequestDriver driver : List.copyOf(open)) {
-            if (driver.runsAt(upstream.id()) && driver.silentMillis() >= silentMillis) {
-                driver.moveAway(AttemptFailure.SILENT);
+            if (driver.isRunningAt(upstream.id())
+                    && driver.unresponsiveMillis() >= unresponsiveMillis) {
+                driver.moveToOtherUpstream(AttemptFailure.SILENT);
             }
         }
     }
 
     /**
-     * Has requests go on at other upstreams because theirs will end before they do.
+     * Moves requests to other upstreams because theirs will end before they do.
      *
      * @param upstream the upstream
      */
-    public void moveAway(Upstream upstream) {
+    public void upstreamEnding(Upstream upstream) {
         for (RequestDriver driver : List.copyOf(open)) {
-            if (driver.runsAt(upstream.id())) {
-                driver.moveAway(AttemptFailure.LEAVING);
+            if (driver.isRunningAt(upstream.id())) {
+                driver.moveToOtherUpstream(AttemptFailure.LEAVING);
             }
         }
     }
 
     /**
-     * Ends all tries of a request that was found to end upstreams.
+     * Ends all tries of a request that makes upstreams end.
      *
-     * @param found the request
+     * @param found the fingerprint of the request
      */
     void stopCrashing(RequestFingerprint found) {
-        List.copyOf(open).forEach(driver -> driver.stopIf(found));
+        List.copyOf(open).forEach(driver -> driver.stopIfMatches(found));
     }
 
-    /** Refuses every further request, which callers may ask again of another process. */
+    /** Refuses every further request; callers may retry at another process. */
     public void refuseNew() {
         refusing = true;
     }
 
-    /** Breaks all requests off because the process ends. */
+    /** Ends all requests because the process stops. */
     public void stopAll() {
         List.copyOf(open).forEach(RequestDriver::stop);
     }
@@ -222,8 +227,8 @@
                         .orElse(0);
         String name = organisation.map(OrganisationSpec::name).orElse("");
         long now = context.loop().nowMillis();
-        long retryAfter = context.quotas().tryTake(name, units, now);
-        String outcome = retryAfter > 0 ? OVER_LIMIT + ", over limit of " + name : "accepted";
+        long retryAfterMillis = context.quotas().tryTake(name, units, now);
+        String outcome = retryAfterMillis > 0 ? OVER_LIMIT + ", over limit of " + name : "accepted";
         DecisionLog.write(
                 new Intake(
                         caller.id(),
@@ -233,15 +238,15 @@
                         policy.version(),
                         route.get().objectiveMillis(),
                         outcome));
-        if (retryAfter > 0) {
-            turnBack(exchange, OVER_LIMIT, retryAfter);
+        if (retryAfterMillis > 0) {
+            respondRefused(exchange, OVER_LIMIT, retryAfterMillis);
             return;
         }
         ServingRequest request = request(exchange, caller, policy, route.get(), organisation);
-        drive(exchange, request, identity, units, caller.lastEventId());
+        startRequest(exchange, request, identity, units, caller.lastEventId());
     }
 
-    private void drive(
+    private void startRequest(
             ServerExchange exchange,
             ServingRequest request,
             RequestIdentity identity,
@@ -261,8 +266,11 @@
             Route route,
             Optional<OrganisationSpec> organisation) {
         long now = context.loop().nowMillis();
-        long wait = caller.waitMillis() > 0 ? caller.waitMillis() : DEFAULT_WAIT_MILLIS;
-        long held = route.timeoutMillis() > 0 ? Math.min(wait, route.timeoutMillis()) : wait;
+        long callerWaitMillis = caller.waitMillis() > 0 ? caller.waitMillis() : DEFAULT_WAIT_MILLIS;
+        long maxWaitMillis =
+                route.timeoutMillis() > 0
+                        ? Math.min(callerWaitMillis, route.timeoutMillis())
+                        : callerWaitMillis;
         int priority =
                 organisation
                         .flatMap(
@@ -280,44 +288,45 @@
                 caller.prompt(),
                 exchange.body().length,
                 now,
-                now + held,
+                now + maxWaitMillis,
                 policy.version());
     }
 
     private void refuse(
             ServerExchange exchange, String id, int status, long retryAfterMillis, String reason) {
         logRefusal(id, status, reason);
-        turnBack(exchange, status, retryAfterMillis);
+        respondRefused(exchange, status, retryAfterMillis);
     }
 
     /**
-     * Refuses a request that ends upstreams. No time to come back is told: it is the request, not
-     * the moment. The status says no more than is certain, that this try has not run; who is
-     * refused wrongly may ask again.
+     * Refuses a request that makes upstreams end. The answer gives no time to retry, since the
+     * cause is the request and not the moment. Its status states only what is certain, that this
+     * try has not run; a caller refused by mistake may retry.
      */
     private void refuseAsCrashing(ServerExchange exchange, String id) {
         logRefusal(id, UNAVAILABLE, "upstreams ended under it");
         HeaderList headers =
                 context.protocol().refusal(0).with("Content-Type", "text/plain; charset=utf-8");
-        turnBack(exchange, UNAVAILABLE, headers, CRASHING);
+        respondRefused(exchange, UNAVAILABLE, headers, CRASHING_BODY);
     }
 
     private void logRefusal(String id, int status, String reason) {
         DecisionLog.write(new Intake(id, "", "", 0, policies.version(), 0, status + ", " + reason));
     }
 
-    private void turnBack(ServerExchange exchange, int status, long retryAfterMillis) {
-        long spread = context.returns().spread(retryAfterMillis);
-        turnBack(exchange, status, context.protocol().refusal(spread), NO_BYTES);
+    private void respondRefused(ServerExchange exchange, int status, long retryAfterMillis) {
+        long jitteredMillis = context.retryAfter().withJitter(retryAfterMillis);
+        respondRefused(exchange, status, context.protocol().refusal(jitteredMillis), EMPTY_BODY);
     }
 
-    private void turnBack(ServerExchange exchange, int status, HeaderList headers, byte[] body) {
-        context.metrics().ended("", "", "refused-" + status, 0);
+    private void respondRefused(
+            ServerExchange exchange, int status, HeaderList headers, byte[] body) {
+        context.metrics().requestEnded("", "", "refused-" + status, 0);
         exchange.respond(status, headers, body);
     }
 
-    /** Goes on with requests that were held while the process started. */
-    private final class StartOutcome implements StartingRequests.Outcome<ServerExchange> {
+    /** Handles requests that were held while the process started. */
+    private final class StartOutcome implements StartupRequestQueue.Outcome<ServerExchange> {
         @Override
         public void accepted(ServerExchange exchange) {
             handle(exchange);
@@ -326,7 +335,12 @@
         @Override
         public void refused(ServerExchange exchange) {
             String unknown = policies.version() == 0 ? "policy" : "list of upstreams";
-            refuse(exchange, "", UNAVAILABLE, NO_POLICY_RETRY_MILLIS, "no " + unknown + " known");
+            refuse(
+                    exchange,
+                    "",
+                    UNAVAILABLE,
+                    NO_POLICY_RETRY_AFTER_MILLIS,
+                    "no " + unknown + " known");
         }
 
         @Override
--- /dev/null
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ResponseTimeoutWatch.java
@@ -0,0 +1,95 @@
+/*
+ * Copyright 2026 The trailladder authors
+ *
+ * Licensed under the Apache License, Version 2.0 (the "License");
+ * you may not use this file except in compliance with the License.
+ * You may obtain a copy of the License at
+ *
+ *     http://www.apache.org/licenses/LICENSE-2.0
+ *
+ * Unless required by applicable law or agreed to in writing, software
+ * distributed under the License is distributed on an "AS IS" BASIS,
+ * WITHOUT WARRANTIES OR CONDITIONS OF ANY KIND, either express or implied.
+ * See the License for the specific language governing permissions and
+ * limitations under the License.
+ */
+package io.trailladder.entry.gateway;
+
+import io.trailladder.core.pipeline.AttemptFailure;
+import io.trailladder.core.pipeline.AttemptHistory;
+import io.trailladder.core.pipeline.RecoveryPolicy;
+import io.trailladder.core.pipeline.ServingRequest;
+import io.trailladder.core.upstream.Selection;
+
+/**
+ * Fails an attempt whose upstream has sent nothing for too long, if the request may run again, some
+ * upstream takes requests, and the retry budget allows it.
+ */
+final class ResponseTimeoutWatch {
+    /** Longest time without data once the answer has begun, in milliseconds. */
+    private static final long MAX_BODY_GAP_MILLIS = 1_000;
+
+    private static final long MIN_CHECK_INTERVAL_MILLIS = 50;
+
+    /** How many times the predicted time an answer may take to begin. */
+    private static final double PREDICTION_TOLERANCE_FACTOR = 3;
+
+    private final ServingContext context;
+    private final ServingRequest request;
+    private final AttemptHistory history;
+    private Attempt watched;
+    private boolean retryCharged;
+
+    ResponseTimeoutWatch(ServingContext context, ServingRequest request, AttemptHistory history) {
+        this.context = context;
+        this.request = request;
+        this.history = history;
+    }
+
+    /** Starts to watch an attempt instead of the previous one. */
+    void watch(Attempt attempt, Selection selection) {
+        watched = attempt;
+        long objectiveMillis = request.route().objectiveMillis();
+        long slowestMillis = Math.round(selection.predictedMillis() * PREDICTION_TOLERANCE_FACTOR);
+        scheduleCheck(attempt, Math.max(objectiveMillis, slowestMillis));
+    }
+
+    void stop() {
+        watched = null;
+    }
+
+    /**
+     * Whether the next attempt was charged to the retry budget when the last one failed; resets it.
+     */
+    boolean takeRetryCharged() {
+        boolean charged = retryCharged;
+        retryCharged = false;
+        return charged;
+    }
+
+    private void scheduleCheck(Attempt attempt, long timeoutMillis) {
+        if (!request.route().repeatable() || timeoutMillis <= 0) {
+            return;
+        }
+        long delayMillis =
+                Math.max(MIN_CHECK_INTERVAL_MILLIS, timeoutMillis - attempt.unresponsiveMillis());
+        context.loop().schedule(delayMillis, () -> check(attempt, timeoutMillis));
+    }
+
+    private void check(Attempt attempt, long firstTimeoutMillis) {
+        if (attempt != watched) {
+            return;
+        }
+        long timeoutMillis = history.hasAnswerBegun() ? MAX_BODY_GAP_MILLIS : firstTimeoutMillis;
+        long now = context.loop().nowMillis();
+        if (attempt.unresponsiveMillis() >= timeoutMillis
+                && RecoveryPolicy.allowsAnother(request, history, now)
+                && context.availability().isAnyTaking(request.service(), now)
+                && context.budgets().tryRetry(request.service(), now)) {
+            retryCharged = true;
+            attempt.fail(AttemptFailure.SILENT);
+        } else {
+            scheduleCheck(attempt, timeoutMillis);
+        }
+    }
+}
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ReturnTimes.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RetryAfterEstimator.java
@@ -26,25 +26,25 @@
 import java.util.OptionalLong;
 import java.util.SplittableRandom;
 
-/** Tells callers whose requests have not run when coming back may help. */
-final class ReturnTimes {
+/** Estimates when callers whose requests have not run may retry with success. */
+final class RetryAfterEstimator {
     /**
-     * How much later some callers are told to come back than others, as a part of the time told:
-     * those that were turned away together must not all return at once.
+     * Maximum jitter as a ratio of the estimated time, so that callers refused together do not all
+     * retry at once.
      */
-    private static final double SPREAD = 0.5;
+    private static final double MAX_JITTER_RATIO = 0.5;
 
-    /** Latest turn that a caller is told of, in milliseconds after the first. */
-    private static final long LONGEST_MILLIS = 10_000;
+    /** Latest send slot promised to a caller, in milliseconds after the first free one. */
+    private static final long MAX_PROMISED_DELAY_MILLIS = 10_000;
 
-    private final Map<String, Double> promisedMillis = new HashMap<>();
+    private final Map<String, Double> lastPromisedMillis = new HashMap<>();
     private final PolicyKeeper policies;
     private final UpstreamAvailability availability;
     private final UpstreamLoads loads;
     private final EngineModel engines;
     private final SplittableRandom random;
 
-    ReturnTimes(
+    RetryAfterEstimator(
             PolicyKeeper policies,
             UpstreamAvailability availability,
             UpstreamLoads loads,
@@ -58,51 +58,55 @@
     }
 
     /**
-     * Returns when a place for a request is expected: not before the first upstream has rested, if
-     * all rest, and at a turn of its own if all are limited.
+     * Returns when capacity for a request is expected: not before the first back-off ends if all
+     * upstreams are backing off, and at a send slot of its own if all are limited.
      *
      * @param request the request
-     * @param nowMillis the time
-     * @return milliseconds from now, spread over callers
+     * @param nowMillis the current time, in milliseconds
+     * @return milliseconds from now, with jitter
      */
-    long place(ServingRequest request, long nowMillis) {
+    long retryAfterMillis(ServingRequest request, long nowMillis) {
         String service = request.service();
-        long noneTakes = availability.noneTakesMillis(service, request.priority(), nowMillis);
-        double every = availability.ownEveryMillis(service);
-        if (noneTakes > 0 && every > 0) {
+        long unavailableMillis =
+                availability.noneTakesMillis(service, request.priority(), nowMillis);
+        double intervalMillis = availability.ownEveryMillis(service);
+        if (unavailableMillis > 0 && intervalMillis > 0) {
             String queue = service + '/' + request.priority();
-            return turn(queue, nowMillis, nowMillis + noneTakes, every);
+            return nextSendSlotMillis(
+                    queue, nowMillis, nowMillis + unavailableMillis, intervalMillis);
         }
-        long place =
+        long placeMillis =
                 PlaceForecast.millis(
                         availability.staying(service),
                         loads,
                         engines.estimate(service, nowMillis),
                         bootMillis(service));
-        return spread(Math.max(place, noneTakes));
+        return withJitter(Math.max(placeMillis, unavailableMillis));
     }
 
     /**
-     * Tells each caller of a service and rank of another turn at upstreams that are all limited.
+     * Promises each caller of a service and priority another send slot, if all upstreams are
+     * limited.
      */
-    private long turn(String queue, long nowMillis, long firstMillis, double everyMillis) {
-        double after = promisedMillis.getOrDefault(queue, 0.0) + everyMillis;
-        double turn = Math.max((double) firstMillis, after);
-        if (turn > firstMillis + LONGEST_MILLIS) {
-            return spread(firstMillis + LONGEST_MILLIS - nowMillis);
+    private long nextSendSlotMillis(
+            String queue, long nowMillis, long firstMillis, double intervalMillis) {
+        double after = lastPromisedMillis.getOrDefault(queue, 0.0) + intervalMillis;
+        double slot = Math.max((double) firstMillis, after);
+        if (slot > firstMillis + MAX_PROMISED_DELAY_MILLIS) {
+            return withJitter(firstMillis + MAX_PROMISED_DELAY_MILLIS - nowMillis);
         }
-        promisedMillis.put(queue, turn);
-        return (long) Math.ceil(turn) - nowMillis;
+        lastPromisedMillis.put(queue, slot);
+        return (long) Math.ceil(slot) - nowMillis;
     }
 
     /**
-     * Spreads callers that are told the same time.
+     * Adds jitter to a time for which callers are told to wait.
      *
-     * @param millis the least time, in milliseconds
-     * @return that time or somewhat more
+     * @param millis the minimum time, in milliseconds
+     * @return that time or up to half as much more
      */
-    long spread(long millis) {
-        return millis + Math.round(millis * SPREAD * random.nextDouble());
+    long withJitter(long millis) {
+        return millis + Math.round(millis * MAX_JITTER_RATIO * random.nextDouble());
     }
 
     private OptionalLong bootMillis(String service) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RetryBudgets.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RetryBudgets.java
@@ -21,45 +21,45 @@
 import java.util.function.IntSupplier;
 
 /**
- * The budget of second attempts of each service.
+ * The retry budget of each service.
  *
  * @since 0.2
  */
 public final class RetryBudgets {
     private final GatewaySettings.Retries settings;
-    private final IntSupplier entries;
+    private final IntSupplier processes;
     private final Map<String, WindowedRetryBudget> byService = new HashMap<>();
 
     /**
      * Creates unused budgets.
      *
-     * @param settings the bounds over all processes
-     * @param entries tells how many processes share them
+     * @param settings the bounds of retries over all processes
+     * @param processes supplies the number of processes that share the budgets
      */
-    public RetryBudgets(GatewaySettings.Retries settings, IntSupplier entries) {
+    public RetryBudgets(GatewaySettings.Retries settings, IntSupplier processes) {
         this.settings = settings;
-        this.entries = entries;
+        this.processes = processes;
     }
 
     /**
      * Records a request for a service.
      *
      * @param service the service
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void requested(String service, long nowMillis) {
         budget(service).requested(nowMillis);
     }
 
     /**
-     * Takes one second attempt if there is one left.
+     * Takes one retry from the budget if one is left.
      *
      * @param service the service
-     * @param nowMillis the time
-     * @return true if it may be made
+     * @param nowMillis the current time, in milliseconds
+     * @return true if the retry may be made
      */
     public boolean tryRetry(String service, long nowMillis) {
-        return budget(service).tryRetry(entries.getAsInt(), nowMillis);
+        return budget(service).tryRetry(processes.getAsInt(), nowMillis);
     }
 
     private WindowedRetryBudget budget(String service) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SentAcross.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SentAcross.java
@@ -20,13 +20,13 @@
 import java.io.IOException;
 
 /**
- * A request was sent to another region.
+ * Log line: a request was sent to another region.
  *
  * @param id the request
- * @param region where to
- * @param hereMs when the own region was expected to begin, in milliseconds; -1 if none of its
- *     upstreams serves
- * @param thereMs when the other one is expected to, in milliseconds
+ * @param region the other region
+ * @param hereMs predicted time until an answer begins in the own region, in milliseconds; -1 if no
+ *     upstream there serves
+ * @param thereMs predicted time until an answer begins in the other region, in milliseconds
  */
 record SentAcross(String id, String region, long hereMs, long thereMs) implements Decision {
     @Override
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ServingContext.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ServingContext.java
@@ -31,31 +31,31 @@
 import java.util.function.LongSupplier;
 
 /**
- * What all requests of a process share. Only the event loop's thread uses it.
+ * The objects that all requests of a process share. Used only on the thread of the event loop.
  *
  * @param loop the loop
  * @param clock the time of day
- * @param protocol how requests are told in HTTP heads
- * @param connector calls upstreams
- * @param connections how many connections to an upstream this process may let rest
- * @param directory the upstreams known
- * @param availability tells which of them take requests
- * @param rests those that asked for rest
- * @param limits those that name how many requests they take
- * @param notices has what answers say of their upstreams believed
- * @param loads the work under way at them
- * @param selector chooses among them
- * @param quotas the organisations' limits
- * @param budgets the budgets of second attempts
- * @param usage counts requests that began to run
- * @param demand measures the load of services here
- * @param engines learns how fast upstreams are
- * @param rollouts the roll-outs known
- * @param returns tells callers when to come back
- * @param metrics the process's figures
- * @param peersAgeMillis tells how old the oldest peer digest in use is, in milliseconds
- * @param memory keeps what requests hold inside the process's memory
- * @param crashes watches for requests that end upstreams
+ * @param protocol maps requests to HTTP heads
+ * @param connector sends calls to upstreams
+ * @param connections the number of idle connections that this process may keep to an upstream
+ * @param directory the known upstreams
+ * @param availability which upstreams take requests
+ * @param backoffs back-offs that upstreams requested
+ * @param limits request limits that upstreams announce
+ * @param notices processes what answers report about their upstreams
+ * @param loads the load of upstreams
+ * @param selector selects the upstream of a request
+ * @param quotas the limits of organisations
+ * @param budgets the retry budgets
+ * @param usage counts requests that started to run
+ * @param demand measures the demand for services at this process
+ * @param engines estimates the speed of upstreams
+ * @param rollouts the known roll-outs
+ * @param retryAfter estimates when refused callers may retry
+ * @param metrics the metrics of the process
+ * @param peersAgeMillis supplies the age of the oldest peer digest in use, in milliseconds
+ * @param memory keeps the bytes of requests and answers within the memory budget
+ * @param crashes detects requests that make upstreams end
  * @since 0.2
  */
 public record ServingContext(
@@ -66,7 +66,7 @@
         ConnectionShares connections,
         UpstreamDirectory directory,
         UpstreamAvailability availability,
-        UpstreamRests rests,
+        UpstreamRests backoffs,
         UpstreamLimits limits,
         UpstreamNotices notices,
         UpstreamLoads loads,
@@ -77,8 +77,8 @@
         DemandMeter demand,
         EngineModel engines,
         RolloutKeeper rollouts,
-        ReturnTimes returns,
+        RetryAfterEstimator retryAfter,
         GatewayMetrics metrics,
         LongSupplier peersAgeMillis,
-        MemoryKeeper memory,
+        MemoryManager memory,
         CrashWatch crashes) {}
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SettingsException.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SettingsException.java
@@ -19,7 +19,7 @@
 import java.util.List;
 
 /**
- * Thrown if settings are wrong. It names every fault at once.
+ * Thrown if settings are invalid. The message lists all faults.
  *
  * @since 0.2
  */
@@ -29,8 +29,8 @@
     /**
      * Creates the exception.
      *
-     * @param file the file's name
-     * @param faults option, value and expected form of each fault
+     * @param file name of the settings file
+     * @param faults the option, its value and the expected form, for each fault
      */
     public SettingsException(String file, List<String> faults) {
         super("settings file '" + file + "': " + String.join("; ", faults));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SettingsReader.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SettingsReader.java
@@ -37,7 +37,7 @@
 import java.util.TreeMap;
 
 /**
- * Reads and checks a gateway's settings file, which is JSON.
+ * Reads and validates the settings file of a gateway, which is JSON.
  *
  * <pre>{@code
  * {"node": {"name": "edge-1", "data_centre": "baires-a", "first_start": true},
@@ -47,7 +47,7 @@
  * @since 0.2
  */
 public final class SettingsReader {
-    /** The platform counts memory in units of 2 to the 20th bytes. */
+    /** Bytes per megabyte as the platform counts memory: 2 to the power of 20. */
     private static final double BYTES_PER_MEGABYTE = 1 << 20;
 
     private final String file;
@@ -61,11 +61,12 @@
     }
 
     /**
-     * Reads a file.
+     * Reads settings from a file.
      *
      * @param file the file
      * @return the settings
-     * @throws SettingsException if it cannot be read, or naming every wrong option
+     * @throws SettingsException if the file cannot be read or options are invalid; it names all of
+     *     them
      */
     public static GatewaySettings read(Path file) {
         try {
@@ -79,10 +80,11 @@
     /**
      * Reads settings from text.
      *
-     * @param file the name to be used in messages
-     * @param text the file's content
+     * @param file name of the file, for messages
+     * @param text content of the file
      * @return the settings
-     * @throws SettingsException naming every wrong option
+     * @throws SettingsException if the text is not JSON or options are invalid; it names all of
+     *     them
      */
     public static GatewaySettings parse(String file, String text) {
         try {
@@ -102,9 +104,9 @@
                                 text("/node/name"),
                                 text("/node/data_centre"),
                                 root.at("/node/first_start").asBoolean(false),
-                                number("/capacity/core_share", GatewaySettings.USUAL_CORES)
+                                number("/capacity/core_share", GatewaySettings.DEFAULT_CORES)
                                         * number("/capacity/core_speed", 1),
-                                number("/capacity/link_mbps", GatewaySettings.USUAL_LINK_MBPS)),
+                                number("/capacity/link_mbps", GatewaySettings.DEFAULT_LINK_MBPS)),
                         new Listen(
                                 address("/listen/callers"),
                                 address("/listen/health"),
@@ -132,7 +134,10 @@
         return settings;
     }
 
-    /** A key of an earlier version is no default: it is refused with the name to use. */
+    /**
+     * Refuses a key of an earlier version and names the new one, so that it is not silently
+     * ignored.
+     */
     private void refuseOldKey(String pointer, String name) {
         JsonNode node = root.at(pointer);
         if (!node.isMissingNode()) {
@@ -143,13 +148,13 @@
     private Limits limits() {
         double megabytes = number("/capacity/memory_mb", 0);
         if (megabytes == 0) {
-            notes.add("option capacity.memory_mb is not set, no bound of memory is known");
+            notes.add("option capacity.memory_mb is not set, the memory limit is unknown");
         }
         return new Limits(
                 (long) (megabytes * BYTES_PER_MEGABYTE), (int) number("/capacity/descriptors", 0));
     }
 
-    /** What cannot be used is noted, and all data centres count as one region. */
+    /** Reads the regions. Invalid ones are noted, and all data centres then count as one region. */
     private Regions regions() {
         String own = root.at("/node/region").asText();
         Map<String, String> byDataCentre = new TreeMap<>();
@@ -188,7 +193,7 @@
         }
         double share = number("/rollouts/share", 0);
         if (share > 1) {
-            fault("/rollouts/share", root.at("/rollouts/share"), "a part from 0 to 1");
+            fault("/rollouts/share", root.at("/rollouts/share"), "a ratio from 0 to 1");
         }
         return new Rollouts(true, share, number("/rollouts/allowance", 0));
     }
@@ -223,20 +228,20 @@
         }
     }
 
-    private double number(String pointer, double otherwise) {
+    private double number(String pointer, double defaultValue) {
         JsonNode node = root.at(pointer);
         if (node.isMissingNode() || node.isNull()) {
-            return otherwise;
+            return defaultValue;
         }
         if (!node.isNumber() || node.asDouble() < 0) {
-            fault(pointer, node, "a number that is not below 0");
-            return otherwise;
+            fault(pointer, node, "a number of at least 0");
+            return defaultValue;
         }
         return node.asDouble();
     }
 
-    private long millis(String pointer, double otherwiseSeconds) {
-        return (long) (number(pointer, otherwiseSeconds) * 1000);
+    private long millis(String pointer, double defaultSeconds) {
+        return (long) (number(pointer, defaultSeconds) * 1000);
     }
 
     private void fault(String pointer, JsonNode node, String expected) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TurnedAway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TurnedAway.java
@@ -20,25 +20,27 @@
 import java.io.IOException;
 
 /**
- * A request was ended before a further attempt, because none could bring an answer in time.
+ * Log line: a request was ended without a further attempt, because none could answer in time.
  *
  * @param id the request
- * @param reason why
- * @param placeMs how long a place was expected to be waited for, in milliseconds; 0 if no upstream
- *     serves
- * @param leftMs time left to its deadline, in milliseconds
+ * @param reason why no attempt could answer in time
+ * @param placeMs expected wait for capacity, in milliseconds; 0 if no upstream serves
+ * @param leftMs time left until the deadline of the request, in milliseconds
  */
 record TurnedAway(String id, String reason, long placeMs, long leftMs) implements Decision {
-    /** No upstream of the service takes new work, or all were tried. */
+    /** No upstream of the service takes requests, or all were tried. */
     static final String NO_UPSTREAM = "no upstream left";
 
-    /** All upstreams of the service that stay have asked this process for rest, or name a limit. */
-    static final String NONE_TAKES = "all upstreams rest or are limited";
+    /**
+     * All upstreams of the service that are not leaving are backing off or have reached their
+     * limits.
+     */
+    static final String NONE_AVAILABLE = "all upstreams rest or are limited";
 
-    /** All upstreams left take bodies more slowly than they come. */
-    static final String NO_BODY_ROOM = "no upstream takes bodies";
+    /** All remaining upstreams read bodies more slowly than they arrive. */
+    static final String NO_BODY_CAPACITY = "no upstream takes bodies";
 
-    /** Every place is taken for longer than the caller waits. */
+    /** All upstreams are expected to be busy for longer than the caller waits. */
     static final String NO_PLACE_IN_TIME = "no place in time";
 
     @Override
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamEnded.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamEnded.java
@@ -21,13 +21,13 @@
 import java.io.IOException;
 
 /**
- * A log line: an upstream ended, or its connection did, while it had a request.
+ * Log line: an upstream or the connection to it ended while the upstream had a request.
  *
- * @param id the request's try
- * @param request the request, the same at all its tries
+ * @param id the id of this try of the request
+ * @param request the fingerprint of the request, the same for all its tries
  * @param upstream the upstream
- * @param ranMs time since it was sent there, in milliseconds
- * @param ends how many ends under the request count now
+ * @param ranMs time since the request was sent to the upstream, in milliseconds
+ * @param ends number of ends that now count against the request
  */
 record UpstreamEnded(String id, RequestFingerprint request, String upstream, long ranMs, int ends)
         implements Decision {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
@@ -25,22 +25,24 @@
 import java.util.function.LongSupplier;
 
 /**
- * Has what upstreams say of themselves in answers believed: that they leave by all processes, that
- * they want rest by this one, how many requests they take by all that share the limit.
+ * Applies what upstreams report about themselves in answers: that they are leaving, to all
+ * processes; that they request a back-off, to this process; their request limit, to all processes
+ * that share it.
  *
- * <p>An answer is often the first to tell. While the store is away it is the only one, and an
- * upstream goes on to say so for seconds that would otherwise bring it more requests.
+ * <p>An answer is often the first report, and the only one while the store is unreachable. Without
+ * it, an upstream would receive further requests for the seconds during which it repeats the
+ * report.
  */
 final class UpstreamNotices {
-    /** Most upstreams of which it is known that an unreadable notice was logged. */
-    private static final int MOST_FAULTY = 1_000;
+    /** Maximum number of upstreams for which a logged unreadable notice is remembered. */
+    private static final int MAX_FAULTY_UPSTREAMS = 1_000;
 
     private final LongSupplier nowMillis;
     private final DirectoryKeeper directory;
     private final UpstreamRests rests;
     private final UpstreamLimits limits;
     private final GatewayMetrics metrics;
-    private final Map<String, Boolean> faulty = new RecentMap<>(MOST_FAULTY);
+    private final Map<String, Boolean> faulty = new RecentMap<>(MAX_FAULTY_UPSTREAMS);
 
     UpstreamNotices(
             LongSupplier nowMillis,
@@ -56,38 +58,38 @@
     }
 
     /**
-     * Takes over what an answer says of its upstream. One line is logged when that begins to be
-     * believed, not for each answer that repeats it.
+     * Applies what an answer reports about its upstream. A line is logged only if that changes
+     * something, not for each answer that repeats it.
      *
-     * @param request the request that was answered
-     * @param upstream the upstream, which is known to be the one that answered
-     * @param status the answer's HTTP status
-     * @param notice what it says
-     * @param sentMillis when the request was sent
+     * @param request id of the request that was answered
+     * @param upstream the upstream, which is verified to be the one that answered
+     * @param status HTTP status of the answer
+     * @param notice the report in the answer
+     * @param sentMillis the time at which the request was sent, in milliseconds
      */
-    void heard(
+    void received(
             String request, Upstream upstream, int status, AnswerNotice notice, long sentMillis) {
         long now = nowMillis.getAsLong();
-        boolean news = limits.answered(upstream, notice.limit(), sentMillis, now);
-        if (news) {
+        boolean changed = limits.answered(upstream, notice.limit(), sentMillis, now);
+        if (changed) {
             metrics.count(Event.UPSTREAM_CHANGED_ITS_LIMIT);
         }
-        if (!news && notice.isNone()) {
+        if (!changed && notice.isNone()) {
             return;
         }
         if (notice.leaving() && directory.leavingSaidBy(upstream)) {
             metrics.count(Event.UPSTREAM_SAID_IT_LEAVES);
-            news = true;
+            changed = true;
         }
         if (notice.restMillis() > 0 && rests.asked(upstream, notice.restMillis(), now)) {
             metrics.count(Event.UPSTREAM_ASKED_FOR_REST);
-            news = true;
+            changed = true;
         }
         if (!notice.fault().isEmpty()) {
             metrics.count(Event.UPSTREAM_NOTICE_UNREADABLE);
-            news |= isFirstFault(upstream);
+            changed |= isFirstFault(upstream);
         }
-        if (news) {
+        if (changed) {
             DecisionLog.write(
                     new UpstreamSaid(
                             request,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamSaid.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamSaid.java
@@ -21,15 +21,15 @@
 import java.io.IOException;
 
 /**
- * An answer said something of its upstream.
+ * Log line: an answer reported something about its upstream.
  *
- * @param id the request that was answered
+ * @param id id of the request that was answered
  * @param upstream the upstream
- * @param status the answer's HTTP status
- * @param leaving true if it says that it leaves
- * @param restMs how long it wants no request of this process, in milliseconds; 0 if not said
+ * @param status HTTP status of the answer
+ * @param leaving whether the upstream reports that it is leaving
+ * @param restMs requested back-off of this process, in milliseconds; 0 if none
  * @param limit how many requests it takes from all processes together
- * @param fault what could not be read; empty if all could
+ * @param fault what could not be parsed; empty if nothing
  */
 record UpstreamSaid(
         String id,
