--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Attempt.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Attempt.java
@@ -127,7 +127,7 @@
         return context.loop().nowMillis() - lastReceivedMillis;
     }
 
-    /** Cancels the attempt; its listener is not called any count. */
+    /** Cancels the attempt; its listener is not called any more. */
     void cancel() {
         if (!finished) {
             recordVersionAnswer(false, false);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AttemptCalls.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AttemptCalls.java
@@ -33,8 +33,8 @@
     private static final long MIN_CONNECT_TIMEOUT_MILLIS = 50;
 
     /**
-     * Opening a connection may take this fraction (1/n) of the time remainingMillis, so that
-     * another attempt is still possible.
+     * Opening a connection may take this fraction (1/n) of the remaining time, so that another
+     * attempt is still possible.
      */
     private static final int CONNECT_TIMEOUT_DIVISOR = 3;
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
@@ -482,7 +482,8 @@
 
     /**
      * Moves requests away from an upstream that ends. An upstream lost without notice does not
-     * report it, so requests that have received nothing lately move at once.
+     * report it, so requests that have received nothing lately move at once. Requests of an
+     * upstream that announces its end move shortly before it.
      */
     private void upstreamLeaving(Upstream upstream) {
         if (directory.isLeaving(upstream.id())) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/GatewayMetrics.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/GatewayMetrics.java
@@ -75,8 +75,8 @@
                     .register(registry);
     private final Histogram firstAnswer =
             histogram("trailladder_first_answer_seconds", "Time to the first byte of the answer");
-    private final Histogram wholeAnswer =
-            histogram("trailladder_request_seconds", "Time to the whole answer");
+    private final Histogram completeAnswer =
+            histogram("trailladder_request_seconds", "Time to the complete answer");
     private final Gauge policyVersion = gauge("trailladder_policy_version", "Policy in force");
     private final Gauge upstreams = gauge("trailladder_upstreams", "Upstreams listed");
     private final Gauge storeEpoch =
@@ -187,7 +187,7 @@
      */
     public void requestEnded(String organisation, String service, String outcome, long millis) {
         requests.labelValues(organisation, service, outcome).inc();
-        wholeAnswer.labelValues(organisation, service).observe(millis / MILLIS_PER_SECOND);
+        completeAnswer.labelValues(organisation, service).observe(millis / MILLIS_PER_SECOND);
     }
 
     /**
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryManager.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryManager.java
@@ -43,8 +43,8 @@
 
     /**
      * Time without a read by the caller, in milliseconds, after which an answer above its bound is
-     * ended: a resumable stream at any memory level, any other answer if the level is not {@code
-     * CALM}. While the caller keeps reading, an answer of any size is delivered as long as there is
+     * ended: a resumable stream at any memory level, any other answer at level {@code PRESSED}.
+     * While the caller keeps reading, an answer of any size is delivered as long as there is
      * memory; resumable streams above the bound are ended in any case if the level is not {@code
      * CALM}.
      */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryMetrics.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryMetrics.java
@@ -29,7 +29,7 @@
  * @since 0.2
  */
 public final class MemoryMetrics {
-    private final Gauge held;
+    private final Gauge reserved;
     private final Gauge peak;
     private final Gauge budget;
     private final Gauge level;
@@ -43,7 +43,7 @@
      * @param registry the registry that exposes them
      */
     public MemoryMetrics(PrometheusRegistry registry) {
-        held =
+        reserved =
                 Gauge.builder()
                         .name("trailladder_held_bytes")
                         .help("Bytes reserved for callers and upstreams by kind")
@@ -106,7 +106,8 @@
     public void state(MemoryAccount account, long refusedConnections) {
         connections.set((double) refusedConnections);
         for (HeldKind kind : HeldKind.values()) {
-            held.labelValues(kind.name().toLowerCase(Locale.ROOT)).set((double) account.held(kind));
+            reserved.labelValues(kind.name().toLowerCase(Locale.ROOT))
+                    .set((double) account.held(kind));
         }
         for (MemoryLevel candidate : MemoryLevel.values()) {
             level.labelValues(candidate.name().toLowerCase(Locale.ROOT))
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Quotas.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Quotas.java
@@ -131,11 +131,12 @@
         if (bucket == null) {
             return 0;
         }
-        long wait = bucket.tryTake(units, nowMillis);
-        if (wait == 0 && bucket.isMuch(unreported(organisation, bucket), EARLY_REPORT_RATIO)) {
+        long waitMillis = bucket.tryTake(units, nowMillis);
+        if (waitMillis == 0
+                && bucket.isMuch(unreported(organisation, bucket), EARLY_REPORT_RATIO)) {
             onMuchUnreported.run();
         }
-        return wait;
+        return waitMillis;
     }
 
     /**
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestIntake.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestIntake.java
@@ -50,15 +50,17 @@
     private static final int UNAVAILABLE = 503;
 
     /**
-     * Time to retry after a refusal for lack of policy or upstreams; the store is read again
+     * Retry-After value for lack of policy or upstreams, in milliseconds; the store is read again
      * meanwhile.
      */
     private static final long NO_POLICY_RETRY_AFTER_MILLIS = 500;
 
-    /** Time to retry after a refusal by a stopping process; another process accepts it at once. */
+    /**
+     * Retry-After value of a stopping process, in milliseconds; another process accepts at once.
+     */
     private static final long STOPPING_RETRY_AFTER_MILLIS = 30;
 
-    /** Time to retry after a refusal for lack of memory; another process accepts it at once. */
+    /** Retry-After value for lack of memory, in milliseconds; another process accepts at once. */
     private static final long FULL_RETRY_AFTER_MILLIS = 30;
 
     private static final String NO_MEMORY_REASON = "no room in memory";
@@ -71,7 +73,7 @@
     private final ServingContext context;
     private final PolicyKeeper policies;
     private final SplittableRandom random;
-    private final StartupRequestQueue<ServerExchange> starting;
+    private final StartupRequestQueue<ServerExchange> startupQueue;
     private final Set<RequestDriver> open = new HashSet<>();
     private boolean refusing;
 
@@ -91,7 +93,7 @@
         this.context = context;
         this.policies = policies;
         this.random = random;
-        this.starting =
+        this.startupQueue =
                 new StartupRequestQueue<>(
                         context.loop()::nowMillis,
                         context.loop()::schedule,
@@ -110,8 +112,8 @@
             refuse(exchange, "", UNAVAILABLE, FULL_RETRY_AFTER_MILLIS, NO_MEMORY_REASON);
             return;
         }
-        if (policy.isEmpty() || starting.isStateUnknown()) {
-            starting.hold(exchange);
+        if (policy.isEmpty() || startupQueue.isStateUnknown()) {
+            startupQueue.hold(exchange);
             return;
         }
         Either<String, CallerRequest> read = context.protocol().read(exchange);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
@@ -39,7 +39,7 @@
 
     private final LongSupplier nowMillis;
     private final DirectoryKeeper directory;
-    private final UpstreamRests rests;
+    private final UpstreamRests backoffs;
     private final UpstreamLimits limits;
     private final GatewayMetrics metrics;
     private final Map<String, Boolean> faulty = new RecentMap<>(MAX_FAULTY_UPSTREAMS);
@@ -47,12 +47,12 @@
     UpstreamNotices(
             LongSupplier nowMillis,
             DirectoryKeeper directory,
-            UpstreamRests rests,
+            UpstreamRests backoffs,
             UpstreamLimits limits,
             GatewayMetrics metrics) {
         this.nowMillis = nowMillis;
         this.directory = directory;
-        this.rests = rests;
+        this.backoffs = backoffs;
         this.limits = limits;
         this.metrics = metrics;
     }
@@ -81,7 +81,7 @@
             metrics.count(Event.UPSTREAM_SAID_IT_LEAVES);
             changed = true;
         }
-        if (notice.restMillis() > 0 && rests.asked(upstream, notice.restMillis(), now)) {
+        if (notice.restMillis() > 0 && backoffs.asked(upstream, notice.restMillis(), now)) {
             metrics.count(Event.UPSTREAM_ASKED_FOR_REST);
             changed = true;
         }
