--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Quotas.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Quotas.java
@@ -122,7 +122,7 @@
      * Takes a request's units from its organisation's limit.
      *
      * @param organisation the organisation
-     * @param units the request's size
+     * @param units size of the request
      * @param nowMillis the current time, in milliseconds
      * @return 0 if the request is admitted, else the milliseconds after which a retry may succeed
      */
@@ -156,7 +156,7 @@
      * Returns units that were not used.
      *
      * @param organisation the organisation
-     * @param units the request's size
+     * @param units size of the request
      */
     public void returnUnits(String organisation, double units) {
         QuotaBucket bucket = buckets.get(organisation);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/package-info.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The gateway process: takes callers' requests, chooses upstreams, and takes part in what all
- * gateways do together.
+ * The gateway process: accepts requests of callers, sends them to upstreams, and coordinates with
+ * the other gateway processes.
  *
  * @since 0.2
  */
