--- a/trailladder-core/src/main/java/io/trailladder/core/request/GenerationMachine.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/request/GenerationMachine.java
@@ -39,7 +39,7 @@
  *
  * <pre>{@code
  * GenerationMachine machine = new GenerationMachine(settings, budget, log, now);
- * perform(machine.start(now));          // Place
+ * perform(machine.start(now));          // CachedBlock
  * perform(machine.placed("e1", now));   // Dispatch
  * perform(machine.token(1, 0, "uno", now));
  * }</pre>
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/AnswerNotice.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/AnswerNotice.java
@@ -16,27 +16,27 @@
 package io.trailladder.core.upstream;
 
 /**
- * What the head of an answer says of the upstream itself, beside the answer.
+ * What the head of an answer reports about the upstream itself, in addition to the answer.
  *
- * @param leaving true if the upstream says that it leaves
- * @param restMillis how long it wants no request of this process, in milliseconds; 0 if it does not
- *     say so
- * @param limit how many requests it takes from all processes together
- * @param fault what could not be read, with the form that was expected; empty if all could
+ * @param leaving true if the upstream announces that it leaves
+ * @param backoffMillis how long it requests no requests from this process, in milliseconds; 0 if it
+ *     does not request a back-off
+ * @param limit how many requests it accepts from all processes together
+ * @param fault what could not be parsed, with the expected form; empty if everything could
  * @since 0.5
  */
-public record AnswerNotice(boolean leaving, long restMillis, LimitNotice limit, String fault) {
-    /** Says nothing. */
+public record AnswerNotice(boolean leaving, long backoffMillis, LimitNotice limit, String fault) {
+    /** Reports nothing. */
     public static final AnswerNotice NONE = new AnswerNotice(false, 0, LimitNotice.ABSENT, "");
 
     /**
-     * Tells whether there is nothing to take over and nothing to complain about.
+     * Returns whether there is nothing to apply and no fault to report.
      *
-     * @return true for {@link #NONE} and its like
+     * @return true for {@link #NONE} and any notice equal to it
      */
     public boolean isNone() {
         return !leaving
-                && restMillis == 0
+                && backoffMillis == 0
                 && limit.kind() == LimitNotice.Kind.ABSENT
                 && fault.isEmpty();
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/Candidate.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/Candidate.java
@@ -19,15 +19,15 @@
 import io.trailladder.core.pipeline.ServingRequest;
 
 /**
- * An upstream that is weighed for a request, with what is known of both.
+ * An upstream considered for a request, with the inputs of its cost.
  *
  * @param upstream the upstream
  * @param request the request
- * @param engine what is believed of the upstreams of its service
- * @param running requests under way there, of all processes
+ * @param engine the estimated speed of the upstreams of its service
+ * @param running requests in flight there, of all processes
  * @param waitingTokens prompt tokens waiting there, of all processes
- * @param cachedTokens tokens of the prompt that it probably holds
- * @param nowMillis the time, in milliseconds
+ * @param cachedTokens tokens of the prompt that it probably has cached
+ * @param nowMillis the current time, in milliseconds
  * @since 0.3
  */
 public record Candidate(
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/CostShare.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/CostShare.java
@@ -16,10 +16,10 @@
 package io.trailladder.core.upstream;
 
 /**
- * What one term counted in a choice.
+ * The cost that one term contributed to a choice.
  *
  * @param term name of the term
- * @param millis what it counted, in milliseconds
+ * @param millis its cost, in milliseconds
  * @since 0.3
  */
 public record CostShare(String term, double millis) {}
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/CostTerm.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/CostTerm.java
@@ -16,8 +16,8 @@
 package io.trailladder.core.upstream;
 
 /**
- * One reason that speaks against sending a request to an upstream. The upstream with the lowest sum
- * of all terms is chosen.
+ * One term of the cost of sending a request to an upstream. The upstream with the lowest sum of all
+ * terms is chosen.
  *
  * <pre>{@code
  * CostTerm distance = CostTerm.of("distance", candidate -> isFar(candidate.upstream()) ? 4 : 0);
@@ -27,17 +27,17 @@
  */
 public interface CostTerm {
     /**
-     * Returns the name under which the log of a choice shows the term.
+     * Returns the name of the term in logged decisions.
      *
      * @return one short word
      */
     String name();
 
     /**
-     * Returns what the term counts for an upstream.
+     * Returns the cost of the term for an upstream.
      *
      * @param candidate the upstream and the request
-     * @return milliseconds of the time to the first answer, or what is as bad as these
+     * @return milliseconds until the first answer, or an equivalent cost
      */
     double millis(Candidate candidate);
 
@@ -45,7 +45,7 @@
     @FunctionalInterface
     interface Cost {
         /**
-         * Returns what a term counts for an upstream.
+         * Returns the cost of a term for an upstream.
          *
          * @param candidate the upstream and the request
          * @return milliseconds
@@ -57,7 +57,7 @@
      * Creates a term.
      *
      * @param name its name in the log
-     * @param cost computes it
+     * @param cost computes its cost
      * @return the term
      */
     static CostTerm of(String name, Cost cost) {
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/CostTerms.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/CostTerms.java
@@ -23,28 +23,26 @@
 import java.util.Map;
 
 /**
- * The terms that every gateway weighs: the way, failures, and the predicted time to the first
- * answer. The work that a choice adds counts more than once, because it delays what comes after.
+ * The cost terms that every gateway applies: distance, failures, and the predicted time to the
+ * first answer. The work that a choice adds has a weight above 1 because it delays later requests.
  */
 final class CostTerms {
-    /** How often the way there and back counts: bytes between data centres are dear. */
-    private static final double WAY_WEIGHT = 4;
+    /** Weight of the round trip; above 1 because traffic between data centres is expensive. */
+    private static final double LATENCY_WEIGHT = 4;
 
-    /** What each kilobyte sent to another data centre of the region counts, in milliseconds. */
+    /** Cost of each kilobyte sent to another data centre of the region, in milliseconds. */
     private static final double MILLIS_PER_KB = 0.5;
 
-    /** How often the request's own reading counts: it delays itself and what comes after. */
-    private static final double WORK_WEIGHT = 2;
+    /** Weight of reading the request's own prompt, which delays the request and those after it. */
+    private static final double OWN_READING_WEIGHT = 2;
 
-    /**
-     * What an upstream counts that fails all of its requests, in milliseconds: a usual objective.
-     */
-    private static final double FAILING_MILLIS = 400;
+    /** Cost of an upstream that fails all of its requests, in milliseconds: a typical objective. */
+    private static final double FAILURE_COST_MILLIS = 400;
 
-    /** How long a data centre is avoided after a connection there failed, in milliseconds. */
-    private static final long SUSPECT_MILLIS = 1_500;
+    /** How long a data centre is avoided after a connection to it failed, in milliseconds. */
+    private static final long SUSPECT_DURATION_MILLIS = 1_500;
 
-    /** What an upstream of such a data centre counts, in milliseconds: more than any objective. */
+    /** Cost of an upstream in such a data centre, in milliseconds: above any objective. */
     private static final double SUSPECT_PENALTY_MILLIS = 600;
 
     private static final double BYTES_PER_KB = 1024;
@@ -65,13 +63,13 @@
                 CostTerm.of("suspect", this::suspect),
                 CostTerm.of("reading", CostTerms::reading),
                 CostTerm.of("batch", CostTerms::batch),
-                CostTerm.of("place", CostTerms::place));
+                CostTerm.of("place", CostTerms::slotWait));
     }
 
-    /** Records that no connection to an upstream came about. */
+    /** Records that a connection to an upstream failed. */
     void unreachable(Upstream upstream, long nowMillis) {
         if (!topology.isLocal(upstream.dataCentre())) {
-            suspectUntilMillis.put(upstream.dataCentre(), nowMillis + SUSPECT_MILLIS);
+            suspectUntilMillis.put(upstream.dataCentre(), nowMillis + SUSPECT_DURATION_MILLIS);
         }
     }
 
@@ -80,13 +78,14 @@
         if (distance == Distance.SAME_DATA_CENTRE) {
             return 0;
         }
-        double wayMillis = 2 * distance.oneWayMillis();
-        double perKb = MILLIS_PER_KB * distance.bytePrice();
-        return WAY_WEIGHT * wayMillis + perKb * candidate.request().bodyBytes() / BYTES_PER_KB;
+        double roundTripMillis = 2 * distance.oneWayMillis();
+        double millisPerKb = MILLIS_PER_KB * distance.bytePrice();
+        return LATENCY_WEIGHT * roundTripMillis
+                + millisPerKb * candidate.request().bodyBytes() / BYTES_PER_KB;
     }
 
     private double failures(Candidate candidate) {
-        return loads.failedPart(candidate.upstream().id()) * FAILING_MILLIS;
+        return loads.failedFraction(candidate.upstream().id()) * FAILURE_COST_MILLIS;
     }
 
     private double suspect(Candidate candidate) {
@@ -102,8 +101,8 @@
         }
         EngineEstimate engine = candidate.engine();
         int uncached = Math.max(0, tokensIn - candidate.cachedTokens());
-        double toRead = candidate.waitingTokens() + WORK_WEIGHT * uncached;
-        return engine.firstMillis() + toRead * engine.millisPerToken();
+        double tokensToRead = candidate.waitingTokens() + OWN_READING_WEIGHT * uncached;
+        return engine.firstMillis() + tokensToRead * engine.millisPerToken();
     }
 
     private static double batch(Candidate candidate) {
@@ -111,7 +110,7 @@
         return prompted ? candidate.running() * candidate.engine().pauseMillisPerRequest() : 0;
     }
 
-    private static double place(Candidate candidate) {
+    private static double slotWait(Candidate candidate) {
         EngineEstimate engine = candidate.engine();
         int slots = candidate.upstream().slots();
         if (candidate.request().prompt().tokensIn() > 0) {
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/Crossing.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/CrossRegionChoice.java
@@ -18,13 +18,14 @@
 /**
  * Why a request is sent to another region.
  *
- * @param region the region it is sent to
- * @param hereMillis when the best upstream of the own region would have begun to answer, in
- *     milliseconds; {@link #NOBODY_HERE} if none there serves
- * @param thereMillis when the chosen one is expected to, the way included, in milliseconds
+ * @param region the region to which it is sent
+ * @param localMillis when the best upstream of the own region was expected to begin its answer, in
+ *     milliseconds; {@link #NO_LOCAL_UPSTREAM} if none there accepts requests
+ * @param remoteMillis when the chosen upstream is expected to begin its answer, including the round
+ *     trip, in milliseconds
  * @since 0.4
  */
-public record Crossing(String region, long hereMillis, long thereMillis) {
-    /** Told in place of a time if no upstream of the own region serves. */
-    public static final long NOBODY_HERE = -1;
+public record CrossRegionChoice(String region, long localMillis, long remoteMillis) {
+    /** Reported instead of a time if no upstream of the own region accepts requests. */
+    public static final long NO_LOCAL_UPSTREAM = -1;
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/DemandMeter.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/DemandMeter.java
@@ -21,29 +21,32 @@
 import java.util.Map;
 
 /**
- * Measures the prompt tokens that this entry's requests have upstreams read, by service, smoothed
- * over some seconds.
+ * Measures the prompt tokens that upstreams must read for requests of this entry, by service,
+ * smoothed over several seconds.
  *
  * @since 0.2
  */
 public final class DemandMeter {
-    /** Time after which work counts a third, in milliseconds: a swing of traffic lasts as long. */
+    /**
+     * Time after which work is weighted by 1/e, in milliseconds: the duration of a swing in
+     * traffic.
+     */
     private static final double SMOOTHING_MILLIS = 6_000;
 
-    /** Least time over which a rate is taken, in milliseconds: a few requests. */
-    private static final double LEAST_SPAN_MILLIS = 500;
+    /** Minimum time over which a rate is computed, in milliseconds: that of a few requests. */
+    private static final double MIN_SPAN_MILLIS = 500;
 
     private final Map<String, Rate> rates = new HashMap<>();
 
-    /** Decaying sums of work since its beginning. */
+    /** Exponentially decaying sums of the work since the first request. */
     private static final class Rate {
-        private final long begunMillis;
+        private final long startMillis;
         private double tokens;
         private double squaredTokens;
         private long updatedMillis;
 
         Rate(long nowMillis) {
-            begunMillis = nowMillis;
+            startMillis = nowMillis;
             updatedMillis = nowMillis;
         }
 
@@ -60,11 +63,13 @@
             updatedMillis = Math.max(updatedMillis, nowMillis);
         }
 
-        /** The span that the sums stand for; shorter than the memory at the beginning. */
+        /**
+         * Returns the time span that the sums represent, shorter than the smoothing time at first.
+         */
         double spanMillis() {
-            double age = updatedMillis - begunMillis;
+            double age = updatedMillis - startMillis;
             double span = SMOOTHING_MILLIS * (1 - Math.exp(-age / SMOOTHING_MILLIS));
-            return Math.max(LEAST_SPAN_MILLIS, span);
+            return Math.max(MIN_SPAN_MILLIS, span);
         }
     }
 
@@ -72,8 +77,8 @@
      * Records a request that was sent to an upstream.
      *
      * @param service the service
-     * @param tokens prompt tokens the upstream must read
-     * @param nowMillis the time
+     * @param tokens prompt tokens that the upstream must read
+     * @param nowMillis the current time, in milliseconds
      */
     public void sent(String service, int tokens, long nowMillis) {
         Rate rate = rates.computeIfAbsent(service, name -> new Rate(nowMillis));
@@ -82,9 +87,9 @@
     }
 
     /**
-     * Returns the load of every service that was asked for.
+     * Returns the load of every service that received requests.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      * @return the loads
      */
     public List<ServiceDemand> demands(long nowMillis) {
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/LeavingUpstream.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/LeavingUpstream.java
@@ -16,12 +16,12 @@
 package io.trailladder.core.upstream;
 
 /**
- * The life of an upstream that leaves. The upstream may start again under the same name, and that
- * life does not leave.
+ * The incarnation of an upstream that leaves. The upstream may start again under the same name;
+ * that new incarnation does not leave.
  *
  * @param id the upstream's name
- * @param bornMillis when that life started, in milliseconds of the time of day; 0 if not told,
- *     which counts as the life that is listed
+ * @param startedMillis when the incarnation started, in milliseconds since the epoch; 0 if unknown,
+ *     which stands for the listed incarnation
  * @since 0.5
  */
-public record LeavingUpstream(String id, long bornMillis) {}
+public record LeavingUpstream(String id, long startedMillis) {}
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/LimitCost.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/LimitCost.java
@@ -16,15 +16,17 @@
 package io.trailladder.core.upstream;
 
 /**
- * Keeps a turn at a limited upstream for requests that gain from it: those whose prompt it holds,
- * or that are served nowhere else in time. Others would take it only because an upstream with few
- * requests under way looks the best of all.
+ * Reserves a send slot of a limited upstream for requests that benefit from it: those whose prompt
+ * it has cached, or that no other upstream serves in time. Without this cost, other requests would
+ * use the slot because an upstream with few requests in flight appears to be the best.
  *
- * <p>What it costs falls to nothing while the turn's time runs out, so that it is used in the end.
+ * <p>The cost falls to 0 while the slot expires, so that the slot is used in the end.
  */
 final class LimitCost implements CostTerm {
-    /** What a turn costs that has just begun, in milliseconds: less than to read most prompts. */
-    private static final double HELD_BACK_MILLIS = 50;
+    /**
+     * Cost of a slot that has just begun, in milliseconds: less than the time to read most prompts.
+     */
+    private static final double MAX_COST_MILLIS = 50;
 
     private final UpstreamLimits limits;
 
@@ -39,6 +41,8 @@
 
     @Override
     public double millis(Candidate candidate) {
-        return limits.isEmpty() ? 0 : limits.keptPart(candidate.upstream()) * HELD_BACK_MILLIS;
+        return limits.isEmpty()
+                ? 0
+                : limits.remainingFraction(candidate.upstream()) * MAX_COST_MILLIS;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/LimitNotice.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/LimitNotice.java
@@ -16,34 +16,34 @@
 package io.trailladder.core.upstream;
 
 /**
- * What the head of an answer says of how many requests its upstream takes.
+ * What the head of an answer reports about how many requests its upstream accepts.
  *
  * @param kind whether it names a limit
- * @param perSecond the requests a second that the upstream takes from all processes together; 0 if
- *     none is named
+ * @param perSecond the requests per second that the upstream accepts from all processes together; 0
+ *     if no limit is named
  * @since 0.6
  */
 public record LimitNotice(Kind kind, double perSecond) {
     /** Names no limit. */
     public static final LimitNotice ABSENT = new LimitNotice(Kind.ABSENT, 0);
 
-    /** Names one that cannot be read, so neither that there is a limit nor that there is none. */
+    /** Names a limit that cannot be parsed, which neither sets nor ends a limit. */
     public static final LimitNotice UNREADABLE = new LimitNotice(Kind.UNREADABLE, 0);
 
     /** Whether an answer names a limit. */
     public enum Kind {
-        /** It names one. */
+        /** It names a limit. */
         NAMED,
-        /** It names none, so that one that was named before has ended. */
+        /** It names no limit, so that a limit named before has ended. */
         ABSENT,
-        /** It says nothing that can be believed. */
+        /** It names a limit that cannot be parsed. */
         UNREADABLE
     }
 
     /**
-     * Returns a limit that is named.
+     * Returns a notice that names a limit.
      *
-     * @param perSecond requests a second, 0 or more
+     * @param perSecond requests per second, 0 or more
      * @return the notice
      */
     public static LimitNotice of(double perSecond) {
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Tells whether a limit is named.
+     * Returns whether a limit is named.
      *
-     * @return false if none is, or it cannot be read
+     * @return false if none is named, or it cannot be parsed
      */
     public boolean isNamed() {
         return kind == Kind.NAMED;
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/LimitReport.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/LimitReport.java
@@ -16,59 +16,66 @@
 package io.trailladder.core.upstream;
 
 /**
- * What a process believes of an upstream's limit, as it is told to peers.
+ * What a process knows of an upstream's limit, as reported to peers.
  *
  * @param upstream the upstream's name
- * @param bornMillis which life of it, by the time of its start; 0 if not told
- * @param limit the limit it names, or that it names none any more
- * @param sentMillis when the request was sent whose answer said so, in milliseconds
- * @param heardMillis when that answer came, in milliseconds
- * @param usedMillis when a request was last sent to it, as far as is known, by the agreed time of
- *     day, so that the same use is the same to all
+ * @param startedMillis when the upstream's incarnation started, in milliseconds since the epoch; 0
+ *     if unknown
+ * @param limit the limit that it names, or that it no longer names one
+ * @param sentMillis when the request was sent whose answer reported this, in milliseconds
+ * @param receivedMillis when that answer was received, in milliseconds
+ * @param usedMillis when a request was last sent to it, as far as is known, in the agreed time of
+ *     day, so that all processes identify the same use by the same value
  * @since 0.6
  */
 public record LimitReport(
         String upstream,
-        long bornMillis,
+        long startedMillis,
         LimitNotice limit,
         long sentMillis,
-        long heardMillis,
+        long receivedMillis,
         long usedMillis) {
 
     /**
-     * Returns the report as one that is older: what is told again and again, round in a circle,
-     * must not seem later than it is by the ways that it took.
+     * Returns a copy that is older. A report that peers forward repeatedly, possibly in a cycle,
+     * must not appear newer because of the delay of the messages.
      *
      * @param millis by how much
      * @return a copy
      */
-    LimitReport older(long millis) {
+    LimitReport agedBy(long millis) {
         return new LimitReport(
-                upstream, bornMillis, limit, sentMillis - millis, heardMillis - millis, usedMillis);
+                upstream,
+                startedMillis,
+                limit,
+                sentMillis - millis,
+                receivedMillis - millis,
+                usedMillis);
     }
 
-    /** Returns the report with another time of the last use. */
+    /** Returns a copy with another time of the last use. */
     LimitReport usedAt(long millis) {
-        return new LimitReport(upstream, bornMillis, limit, sentMillis, heardMillis, millis);
+        return new LimitReport(upstream, startedMillis, limit, sentMillis, receivedMillis, millis);
     }
 
     /**
-     * Tells whether this is to be believed in place of something else of the same life. Answers
+     * Returns whether this report replaces another one of the same incarnation. Answers may
      * overtake one another, so one without a limit ends a limit only if its request was sent after
-     * the last answer that named it had come.
+     * the last answer that named the limit had been received.
      *
-     * @param known what is believed
-     * @return true if this is the later word, or the safer one where that cannot be told
+     * @param known the report known so far
+     * @return true if this report is newer, or the safer one where the order is unknown
      */
     boolean replaces(LimitReport known) {
         if (limit.isNamed() && known.limit.isNamed()) {
-            boolean lowerAtOnce =
-                    heardMillis == known.heardMillis && limit.perSecond() < known.limit.perSecond();
-            return heardMillis > known.heardMillis || lowerAtOnce;
+            boolean lowerAtSameTime =
+                    receivedMillis == known.receivedMillis
+                            && limit.perSecond() < known.limit.perSecond();
+            return receivedMillis > known.receivedMillis || lowerAtSameTime;
         }
         if (limit.isNamed()) {
-            return known.sentMillis < heardMillis;
+            return known.sentMillis < receivedMillis;
         }
-        return sentMillis >= known.heardMillis;
+        return sentMillis >= known.receivedMillis;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/NamedCostTerm.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/NamedCostTerm.java
@@ -16,10 +16,10 @@
 package io.trailladder.core.upstream;
 
 /**
- * A term of a function and a name.
+ * A cost term made of a name and a function.
  *
  * @param name its name in the log
- * @param cost computes it
+ * @param cost computes its cost
  */
 record NamedCostTerm(String name, CostTerm.Cost cost) implements CostTerm {
     @Override
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/PrefixIndex.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/PrefixIndex.java
@@ -21,23 +21,22 @@
 import java.util.Map;
 
 /**
- * Remembers which upstream read which prompt parts lately, in bounded memory. A hint only: the
- * upstream may have dropped a part since.
+ * Records which upstream recently read which prompt blocks, in bounded memory. Only a hint: the
+ * upstream may have evicted a block since.
  *
  * @since 0.2
  */
 public final class PrefixIndex {
-    private final Map<Place, Integer> places;
+    private final Map<CachedBlock, Integer> cachedBlocks;
 
-    /** A prompt part at an upstream. */
-    private record Place(
-            String upstream,
-            String block) { // written out: the methods that records get are linked at their first
-        // call, which takes a
-        // process that starts some 5 ms of processor time for each record
+    /** A prompt block at an upstream. */
+    private record CachedBlock(String upstream, String block) {
+        // Explicit equals and hashCode: those generated for a record are linked at their first
+        // call,
+        // which costs a starting process about 5 ms of processor time per record.
         @Override
         public boolean equals(Object other) {
-            return other instanceof Place that
+            return other instanceof CachedBlock that
                     && upstream.equals(that.upstream)
                     && block.equals(that.block);
         }
@@ -51,10 +50,10 @@
     /**
      * Creates an index.
      *
-     * @param capacity how many parts are remembered; those unused for longest are forgotten first
+     * @param capacity how many blocks are kept; the least recently used are evicted first
      */
     public PrefixIndex(int capacity) {
-        places = new RecentMap<>(capacity);
+        cachedBlocks = new RecentMap<>(capacity);
     }
 
     /**
@@ -63,14 +62,14 @@
      * @param upstream the upstream's name
      * @param prompt the prompt
      */
-    public void read(String upstream, Prompt prompt) {
+    public void recordPrompt(String upstream, Prompt prompt) {
         for (PromptBlock block : prompt.blocks()) {
-            places.put(new Place(upstream, block.id()), block.tokens());
+            cachedBlocks.put(new CachedBlock(upstream, block.id()), block.tokens());
         }
     }
 
     /**
-     * Returns how many leading tokens of a prompt an upstream probably holds.
+     * Returns how many leading tokens of a prompt an upstream probably has cached.
      *
      * @param upstream the upstream's name
      * @param prompt the prompt
@@ -79,7 +78,7 @@
     public int cachedTokens(String upstream, Prompt prompt) {
         int tokens = 0;
         for (PromptBlock block : prompt.blocks()) {
-            if (places.get(new Place(upstream, block.id())) == null) {
+            if (cachedBlocks.get(new CachedBlock(upstream, block.id())) == null) {
                 return tokens;
             }
             tokens += block.tokens();
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/RegionUse.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/RegionUse.java
@@ -27,39 +27,40 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The work under way at a region's upstreams as other regions are told of it: one sum for each
- * service, under a name that no upstream has.
+ * The work in flight at a region's upstreams as reported to other regions: one sum per service,
+ * under a name that no upstream has.
  *
  * @since 0.4
  */
 public final class RegionUse {
-    /** Begins the names of sums; names of upstreams do not begin so. */
-    private static final char MARK = '@';
+    /** First character of the names of sums; names of upstreams do not begin with it. */
+    private static final char SUM_PREFIX = '@';
 
     private static final char SEPARATOR = '/';
 
     private RegionUse() {}
 
     /**
-     * Returns the name under which a region's work of a service is told.
+     * Returns the name under which a region's work for a service is reported.
      *
      * @param region the region
      * @param service the service
      * @return a name that no upstream has
      */
     public static String name(String region, String service) {
-        return MARK + region + SEPARATOR + service;
+        return SUM_PREFIX + region + SEPARATOR + service;
     }
 
     /**
-     * Sums work up by service. Upstreams of other regions stay single, since those there must know
-     * what is sent to them; what others told of their regions is left out.
+     * Sums up work by service. Work at upstreams of other regions is not summed, because those
+     * regions must know what is sent to each upstream; the sums that other regions reported are
+     * omitted.
      *
-     * @param uses work under way at single upstreams
+     * @param uses work in flight at single upstreams
      * @param directory finds an upstream by its name
      * @param region the own region
-     * @param inRegion tells whether a data centre is of the own region
-     * @return the sums; work at upstreams that are not known any more is left out
+     * @param inRegion whether a data centre belongs to the own region
+     * @return the sums and the work in other regions; work at unknown upstreams is omitted
      */
     public static List<UpstreamUse> of(
             List<UpstreamUse> uses,
@@ -67,7 +68,7 @@
             String region,
             Predicate<String> inRegion) {
         Map<String, UpstreamUse> sums = new TreeMap<>();
-        List<UpstreamUse> told = new ArrayList<>();
+        List<UpstreamUse> reported = new ArrayList<>();
         for (UpstreamUse use : uses) {
             Optional<Upstream> upstream = directory.apply(use.upstream());
             if (upstream.isEmpty()) {
@@ -78,25 +79,25 @@
                 UpstreamUse one = new UpstreamUse(name, use.requests(), use.promptTokens());
                 sums.merge(name, one, RegionUse::plus);
             } else {
-                told.add(use);
+                reported.add(use);
             }
         }
-        told.addAll(sums.values());
-        return told;
+        reported.addAll(sums.values());
+        return reported;
     }
 
     /**
-     * Spreads the sums that another region told over its upstreams in equal parts.
+     * Distributes the sums that another region reported over its upstreams in equal parts.
      *
-     * @param told what it told
+     * @param reported what the region reported
      * @param region its name
-     * @param upstreams all upstreams known
-     * @param regionOf tells the region of a data centre
-     * @return work under way at single upstreams; as many requests as told, where upstreams of the
-     *     service are known there
+     * @param upstreams all known upstreams
+     * @param regionOf returns the region of a data centre
+     * @return work in flight at single upstreams; as many requests as reported, where upstreams of
+     *     the service are known there
      */
     public static List<UpstreamUse> spread(
-            List<UpstreamUse> told,
+            List<UpstreamUse> reported,
             String region,
             Collection<Upstream> upstreams,
             UnaryOperator<String> regionOf) {
@@ -108,24 +109,24 @@
             }
         }
         List<UpstreamUse> single = new ArrayList<>();
-        for (UpstreamUse use : told) {
-            if (use.upstream().isEmpty() || use.upstream().charAt(0) != MARK) {
+        for (UpstreamUse use : reported) {
+            if (use.upstream().isEmpty() || use.upstream().charAt(0) != SUM_PREFIX) {
                 single.add(use);
                 continue;
             }
-            List<String> there = byName.getOrDefault(use.upstream(), List.of());
-            for (int i = 0; i < there.size(); i++) {
-                int requests = part(use.requests(), i, there.size());
-                int tokens = part(use.promptTokens(), i, there.size());
+            List<String> ids = byName.getOrDefault(use.upstream(), List.of());
+            for (int i = 0; i < ids.size(); i++) {
+                int requests = part(use.requests(), i, ids.size());
+                int tokens = part(use.promptTokens(), i, ids.size());
                 if (requests != 0 || tokens != 0) {
-                    single.add(new UpstreamUse(there.get(i), requests, tokens));
+                    single.add(new UpstreamUse(ids.get(i), requests, tokens));
                 }
             }
         }
         return single;
     }
 
-    /** The parts of a sum differ by one at most, and make it up. */
+    /** Returns one part of a sum; the parts differ by one at most and add up to the sum. */
     private static int part(int sum, int number, int parts) {
         return sum / parts + (number < sum % parts ? 1 : 0);
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/LimitTurn.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/SendSlot.java
@@ -19,9 +19,9 @@
  * The right to send one request to an upstream that names a limit.
  *
  * @param upstream the upstream's name
- * @param number the turn's number
- * @param takenMillis when it was taken, by the agreed time of day
- * @param usedBeforeMillis when the limit was used last before, by the agreed time of day
+ * @param number the number of the slot
+ * @param takenMillis when it was taken, in the agreed time of day
+ * @param previousUseMillis when the limit was last used before, in the agreed time of day
  * @since 0.6
  */
-public record LimitTurn(String upstream, long number, long takenMillis, long usedBeforeMillis) {}
+public record SendSlot(String upstream, long number, long takenMillis, long previousUseMillis) {}
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/TurnOrder.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/SendSlotOrder.java
@@ -16,22 +16,22 @@
 package io.trailladder.core.upstream;
 
 /**
- * Which of the turns at a limit are this process's: processes take them one after the other.
+ * Which of a limit's send slots belong to this process: the processes use the slots in turn.
  *
- * @param index the place of this process among those that share a limit, from 0
- * @param count how many share it; 0 if this process has no part in it
+ * @param index the position of this process among those that share a limit, from 0
+ * @param count how many processes share it; 0 if this process has no share
  * @since 0.6
  */
-public record TurnOrder(int index, int count) {
-    /** Has no turns at all. */
-    public static final TurnOrder NO_PART = new TurnOrder(0, 0);
+public record SendSlotOrder(int index, int count) {
+    /** Has no slots. */
+    public static final SendSlotOrder NO_SHARE = new SendSlotOrder(0, 0);
 
     /**
-     * Finds the first own turn from some turn on.
+     * Returns the first slot of this process at or after a given slot.
      *
-     * @param from the number of that turn
-     * @param offset turns by which the order is shifted, so that it differs between limits
-     * @return the number of the own turn; {@link Long#MAX_VALUE} if there is none
+     * @param from the number of the given slot
+     * @param offset by how many slots the order is shifted, so that it differs between limits
+     * @return the number of the slot; {@link Long#MAX_VALUE} if there is none
      */
     long firstOwn(long from, long offset) {
         return count == 0 ? Long.MAX_VALUE : from + Math.floorMod(index - offset - from, count);
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/ServiceDemand.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/ServiceDemand.java
@@ -16,19 +16,22 @@
 package io.trailladder.core.upstream;
 
 /**
- * The prompts that one entry, or several, have the upstreams of a service read.
+ * The prompt tokens that requests of one or several entries have the upstreams of a service read.
  *
  * @param service the service
- * @param tokensPerMilli prompt tokens to be read, a millisecond
- * @param squaredTokensPerMilli sum of the squares of the prompts' sizes, a millisecond
+ * @param tokensPerMilli prompt tokens to be read per millisecond
+ * @param squaredTokensPerMilli sum of the squares of the prompts' sizes per millisecond
  * @since 0.2
  */
 public record ServiceDemand(String service, double tokensPerMilli, double squaredTokensPerMilli) {
-    /** Most tokens a millisecond that are believed: a thousand times the largest site. */
+    /**
+     * Maximum rate that is accepted, in tokens per millisecond: a thousand times that of the
+     * largest site.
+     */
     private static final double MAX_TOKENS_PER_MILLI = 1e7;
 
     /**
-     * Returns the load of both.
+     * Returns the sum of this load and another one.
      *
      * @param other a load of the same service
      * @return their sum
@@ -41,11 +44,11 @@
     }
 
     /**
-     * Tells whether figures told by another process can be true.
+     * Returns whether the figures, as reported by another process, are plausible.
      *
-     * @return false if one is negative, not a number or absurdly large
+     * @return false if the service is missing, or a figure is negative, not a number or too large
      */
-    public boolean isSound() {
+    public boolean isValid() {
         return service != null
                 && tokensPerMilli >= 0
                 && tokensPerMilli <= MAX_TOKENS_PER_MILLI
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/Upstream.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/Upstream.java
@@ -16,19 +16,19 @@
 package io.trailladder.core.upstream;
 
 /**
- * One running upstream as the platform lists it.
+ * One running upstream as listed by the platform.
  *
- * @param id its name; it may start again under the same one
- * @param service the service it belongs to
- * @param dataCentre the data centre it runs in
+ * @param id its name, which it keeps if it starts again
+ * @param service the service that it belongs to
+ * @param dataCentre the data centre in which it runs
  * @param address host and port
- * @param slots requests it works on at once
+ * @param slots how many requests it processes at the same time
  * @param draining true if it is known to leave
  * @param reclaimable true if the cloud may take it back
- * @param leavesMillis how long it still runs once it is draining, in milliseconds; 0 if not told
- * @param version version of its software; empty if not told
- * @param coldLeftMillis how long it is still slow after its start, in milliseconds
- * @param bornMillis when it started, in milliseconds of the time of day; 0 if not told
+ * @param leavesInMillis how long it still runs once it is draining, in milliseconds; 0 if unknown
+ * @param version version of its software; empty if unknown
+ * @param coldRemainingMillis how long it remains slow after its start, in milliseconds
+ * @param startedMillis when it started, in milliseconds since the epoch; 0 if unknown
  * @since 0.2
  */
 public record Upstream(
@@ -39,21 +39,21 @@
         int slots,
         boolean draining,
         boolean reclaimable,
-        long leavesMillis,
+        long leavesInMillis,
         String version,
-        long coldLeftMillis,
-        long bornMillis) {
+        long coldRemainingMillis,
+        long startedMillis) {
     /**
-     * Creates an upstream that tells neither its version nor when it started.
+     * Creates an upstream of unknown version and start time.
      *
      * @param id its name
-     * @param service the service it belongs to
-     * @param dataCentre the data centre it runs in
+     * @param service the service that it belongs to
+     * @param dataCentre the data centre in which it runs
      * @param address host and port
-     * @param slots requests it works on at once
+     * @param slots how many requests it processes at the same time
      * @param draining true if it has announced that it leaves
      * @param reclaimable true if the cloud may take it back
-     * @param leavesMillis how long it still runs once it is draining, in milliseconds
+     * @param leavesInMillis how long it still runs once it is draining, in milliseconds
      */
     public Upstream(
             String id,
@@ -63,7 +63,7 @@
             int slots,
             boolean draining,
             boolean reclaimable,
-            long leavesMillis) {
+            long leavesInMillis) {
         this(
                 id,
                 service,
@@ -72,16 +72,17 @@
                 slots,
                 draining,
                 reclaimable,
-                leavesMillis,
+                leavesInMillis,
                 "",
                 0,
                 0);
     }
 
     /**
-     * Returns the upstream as one that leaves, which may be known before its entry says so.
+     * Returns this upstream as a leaving one; that it leaves may be known before its entry states
+     * it.
      *
-     * @return a copy that is draining; this one if it is already
+     * @return a copy that is draining; this upstream if it is already
      */
     public Upstream asLeaving() {
         return draining
@@ -94,9 +95,9 @@
                         slots,
                         true,
                         reclaimable,
-                        leavesMillis,
+                        leavesInMillis,
                         version,
-                        coldLeftMillis,
-                        bornMillis);
+                        coldRemainingMillis,
+                        startedMillis);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamAvailability.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamAvailability.java
@@ -19,215 +19,230 @@
 import java.util.Optional;
 
 /**
- * Answers the one question that everything asks which sends to an upstream: does it take requests
- * now? It brings together what its entry, peers, and its own answers say.
+ * Determines whether an upstream accepts requests now, for all classes that send requests. Combines
+ * what the upstream's entry, peers, and its own answers report.
  *
- * <p>It is asked twice: when an upstream is chosen, and right before the bytes leave, since what is
- * said in between must count as well.
+ * <p>Senders check twice: when an upstream is chosen, and immediately before the request is sent,
+ * because reports received in between must be respected too.
  *
  * @since 0.5
  */
 public final class UpstreamAvailability {
-    /** Longest part of its time for which a turn is held: the rest is left to find a taker. */
-    static final double MOST_HELD = 0.8;
+    /**
+     * Maximum fraction of a slot's validity during which it is reserved; in the remainder, any
+     * request may use it.
+     */
+    static final double MAX_RESERVED_FRACTION = 0.8;
 
     private final UpstreamDirectory directory;
-    private final UpstreamRests rests;
+    private final UpstreamBackoffs backoffs;
     private final UpstreamLimits limits;
     private final UrgencyMeter urgency = new UrgencyMeter();
 
-    /** Whether an upstream takes requests. */
+    /** Whether an upstream accepts requests. */
     public enum State {
-        /** It takes requests. */
+        /** It accepts requests. */
         TAKES_REQUESTS,
-        /** It is not listed any more, or has started anew under its name. */
-        GONE,
-        /** It has said that it leaves, in its entry or an answer, here or to a peer. */
+        /** It is no longer listed, or a new incarnation runs under its name. */
+        REMOVED,
+        /**
+         * It has announced that it leaves, in its entry or an answer, to this process or a peer.
+         */
         LEAVING,
-        /** It has asked this process for rest, which is not over. */
-        RESTING,
-        /** It names a limit, and it is not this process's turn. */
+        /** It has requested a back-off from this process, which is not over. */
+        BACKING_OFF,
+        /** It names a limit, and this process has no send slot now. */
         LIMITED
     }
 
     /**
-     * Creates an answer to the question where no upstream names a limit.
+     * Creates an instance for upstreams that name no limits.
      *
-     * @param directory the upstreams listed, and which of them leave
-     * @param rests those that asked for rest
+     * @param directory the listed upstreams, and which of them leave
+     * @param backoffs the upstreams that requested a back-off
      */
-    public UpstreamAvailability(UpstreamDirectory directory, UpstreamRests rests) {
-        this(directory, rests, new UpstreamLimits(() -> 0, upstream -> TurnOrder.NO_PART));
+    public UpstreamAvailability(UpstreamDirectory directory, UpstreamBackoffs backoffs) {
+        this(directory, backoffs, new UpstreamLimits(() -> 0, upstream -> SendSlotOrder.NO_SHARE));
     }
 
     /**
-     * Creates an answer to the question.
+     * Creates an instance.
      *
-     * @param directory the upstreams listed, and which of them leave
-     * @param rests those that asked for rest
-     * @param limits those that name how many requests they take
+     * @param directory the listed upstreams, and which of them leave
+     * @param backoffs the upstreams that requested a back-off
+     * @param limits the upstreams that name a limit of requests
      */
     public UpstreamAvailability(
-            UpstreamDirectory directory, UpstreamRests rests, UpstreamLimits limits) {
+            UpstreamDirectory directory, UpstreamBackoffs backoffs, UpstreamLimits limits) {
         this.directory = directory;
-        this.rests = rests;
+        this.backoffs = backoffs;
         this.limits = limits;
     }
 
     /**
-     * Tells whether an upstream takes requests.
+     * Returns whether an upstream accepts requests.
      *
      * @param upstream the upstream
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      * @return its state
      */
     public State of(Upstream upstream, long nowMillis) {
-        State state = beforeLimit(upstream, nowMillis);
+        State state = stateIgnoringLimit(upstream, nowMillis);
         boolean limited = state == State.TAKES_REQUESTS && limits.waitMillis(upstream) > 0;
         return limited ? State.LIMITED : state;
     }
 
     /**
-     * Tells whether an upstream takes a request that has taken its turn, if one is needed.
+     * Returns whether an upstream accepts a request that may have taken a send slot.
      *
      * @param upstream the upstream
-     * @param hasTurn true if a turn is held
-     * @param nowMillis the time
+     * @param hasSlot true if the request has taken a send slot
+     * @param nowMillis the current time, in milliseconds
      * @return its state
      */
-    public State of(Upstream upstream, boolean hasTurn, long nowMillis) {
-        State state = beforeLimit(upstream, nowMillis);
-        boolean limited = state == State.TAKES_REQUESTS && !hasTurn && limits.isLimited(upstream);
+    public State of(Upstream upstream, boolean hasSlot, long nowMillis) {
+        State state = stateIgnoringLimit(upstream, nowMillis);
+        boolean limited = state == State.TAKES_REQUESTS && !hasSlot && limits.isLimited(upstream);
         return limited ? State.LIMITED : state;
     }
 
-    private State beforeLimit(Upstream upstream, long nowMillis) {
+    private State stateIgnoringLimit(Upstream upstream, long nowMillis) {
         if (directory.isLeaving(upstream.id())) {
             return State.LEAVING;
         }
         Optional<Upstream> listed = directory.find(upstream.id());
-        if (listed.isEmpty() || listed.get().bornMillis() != upstream.bornMillis()) {
-            return State.GONE;
+        if (listed.isEmpty() || listed.get().startedMillis() != upstream.startedMillis()) {
+            return State.REMOVED;
         }
-        return rests.leftMillis(upstream, nowMillis) > 0 ? State.RESTING : State.TAKES_REQUESTS;
+        return backoffs.remainingMillis(upstream, nowMillis) > 0
+                ? State.BACKING_OFF
+                : State.TAKES_REQUESTS;
     }
 
     /**
-     * Returns the upstreams of a service that do not leave, those that rest or are limited too.
+     * Returns the upstreams of a service that do not leave, including those that are backing off or
+     * limited.
      *
      * @param service the service
      * @return the upstreams
      */
-    public List<Upstream> staying(String service) {
+    public List<Upstream> notLeaving(String service) {
         return directory.serving(service);
     }
 
     /**
-     * Records that a request has come. Only while there are limits its rank matters.
+     * Records that a request was received. Its priority matters only while upstreams name limits.
      *
      * @param service its service
-     * @param priority its rank; 0 is the most urgent
-     * @param nowMillis the time
+     * @param priority its priority; 0 is the most urgent
+     * @param nowMillis the current time, in milliseconds
      */
-    public void asked(String service, int priority, long nowMillis) {
+    public void requestReceived(String service, int priority, long nowMillis) {
         if (!limits.isEmpty()) {
-            urgency.asked(service, priority, nowMillis);
+            urgency.requestReceived(service, priority, nowMillis);
         }
     }
 
     /**
-     * Tells for which part of its time a turn is held for more urgent requests: the more of the
-     * turns these need, the longer. What they leave is taken before it lapses.
+     * Returns the fraction of a send slot's validity during which it is reserved for more urgent
+     * requests. The fraction grows with the share of the slots that these need; in the remainder,
+     * any request may use a slot before it expires.
      *
      * @param service a service
-     * @param priority the rank of the request that would take it
-     * @param nowMillis the time
-     * @return from 0 to {@link #MOST_HELD}; 0 while some upstream of the service names no limit
+     * @param priority the priority of the request that would use the slot
+     * @param nowMillis the current time, in milliseconds
+     * @return from 0 to {@link #MAX_RESERVED_FRACTION}; 0 while some upstream of the service names
+     *     no limit
      */
-    public double heldPart(String service, int priority, long nowMillis) {
+    public double reservedFraction(String service, int priority, long nowMillis) {
         if (limits.isEmpty()) {
             return 0;
         }
-        double needed = urgency.moreUrgentPerMilli(service, priority, nowMillis);
-        return Math.min(MOST_HELD, needed * ownEveryMillis(service));
+        double urgentPerMilli = urgency.moreUrgentPerMilli(service, priority, nowMillis);
+        return Math.min(MAX_RESERVED_FRACTION, urgentPerMilli * ownIntervalMillis(service));
     }
 
     /**
-     * Leaves out those that rest, or name a limit whose turn is not this process's.
+     * Filters out upstreams that are backing off, or for whose limit this process has no send slot
+     * now.
      *
      * @param upstreams some upstreams
-     * @param heldPart part of their time for which turns are held for more urgent requests
-     * @param nowMillis the time
-     * @return the others
+     * @param reservedFraction fraction of their validity during which slots are reserved for more
+     *     urgent requests
+     * @param nowMillis the current time, in milliseconds
+     * @return the other upstreams
      */
-    public List<Upstream> takingNow(List<Upstream> upstreams, double heldPart, long nowMillis) {
-        if (rests.isEmpty() && limits.isEmpty()) {
+    public List<Upstream> acceptingNow(
+            List<Upstream> upstreams, double reservedFraction, long nowMillis) {
+        if (backoffs.isEmpty() && limits.isEmpty()) {
             return upstreams;
         }
         return upstreams.stream()
-                .filter(upstream -> withheldMillis(upstream, heldPart, nowMillis) == 0)
+                .filter(upstream -> waitMillis(upstream, reservedFraction, nowMillis) == 0)
                 .toList();
     }
 
-    private long withheldMillis(Upstream upstream, double heldPart, long nowMillis) {
-        long rest = rests.leftMillis(upstream, nowMillis);
-        return Math.max(rest, limits.waitMillis(upstream, heldPart));
+    private long waitMillis(Upstream upstream, double reservedFraction, long nowMillis) {
+        long backoffMillis = backoffs.remainingMillis(upstream, nowMillis);
+        return Math.max(backoffMillis, limits.waitMillis(upstream, reservedFraction));
     }
 
     /**
-     * Tells whether others are to be preferred to an upstream that comes back from its rest.
+     * Returns whether other upstreams are preferred to one that recovers from a back-off.
      *
      * @param upstream the upstream
-     * @param nowMillis the time
-     * @return false for all that have not rested lately
+     * @param nowMillis the current time, in milliseconds
+     * @return false for an upstream without a recent back-off
      */
-    public boolean isReturning(Upstream upstream, long nowMillis) {
-        return !rests.isEmpty() && rests.isReturning(upstream, nowMillis);
+    public boolean isRecovering(Upstream upstream, long nowMillis) {
+        return !backoffs.isEmpty() && backoffs.isRecovering(upstream, nowMillis);
     }
 
     /**
-     * Tells whether some upstream of a service takes requests. What runs at one that leaves, or is
-     * silent, has nowhere to go on otherwise, and is ended for certain by being taken away.
+     * Returns whether some upstream of a service accepts requests. Otherwise, work at an upstream
+     * that leaves or does not respond cannot continue elsewhere, and moving it away would only end
+     * it.
      *
      * @param service the service
-     * @param nowMillis the time
-     * @return false if all leave, rest or are limited
+     * @param nowMillis the current time, in milliseconds
+     * @return false if all upstreams leave, are backing off or are limited
      */
-    public boolean isAnyTaking(String service, long nowMillis) {
-        return !takingNow(directory.serving(service), 0, nowMillis).isEmpty();
+    public boolean isAnyAccepting(String service, long nowMillis) {
+        return !acceptingNow(directory.serving(service), 0, nowMillis).isEmpty();
     }
 
     /**
-     * Tells how long none of a service's upstreams takes requests because all that stay rest or are
-     * limited.
+     * Returns for how long no upstream of a service accepts requests because all that do not leave
+     * are backing off or limited.
      *
      * @param service the service
-     * @param priority the rank of the request; 0 is the most urgent
-     * @param nowMillis the time
-     * @return milliseconds until the first takes one; 0 if one does now, or none stays
+     * @param priority the priority of the request; 0 is the most urgent
+     * @param nowMillis the current time, in milliseconds
+     * @return milliseconds until the first accepts one; 0 if one does now, or all leave
      */
-    public long noneTakesMillis(String service, int priority, long nowMillis) {
-        if (rests.isEmpty() && limits.isEmpty()) {
+    public long untilAnyAcceptsMillis(String service, int priority, long nowMillis) {
+        if (backoffs.isEmpty() && limits.isEmpty()) {
             return 0;
         }
-        double heldPart = heldPart(service, priority, nowMillis);
+        double reservedFraction = reservedFraction(service, priority, nowMillis);
         return directory.serving(service).stream()
-                .mapToLong(upstream -> withheldMillis(upstream, heldPart, nowMillis))
+                .mapToLong(upstream -> waitMillis(upstream, reservedFraction, nowMillis))
                 .filter(millis -> millis < Long.MAX_VALUE)
                 .min()
                 .orElse(0);
     }
 
     /**
-     * Tells how often this process may send requests to a service whose upstreams are all limited.
+     * Returns the interval at which this process may send requests to a service whose upstreams are
+     * all limited.
      *
      * @param service the service
      * @return milliseconds between two requests; 0 if some upstream names no limit
      */
-    public double ownEveryMillis(String service) {
+    public double ownIntervalMillis(String service) {
         double perMilli = 0;
         for (Upstream upstream : directory.serving(service)) {
-            perMilli += 1 / limits.ownEveryMillis(upstream);
+            perMilli += 1 / limits.ownIntervalMillis(upstream);
         }
         return perMilli > 0 ? 1 / perMilli : 0;
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamDirectory.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamDirectory.java
@@ -25,54 +25,57 @@
 import java.util.Set;
 
 /**
- * The upstreams that serve, by service.
+ * The listed upstreams, by service.
  *
- * <p>An upstream that announced that it leaves stays so until its life ends, even if an older entry
- * arrives late, and is listed as {@link Upstream#draining draining} to every reader, whoever told
- * it first: its entry, a peer, or one of its answers. One whose entry is only gone serves again if
- * the entry comes back: it may have lapsed while the store was away.
+ * <p>An upstream that announced that it leaves stays leaving until its incarnation ends, even if an
+ * older entry arrives late. All readers see it as {@link Upstream#draining draining}, whether its
+ * entry, a peer, or one of its answers reported it first. An upstream whose entry was only removed
+ * serves again when the entry returns: it may have lapsed while the store was unavailable.
  *
  * @since 0.2
  */
 public final class UpstreamDirectory {
-    private static final int MAX_REMEMBERED = 20_000;
+    private static final int MAX_LEAVING = 20_000;
 
     private final Map<String, Upstream> upstreams = new HashMap<>();
     private final Map<String, List<Upstream>> byService = new HashMap<>();
 
-    /** When the lives that leave started; 0 if not told, which holds for any life. */
+    /**
+     * Start times of the leaving incarnations, by name; 0 if unknown, which applies to any
+     * incarnation.
+     */
     private final Map<String, Long> leaving = new HashMap<>();
 
     /**
-     * Takes over a complete list; upstreams that it lacks are gone.
+     * Applies a complete list; upstreams missing from it are removed.
      *
      * @param listed all upstreams
-     * @return those that are newly leaving or gone
+     * @return those that are newly leaving or removed
      */
     public List<Upstream> replaceAll(Collection<Upstream> listed) {
         Set<String> names = new HashSet<>();
         listed.forEach(upstream -> names.add(upstream.id()));
-        List<Upstream> left = new ArrayList<>();
+        List<Upstream> leavingOrRemoved = new ArrayList<>();
         for (Upstream known : List.copyOf(upstreams.values())) {
             if (!names.contains(known.id())) {
-                removed(known.id()).ifPresent(left::add);
+                removed(known.id()).ifPresent(leavingOrRemoved::add);
             }
         }
-        listed.forEach(upstream -> changed(upstream).ifPresent(left::add));
-        return left;
+        listed.forEach(upstream -> changed(upstream).ifPresent(leavingOrRemoved::add));
+        return leavingOrRemoved;
     }
 
     /**
      * Records an upstream's entry.
      *
      * @param entry the entry
-     * @return the upstream if it is newly leaving, or if it is newly known when it ends: an answer
-     *     or a peer may have told before that it leaves, but not until when it runs
+     * @return the upstream if it is newly leaving, or if its end time is newly known: an answer or
+     *     a peer may have reported before that it leaves, but not until when it runs
      */
     public Optional<Upstream> changed(Upstream entry) {
         Upstream before = upstreams.get(entry.id());
-        boolean endWasKnown = before != null && before.leavesMillis() > 0;
-        if (isLaterLife(entry)) {
+        boolean endWasKnown = before != null && before.leavesInMillis() > 0;
+        if (isLaterIncarnation(entry)) {
             leaving.remove(entry.id());
         }
         upstreams.put(entry.id(), isLeaving(entry.id()) ? entry.asLeaving() : entry);
@@ -81,13 +84,13 @@
             return Optional.empty();
         }
         Optional<Upstream> newlyLeaving =
-                leaving(new LeavingUpstream(entry.id(), entry.bornMillis()));
-        boolean endIsNews = entry.leavesMillis() > 0 && !endWasKnown;
-        return endIsNews ? Optional.of(entry) : newlyLeaving;
+                leaving(new LeavingUpstream(entry.id(), entry.startedMillis()));
+        boolean endIsNew = entry.leavesInMillis() > 0 && !endWasKnown;
+        return endIsNew ? Optional.of(entry) : newlyLeaving;
     }
 
     /**
-     * Records that an upstream's entry is gone.
+     * Records that an upstream's entry was removed.
      *
      * @param id the upstream's name
      * @return the upstream if it was known
@@ -98,43 +101,47 @@
     }
 
     /**
-     * Records that an upstream leaves. What is told of an earlier life than the one listed is
-     * passed over: it has ended.
+     * Records that an upstream leaves. A report about an incarnation before the listed one is
+     * ignored, because that incarnation has ended.
      *
-     * @param told the life that leaves
-     * @return the upstream if this is news and it is known
+     * @param report the incarnation that leaves
+     * @return the upstream if it is listed and was not known to leave
      */
-    public Optional<Upstream> leaving(LeavingUpstream told) {
-        forgetOldNames();
-        Upstream listed = upstreams.get(told.id());
-        long listedBorn = listed == null ? 0 : listed.bornMillis();
-        boolean hasEnded = told.bornMillis() > 0 && told.bornMillis() < listedBorn;
-        if (hasEnded || isLeaving(told.id())) {
+    public Optional<Upstream> leaving(LeavingUpstream report) {
+        evictUnlistedNames();
+        Upstream listed = upstreams.get(report.id());
+        long listedStartMillis = listed == null ? 0 : listed.startedMillis();
+        boolean hasEnded = report.startedMillis() > 0 && report.startedMillis() < listedStartMillis;
+        if (hasEnded || isLeaving(report.id())) {
             return Optional.empty();
         }
-        leaving.put(told.id(), told.bornMillis() > 0 ? told.bornMillis() : listedBorn);
+        leaving.put(
+                report.id(),
+                report.startedMillis() > 0 ? report.startedMillis() : listedStartMillis);
         byService.clear();
-        upstreams.computeIfPresent(told.id(), (name, upstream) -> upstream.asLeaving());
-        return Optional.ofNullable(upstreams.get(told.id()));
+        upstreams.computeIfPresent(report.id(), (name, upstream) -> upstream.asLeaving());
+        return Optional.ofNullable(upstreams.get(report.id()));
     }
 
     /**
-     * Tells which life of an upstream leaves.
+     * Returns the incarnation of an upstream that leaves.
      *
      * @param id the upstream's name
-     * @return the life, of a start that may not be known; empty if the upstream does not leave
+     * @return the incarnation, whose start time may be unknown; empty if the upstream does not
+     *     leave
      */
-    public Optional<LeavingUpstream> leavingLife(String id) {
-        return Optional.ofNullable(leaving.get(id)).map(born -> new LeavingUpstream(id, born));
+    public Optional<LeavingUpstream> leavingIncarnation(String id) {
+        return Optional.ofNullable(leaving.get(id))
+                .map(startedMillis -> new LeavingUpstream(id, startedMillis));
     }
 
-    private boolean isLaterLife(Upstream entry) {
-        long born = leaving.getOrDefault(entry.id(), 0L);
-        return born > 0 && entry.bornMillis() > born;
+    private boolean isLaterIncarnation(Upstream entry) {
+        long startedMillis = leaving.getOrDefault(entry.id(), 0L);
+        return startedMillis > 0 && entry.startedMillis() > startedMillis;
     }
 
     /**
-     * Returns the upstreams of a service that take new work.
+     * Returns the upstreams of a service that accept new work.
      *
      * @param service the service's name
      * @return the upstreams; none if the service is unknown
@@ -144,7 +151,7 @@
     }
 
     /**
-     * Finds an upstream, leaving or not.
+     * Finds an upstream, including leaving ones.
      *
      * @param id its name
      * @return the upstream
@@ -154,7 +161,7 @@
     }
 
     /**
-     * Returns all listed upstreams, leaving ones too.
+     * Returns all listed upstreams, including leaving ones.
      *
      * @return a copy
      */
@@ -163,10 +170,10 @@
     }
 
     /**
-     * Tells whether an upstream has announced that it leaves, to this process or a peer.
+     * Returns whether an upstream has announced that it leaves, to this process or a peer.
      *
      * @param id its name
-     * @return true if it takes no new work any more
+     * @return true if it accepts no new work any more
      */
     public boolean isLeaving(String id) {
         return leaving.containsKey(id);
@@ -179,8 +186,8 @@
                 .toList();
     }
 
-    private void forgetOldNames() {
-        if (leaving.size() > MAX_REMEMBERED) {
+    private void evictUnlistedNames() {
+        if (leaving.size() > MAX_LEAVING) {
             leaving.keySet().retainAll(upstreams.keySet());
         }
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamHealth.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamHealth.java
@@ -16,17 +16,17 @@
 package io.trailladder.core.upstream;
 
 /**
- * The recent failures of one upstream, as seen by the requests sent to it.
+ * The recent failures of one upstream, as observed by the requests sent to it.
  *
- * <p>An upstream that fails a large part of its recent requests is left out for a while; each
- * further failure right after its return leaves it out for longer.
+ * <p>An upstream that fails a large fraction of its recent requests is ejected for a while; each
+ * further ejection right after its return doubles the time, up to a maximum.
  */
 final class UpstreamHealth {
     private static final double HALF_LIFE_MILLIS = 4_000;
-    private static final double FEWEST_FAILURES = 1.6;
-    private static final double WORST_FAILED_PART = 0.25;
+    private static final double MIN_FAILURES = 1.6;
+    private static final double EJECTION_FAILED_FRACTION = 0.25;
     private static final long FIRST_EJECTION_MILLIS = 2_000;
-    private static final long LONGEST_EJECTION_MILLIS = 8_000;
+    private static final long MAX_EJECTION_MILLIS = 8_000;
 
     private double failures;
     private double successes;
@@ -37,7 +37,7 @@
     void succeeded(long nowMillis) {
         decay(nowMillis);
         successes++;
-        if (nowMillis >= ejectedUntilMillis && failedPart() < WORST_FAILED_PART / 2) {
+        if (nowMillis >= ejectedUntilMillis && failedFraction() < EJECTION_FAILED_FRACTION / 2) {
             ejectionMillis = FIRST_EJECTION_MILLIS;
         }
     }
@@ -45,12 +45,12 @@
     void failed(long nowMillis) {
         decay(nowMillis);
         failures++;
-        if (failures >= FEWEST_FAILURES && failedPart() >= WORST_FAILED_PART) {
+        if (failures >= MIN_FAILURES && failedFraction() >= EJECTION_FAILED_FRACTION) {
             eject(nowMillis);
         }
     }
 
-    /** Records that the upstream could not be connected to, which leaves it out at once. */
+    /** Records that a connection to the upstream failed, which ejects it at once. */
     void unreachable(long nowMillis) {
         decay(nowMillis);
         failures++;
@@ -61,7 +61,7 @@
         return nowMillis < ejectedUntilMillis;
     }
 
-    double failedPart() {
+    double failedFraction() {
         double total = failures + successes;
         return total == 0 ? 0 : failures / total;
     }
@@ -71,7 +71,7 @@
             return;
         }
         ejectedUntilMillis = nowMillis + ejectionMillis;
-        ejectionMillis = Math.min(LONGEST_EJECTION_MILLIS, ejectionMillis * 2);
+        ejectionMillis = Math.min(MAX_EJECTION_MILLIS, ejectionMillis * 2);
     }
 
     private void decay(long nowMillis) {
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamLimit.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamLimit.java
@@ -17,95 +17,102 @@
 
 import java.util.Optional;
 
-/** What is believed of one upstream's limit, and the turns at it. */
+/** What is known of one upstream's limit, and its send slots. */
 final class UpstreamLimit {
-    /** How far a use may be yet to come, in milliseconds: agreed times differ by less. */
-    private static final long TIMES_DIFFER_MILLIS = 100;
+    /**
+     * How far in the future a reported use may be, in milliseconds; the agreed times of processes
+     * differ by less.
+     */
+    private static final long MAX_CLOCK_DIFFERENCE_MILLIS = 100;
 
-    /** How long the end of a limit is kept, for peers that were cut off, in milliseconds. */
-    private static final long ENDED_MILLIS = 60_000;
+    /**
+     * How long an ended limit is kept, so that disconnected peers learn of its end, in
+     * milliseconds.
+     */
+    private static final long ENDED_RETENTION_MILLIS = 60_000;
 
-    /** How long what is told of an upstream is kept though it is not listed yet. */
-    private static final long UNLISTED_MILLIS = 10_000;
+    /** How long a report about an unlisted upstream is kept, in milliseconds. */
+    private static final long UNLISTED_RETENTION_MILLIS = 10_000;
 
-    private LimitReport believed;
-    private LimitTurns turns;
+    private LimitReport current;
+    private SendSlots slots;
 
     /**
-     * Creates the belief in a limit that is named.
+     * Creates the state of a limit that an upstream names.
      *
-     * @param believed what names it
+     * @param report the report that names it
      * @param agreedMillis the agreed time of day
      */
-    UpstreamLimit(LimitReport believed, long agreedMillis) {
-        begin(believed, agreedMillis);
+    UpstreamLimit(LimitReport report, long agreedMillis) {
+        start(report, agreedMillis);
     }
 
-    private void begin(LimitReport report, long agreedMillis) {
-        believed = report;
+    private void start(LimitReport report, long agreedMillis) {
+        current = report;
         double perSecond = report.limit().perSecond();
-        turns = new LimitTurns(report.upstream(), perSecond, report.usedMillis(), agreedMillis);
+        slots = new SendSlots(report.upstream(), perSecond, report.usedMillis(), agreedMillis);
     }
 
-    LimitTurns turns() {
-        return turns;
+    SendSlots slots() {
+        return slots;
     }
 
     boolean isNamed() {
-        return believed.limit().isNamed();
+        return current.limit().isNamed();
     }
 
-    long bornMillis() {
-        return believed.bornMillis();
+    long startedMillis() {
+        return current.startedMillis();
     }
 
     /**
-     * Takes over a later word of the same life.
+     * Applies a report about the same incarnation if it is newer.
      *
      * @return true if the limit has changed, begun again or ended by it
      */
     boolean replace(LimitReport report, long agreedMillis) {
-        if (!report.replaces(believed)) {
+        if (!report.replaces(current)) {
             return false;
         }
         if (report.limit().isNamed() && !isNamed()) {
-            begin(report, agreedMillis);
+            start(report, agreedMillis);
             return true;
         }
-        boolean changed = !report.limit().equals(believed.limit());
-        believed = report;
+        boolean changed = !report.limit().equals(current.limit());
+        current = report;
         if (changed && report.limit().isNamed()) {
-            turns.perSecond(report.limit().perSecond());
+            slots.changeRate(report.limit().perSecond());
         }
         return changed;
     }
 
     /**
-     * Takes over when the limit was last used. One that is yet to come was told by a process whose
-     * clock is wrong.
+     * Records when the limit was last used. A use in the future is ignored: the clock of the
+     * process that reported it is wrong.
      *
-     * @return true if peers must know: only if there is less than a request a second
+     * @return true if peers must be notified, which is the case only below one request per second
      */
-    boolean used(LimitReport report, long agreedMillis) {
-        boolean hasBeen = report.usedMillis() <= agreedMillis + TIMES_DIFFER_MILLIS;
-        boolean news = hasBeen && turns.used(report.usedMillis());
-        return news && turns.isRare() && isNamed();
+    boolean recordUse(LimitReport report, long agreedMillis) {
+        boolean isPast = report.usedMillis() <= agreedMillis + MAX_CLOCK_DIFFERENCE_MILLIS;
+        boolean isLater = isPast && slots.recordUse(report.usedMillis());
+        return isLater && slots.isLowRate() && isNamed();
     }
 
     LimitReport report() {
-        return believed.usedAt(turns.usedMillis());
+        return current.usedAt(slots.usedMillis());
     }
 
     /**
-     * Tells whether nobody needs it any more: the upstream, or the limit, has ended a while ago.
+     * Returns whether this limit can be discarded: its end, or that of the upstream, is some time
+     * ago.
      */
-    boolean isOver(UpstreamDirectory directory, long nowMillis) {
-        long age = nowMillis - believed.heardMillis();
+    boolean isOutdated(UpstreamDirectory directory, long nowMillis) {
+        long age = nowMillis - current.receivedMillis();
         if (!isNamed()) {
-            return age > ENDED_MILLIS;
+            return age > ENDED_RETENTION_MILLIS;
         }
-        Optional<Upstream> listed = directory.find(believed.upstream());
-        boolean lives = listed.isPresent() && listed.get().bornMillis() <= bornMillis();
-        return !lives && age > UNLISTED_MILLIS;
+        Optional<Upstream> listed = directory.find(current.upstream());
+        boolean isRunning = listed.isPresent() && listed.get().startedMillis() <= startedMillis();
+        return !isRunning && age > UNLISTED_RETENTION_MILLIS;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamLimits.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamLimits.java
@@ -24,71 +24,75 @@
 import java.util.function.LongSupplier;
 
 /**
- * The upstreams that name how many requests they take from all processes together.
+ * The upstreams that name how many requests they accept from all processes together.
  *
- * <p>To send a request to such an upstream a process needs a turn. Turns are taken when an upstream
- * is chosen and given back if nothing was sent, so that two requests never count on the same one.
+ * <p>To send a request to such an upstream, a process needs a send slot. A slot is taken when an
+ * upstream is chosen and returned if nothing was sent, so that two requests never use the same
+ * slot.
  *
  * <pre>{@code
- * limits.answered(upstream, LimitNotice.of(4), sentMillis, nowMillis);
+ * limits.answerReceived(upstream, LimitNotice.of(4), sentMillis, nowMillis);
  * if (limits.waitMillis(upstream) == 0) {
- *     Optional<LimitTurn> turn = limits.take(upstream);
- *     // send, or limits.giveBack(turn)
+ *     Optional<SendSlot> slot = limits.take(upstream);
+ *     // send, or limits.returnSlot(slot.get())
  * }
  * }</pre>
  *
  * @since 0.6
  */
 public final class UpstreamLimits {
-    private static final int MOST_LIMITED = 10_000;
+    private static final int MAX_LIMITED = 10_000;
 
-    /** By how much more what a peer tells counts as older: the way of a message takes less. */
-    private static final long WAY_MILLIS = 100;
+    /**
+     * By how much a peer's report is treated as older, in milliseconds: messages take less time.
+     */
+    private static final long MAX_MESSAGE_DELAY_MILLIS = 100;
 
     private final LongSupplier agreedMillis;
-    private final Function<Upstream, TurnOrder> order;
-    private final Map<String, UpstreamLimit> limits = new RecentMap<>(MOST_LIMITED);
-    private Consumer<String> onNews = upstream -> {};
-    private int named;
+    private final Function<Upstream, SendSlotOrder> order;
+    private final Map<String, UpstreamLimit> limits = new RecentMap<>(MAX_LIMITED);
+    private Consumer<String> onUpdate = upstream -> {};
+    private int namedCount;
 
     /**
-     * Creates limits of no upstreams.
+     * Creates an instance without limits.
      *
-     * @param agreedMillis the time of day that processes agree on
-     * @param order tells which turns at an upstream's limit are this process's
+     * @param agreedMillis the time of day that the processes agree on
+     * @param order returns which send slots at an upstream's limit belong to this process
      */
-    public UpstreamLimits(LongSupplier agreedMillis, Function<Upstream, TurnOrder> order) {
+    public UpstreamLimits(LongSupplier agreedMillis, Function<Upstream, SendSlotOrder> order) {
         this.agreedMillis = agreedMillis;
         this.order = order;
     }
 
     /**
-     * Has somebody told of each upstream of which something was learned that peers must know.
+     * Sets the listener that is notified of each upstream whose state must be reported to peers.
      *
-     * @param told takes the upstream's name
+     * @param listener receives the upstream's name
      */
-    public void onNews(Consumer<String> told) {
-        onNews = told;
+    public void onUpdate(Consumer<String> listener) {
+        onUpdate = listener;
     }
 
     /**
-     * Takes over what an answer says.
+     * Applies what an answer reports.
      *
      * @param upstream the upstream, which is known to be the one that answered
-     * @param limit what it says of its limit
-     * @param sentMillis when the request was sent
-     * @param nowMillis the time
+     * @param limit what the answer reports about its limit
+     * @param sentMillis when the request was sent, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      * @return true if the limit has changed, begun or ended by it
      */
-    public boolean answered(Upstream upstream, LimitNotice limit, long sentMillis, long nowMillis) {
+    public boolean answerReceived(
+            Upstream upstream, LimitNotice limit, long sentMillis, long nowMillis) {
         boolean unknown = !limits.containsKey(upstream.id());
         if (limit.kind() == LimitNotice.Kind.UNREADABLE || (unknown && !limit.isNamed())) {
             return false;
         }
-        return believe(
+        return apply(
                 new LimitReport(
                         upstream.id(),
-                        upstream.bornMillis(),
+                        upstream.startedMillis(),
                         limit,
                         sentMillis,
                         nowMillis,
@@ -96,37 +100,38 @@
     }
 
     /**
-     * Takes over what a peer believes.
+     * Applies what a peer reports.
      *
-     * @param told what it believes, by this process's clock
+     * @param report the peer's report, with times of this process's clock
      * @return true if the limit has changed, begun or ended by it
      */
-    public boolean told(LimitReport told) {
-        return believe(told.older(WAY_MILLIS));
+    public boolean reportReceived(LimitReport report) {
+        return apply(report.agedBy(MAX_MESSAGE_DELAY_MILLIS));
     }
 
-    private boolean believe(LimitReport report) {
-        long agreed = agreedMillis.getAsLong();
+    private boolean apply(LimitReport report) {
+        long agreedNow = agreedMillis.getAsLong();
         UpstreamLimit known = limits.get(report.upstream());
-        if (known != null && report.bornMillis() < known.bornMillis()) {
+        if (known != null && report.startedMillis() < known.startedMillis()) {
             return false;
         }
-        boolean sameLife = known != null && known.bornMillis() == report.bornMillis();
-        boolean changed = sameLife ? known.replace(report, agreed) : begin(report, agreed);
+        boolean sameIncarnation = known != null && known.startedMillis() == report.startedMillis();
+        boolean changed =
+                sameIncarnation ? known.replace(report, agreedNow) : start(report, agreedNow);
         if (changed) {
             count();
         }
         UpstreamLimit limit = limits.get(report.upstream());
-        boolean used = limit != null && limit.used(report, agreed);
+        boolean used = limit != null && limit.recordUse(report, agreedNow);
         if (changed || used) {
-            onNews.accept(report.upstream());
+            onUpdate.accept(report.upstream());
         }
         return changed;
     }
 
-    private boolean begin(LimitReport report, long agreed) {
+    private boolean start(LimitReport report, long agreedNow) {
         if (report.limit().isNamed()) {
-            limits.put(report.upstream(), new UpstreamLimit(report, agreed));
+            limits.put(report.upstream(), new UpstreamLimit(report, agreedNow));
             return true;
         }
         limits.remove(report.upstream());
@@ -135,26 +140,26 @@
     }
 
     private void count() {
-        named = (int) limits.values().stream().filter(UpstreamLimit::isNamed).count();
+        namedCount = (int) limits.values().stream().filter(UpstreamLimit::isNamed).count();
     }
 
     /**
-     * Tells whether an upstream names a limit, as far as is known.
+     * Returns whether an upstream names a limit, as far as is known.
      *
      * @param upstream the upstream
-     * @return true if requests to it need a turn
+     * @return true if requests to it need a send slot
      */
     public boolean isLimited(Upstream upstream) {
         return of(upstream) != null;
     }
 
     /**
-     * Tells whether no upstream names a limit, which is the usual state.
+     * Returns whether no upstream names a limit, which is the usual state.
      *
-     * @return true if there is nothing to ask for
+     * @return true if no request needs a send slot
      */
     public boolean isEmpty() {
-        return named == 0;
+        return namedCount == 0;
     }
 
     /**
@@ -168,7 +173,7 @@
     }
 
     /**
-     * Returns the term by which a choice weighs how much of limits is left.
+     * Returns the cost term that reserves the send slots of limited upstreams.
      *
      * @return the term
      */
@@ -180,7 +185,8 @@
      * Returns how long it is until this process may send an upstream a request.
      *
      * @param upstream the upstream
-     * @return milliseconds; 0 if it may now, {@link Long#MAX_VALUE} if it has no part in the limit
+     * @return milliseconds; 0 if it may send now, {@link Long#MAX_VALUE} if it has no share of the
+     *     limit
      */
     public long waitMillis(Upstream upstream) {
         return waitMillis(upstream, 0);
@@ -190,105 +196,109 @@
      * Returns how long it is until this process may send an upstream a request that is not urgent.
      *
      * @param upstream the upstream
-     * @param heldPart part of the time of each turn for which it is held for more urgent requests,
-     *     from 0, below 1
-     * @return milliseconds; 0 if it may now, {@link Long#MAX_VALUE} if it has no part in the limit
+     * @param reservedFraction fraction of the validity of each slot during which it is reserved for
+     *     more urgent requests, from 0, below 1
+     * @return milliseconds; 0 if it may send now, {@link Long#MAX_VALUE} if it has no share of the
+     *     limit
      */
-    public long waitMillis(Upstream upstream, double heldPart) {
+    public long waitMillis(Upstream upstream, double reservedFraction) {
         UpstreamLimit limit = of(upstream);
         if (limit == null) {
             return 0;
         }
-        long agreed = agreedMillis.getAsLong();
-        return limit.turns().waitMillis(order.apply(upstream), heldPart, agreed);
+        long agreedNow = agreedMillis.getAsLong();
+        return limit.slots().waitMillis(order.apply(upstream), reservedFraction, agreedNow);
     }
 
     /**
-     * Returns how often this process may send an upstream a request.
+     * Returns the interval at which this process may send an upstream requests.
      *
      * @param upstream the upstream
      * @return milliseconds between two requests; 0 if it names no limit
      */
-    public double ownEveryMillis(Upstream upstream) {
+    public double ownIntervalMillis(Upstream upstream) {
         UpstreamLimit limit = of(upstream);
-        return limit == null ? 0 : limit.turns().ownEveryMillis(order.apply(upstream));
+        return limit == null ? 0 : limit.slots().ownIntervalMillis(order.apply(upstream));
     }
 
     /**
-     * Returns how much of the time is left in which the turn to be taken next may be used.
+     * Returns the remaining fraction of the validity of the slot that is taken next.
      *
      * @param upstream the upstream
-     * @return from 1, when it begins, to 0; 0 if the upstream names no limit
+     * @return from 1, when the slot begins, to 0; 0 if the upstream names no limit
      */
-    public double keptPart(Upstream upstream) {
+    public double remainingFraction(Upstream upstream) {
         UpstreamLimit limit = of(upstream);
         return limit == null
                 ? 0
-                : limit.turns().keptPart(order.apply(upstream), agreedMillis.getAsLong());
+                : limit.slots().remainingFraction(order.apply(upstream), agreedMillis.getAsLong());
     }
 
     /**
-     * Takes a turn for one request.
+     * Takes a send slot for one request.
      *
      * @param upstream the upstream
-     * @return the turn; empty if there is none now, or none is needed
+     * @return the slot; empty if there is none now, or none is needed
      */
-    public Optional<LimitTurn> take(Upstream upstream) {
+    public Optional<SendSlot> take(Upstream upstream) {
         UpstreamLimit limit = of(upstream);
         return limit == null
                 ? Optional.empty()
-                : limit.turns().take(order.apply(upstream), agreedMillis.getAsLong());
+                : limit.slots().take(order.apply(upstream), agreedMillis.getAsLong());
     }
 
     /**
-     * Gives a turn back under which nothing was sent.
+     * Returns a slot under which nothing was sent.
      *
-     * @param turn the turn
+     * @param slot the slot
      */
-    public void giveBack(LimitTurn turn) {
-        UpstreamLimit limit = limits.get(turn.upstream());
+    public void returnSlot(SendSlot slot) {
+        UpstreamLimit limit = limits.get(slot.upstream());
         if (limit != null) {
-            limit.turns().giveBack(turn);
+            limit.slots().returnSlot(slot);
         }
     }
 
     /**
-     * Records that a request was sent under a turn.
+     * Records that a request was sent under a slot.
      *
-     * @param turn the turn
+     * @param slot the slot
      */
-    public void sent(LimitTurn turn) {
-        UpstreamLimit limit = limits.get(turn.upstream());
-        if (limit != null && limit.turns().isRare()) {
-            onNews.accept(turn.upstream());
+    public void sent(SendSlot slot) {
+        UpstreamLimit limit = limits.get(slot.upstream());
+        if (limit != null && limit.slots().isLowRate()) {
+            onUpdate.accept(slot.upstream());
         }
     }
 
     /**
-     * Returns what is believed of an upstream, to be told to peers.
+     * Returns what is known of an upstream's limit, to be reported to peers.
      *
      * @param upstream the upstream's name
-     * @return the belief, also that a limit has ended a while ago; empty if there is none
+     * @return the report, including one that a limit has recently ended; empty if nothing is known
      */
     public Optional<LimitReport> report(String upstream) {
         return Optional.ofNullable(limits.get(upstream)).map(UpstreamLimit::report);
     }
 
     /**
-     * Forgets upstreams that are gone or have started anew, and limits that ended a while ago.
+     * Evicts the limits of upstreams that were removed or restarted, and limits that ended some
+     * time ago.
      *
-     * @param directory the upstreams known
-     * @param nowMillis the time
+     * @param directory the known upstreams
+     * @param nowMillis the current time, in milliseconds
      */
-    public void forgetGone(UpstreamDirectory directory, long nowMillis) {
-        limits.values().removeIf(limit -> limit.isOver(directory, nowMillis));
+    public void evictOutdated(UpstreamDirectory directory, long nowMillis) {
+        limits.values().removeIf(limit -> limit.isOutdated(directory, nowMillis));
         count();
     }
 
     private UpstreamLimit of(Upstream upstream) {
-        UpstreamLimit limit = named == 0 ? null : limits.get(upstream.id());
-        boolean holds =
-                limit != null && limit.isNamed() && limit.bornMillis() == upstream.bornMillis();
-        return holds ? limit : null;
+        UpstreamLimit limit = namedCount == 0 ? null : limits.get(upstream.id());
+        boolean applies =
+                limit != null
+                        && limit.isNamed()
+                        && limit.startedMillis() == upstream.startedMillis();
+        return applies ? limit : null;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamLoads.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamLoads.java
@@ -22,8 +22,8 @@
 import java.util.Map;
 
 /**
- * The work under way at every upstream: this entry's own, counted exactly, and that of its peers as
- * they last told.
+ * The work in flight at every upstream: this entry's own, counted exactly, and that of its peers as
+ * they last reported it.
  *
  * @since 0.2
  */
@@ -32,7 +32,7 @@
     private final Map<String, List<UpstreamUse>> byPeer = new HashMap<>();
     private final Map<String, Use> ofPeers = new HashMap<>();
 
-    /** Work under way at one upstream. */
+    /** Work in flight at one upstream. */
     private static final class Use {
         int requests;
         int promptTokens;
@@ -47,7 +47,7 @@
         }
     }
 
-    /** One upstream's load. */
+    /** Work of this entry at one upstream, and the upstream's health. */
     private static final class Load {
         final UpstreamHealth health = new UpstreamHealth();
         int requests;
@@ -58,7 +58,7 @@
      * Records that a request was sent.
      *
      * @param upstream the upstream's name
-     * @param promptTokens prompt tokens it must read
+     * @param promptTokens prompt tokens that it must read
      */
     public void sent(String upstream, int promptTokens) {
         Load load = load(upstream);
@@ -70,14 +70,14 @@
      * Records that an upstream has read a prompt.
      *
      * @param upstream the upstream's name
-     * @param promptTokens the tokens given with {@link #sent}
+     * @param promptTokens the tokens passed to {@link #sent}
      */
     public void promptRead(String upstream, int promptTokens) {
         load(upstream).promptTokens -= promptTokens;
     }
 
     /**
-     * Records that a request is no longer under way.
+     * Records that a request is no longer in flight.
      *
      * @param upstream the upstream's name
      */
@@ -86,10 +86,10 @@
     }
 
     /**
-     * Records a request that the upstream answered well.
+     * Records a request that the upstream answered successfully.
      *
      * @param upstream the upstream's name
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void succeeded(String upstream, long nowMillis) {
         load(upstream).health.succeeded(nowMillis);
@@ -99,36 +99,36 @@
      * Records a request that the upstream failed.
      *
      * @param upstream the upstream's name
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void failed(String upstream, long nowMillis) {
         load(upstream).health.failed(nowMillis);
     }
 
     /**
-     * Records that no connection to an upstream came about.
+     * Records that a connection to an upstream failed.
      *
      * @param upstream the upstream's name
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void unreachable(String upstream, long nowMillis) {
         load(upstream).health.unreachable(nowMillis);
     }
 
     /**
-     * Takes over what a peer has under way.
+     * Replaces the work that a peer has in flight.
      *
      * @param peer the peer's name
-     * @param uses its use of upstreams; those it does not name are unused
+     * @param uses its use of upstreams; upstreams not included are unused
      */
-    public void peerUses(String peer, List<UpstreamUse> uses) {
+    public void setPeerUses(String peer, List<UpstreamUse> uses) {
         peerLost(peer);
         byPeer.put(peer, List.copyOf(uses));
         uses.forEach(use -> count(ofPeers, use, 1));
     }
 
     /**
-     * Forgets a peer.
+     * Removes a peer's work.
      *
      * @param peer the peer's name
      */
@@ -140,7 +140,7 @@
     }
 
     /**
-     * Returns what this entry has under way, to be told to the hub it relies on.
+     * Returns what this entry has in flight, to be reported to its hub.
      *
      * @return its use of upstreams
      */
@@ -149,7 +149,7 @@
     }
 
     /**
-     * Returns what this entry and some peers have under way.
+     * Returns what this entry and some peers have in flight.
      *
      * @param peers the peers' names
      * @return their use of upstreams
@@ -163,12 +163,12 @@
     }
 
     /**
-     * Returns what all entries but one have under way.
+     * Returns what all entries except one have in flight.
      *
-     * @param peer the name of that one
+     * @param peer the name of the excluded entry
      * @return their use of upstreams
      */
-    public List<UpstreamUse> restUses(String peer) {
+    public List<UpstreamUse> usesExcept(String peer) {
         Map<String, Use> sum = own();
         ofPeers.forEach((upstream, use) -> add(sum, upstream, use.requests, use.promptTokens));
         byPeer.getOrDefault(peer, List.of()).forEach(use -> count(sum, use, -1));
@@ -176,7 +176,7 @@
     }
 
     /**
-     * Returns the requests under way at an upstream that this entry sent.
+     * Returns the number of requests in flight at an upstream that this entry sent.
      *
      * @param upstream the upstream's name
      * @return a count
@@ -187,7 +187,7 @@
     }
 
     /**
-     * Returns the prompt tokens waiting at an upstream that this entry sent.
+     * Returns the number of prompt tokens waiting at an upstream that this entry sent.
      *
      * @param upstream the upstream's name
      * @return tokens
@@ -198,7 +198,7 @@
     }
 
     /**
-     * Returns the requests under way at an upstream, of all entries.
+     * Returns the number of requests in flight at an upstream, of all entries.
      *
      * @param upstream the upstream's name
      * @return a count
@@ -209,7 +209,7 @@
     }
 
     /**
-     * Returns the requests under way at some upstreams, of all entries.
+     * Returns the number of requests in flight at some upstreams, of all entries.
      *
      * @param upstreams the upstreams
      * @return a count
@@ -219,7 +219,7 @@
     }
 
     /**
-     * Returns the prompt tokens waiting at an upstream, of all entries.
+     * Returns the number of prompt tokens waiting at an upstream, of all entries.
      *
      * @param upstream the upstream's name
      * @return tokens
@@ -230,11 +230,11 @@
     }
 
     /**
-     * Tells whether an upstream is left out because of its recent failures.
+     * Returns whether an upstream is ejected because of its recent failures.
      *
      * @param upstream the upstream's name
-     * @param nowMillis the time
-     * @return true if other upstreams are to be preferred
+     * @param nowMillis the current time, in milliseconds
+     * @return true if other upstreams are preferred
      */
     public boolean ejected(String upstream, long nowMillis) {
         Load load = own.get(upstream);
@@ -242,22 +242,22 @@
     }
 
     /**
-     * Returns the part of an upstream's recent requests that it failed.
+     * Returns the fraction of an upstream's recent requests that it failed.
      *
      * @param upstream the upstream's name
      * @return from 0 to 1
      */
-    public double failedPart(String upstream) {
+    public double failedFraction(String upstream) {
         Load load = own.get(upstream);
-        return load == null ? 0 : load.health.failedPart();
+        return load == null ? 0 : load.health.failedFraction();
     }
 
     /**
-     * Forgets upstreams that are gone and have nothing under way.
+     * Evicts upstreams that are not listed any more and have no requests of this entry in flight.
      *
-     * @param directory the upstreams known
+     * @param directory the known upstreams
      */
-    public void forgetGone(UpstreamDirectory directory) {
+    public void evictUnlisted(UpstreamDirectory directory) {
         own.entrySet()
                 .removeIf(
                         entry ->
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamSelector.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamSelector.java
@@ -28,36 +28,36 @@
 import java.util.function.IntSupplier;
 
 /**
- * Chooses the upstream of a service with the lowest sum of cost terms, most of it the predicted
- * time to its first answer.
+ * Chooses the upstream of a service with the lowest sum of cost terms, which is mainly the
+ * predicted time to its first answer.
  *
- * <p>The prediction counts the work under way of all entries, the part of the prompt that the
- * upstream does not hold, and the way to another data centre. A part of the product adds a reason
- * of its own as a {@link CostTerm}.
+ * <p>The prediction includes the work in flight of all entries, the part of the prompt that the
+ * upstream has not cached, and the latency to another data centre. Other components add their own
+ * criteria as {@link CostTerm}s.
  *
  * @since 0.2
  */
 public final class UpstreamSelector {
-    /** Most parts of prompts whose places are remembered: some 2 MB. */
-    private static final int REMEMBERED_PARTS = 20_000;
+    /** Maximum number of prompt blocks in the prefix index: about 2 MB. */
+    private static final int MAX_CACHED_BLOCKS = 20_000;
 
     private final UpstreamAvailability availability;
     private final UpstreamLoads loads;
     private final EngineModel engines;
     private final VersionGate versions;
     private final Topology topology;
-    private final CrossingRule crossings;
-    private final CostTerms usual;
+    private final CrossRegionRule crossRegionRule;
+    private final CostTerms commonTerms;
     private final List<CostTerm> terms;
-    private final PrefixIndex prefixes = new PrefixIndex(REMEMBERED_PARTS);
+    private final PrefixIndex prefixes = new PrefixIndex(MAX_CACHED_BLOCKS);
 
     /**
      * Creates a selector of upstreams of any version.
      *
      * @param dataCentre the data centre of this entry
-     * @param directory the upstreams known
-     * @param loads the work under way at them
-     * @param engines what is believed of their speed
+     * @param directory the known upstreams
+     * @param loads the work in flight at them
+     * @param engines their estimated speed
      */
     public UpstreamSelector(
             String dataCentre,
@@ -66,7 +66,7 @@
             EngineModel engines) {
         this(
                 Topology.oneRegion(dataCentre),
-                new UpstreamAvailability(directory, new UpstreamRests()),
+                new UpstreamAvailability(directory, new UpstreamBackoffs()),
                 loads,
                 engines,
                 new VersionGate(),
@@ -78,12 +78,13 @@
      * Creates a selector.
      *
      * @param topology where this entry is
-     * @param availability tells which upstreams take requests
-     * @param loads the work under way at them
-     * @param engines what is believed of their speed
+     * @param availability determines which upstreams accept requests
+     * @param loads the work in flight at them
+     * @param engines their estimated speed
      * @param versions decides which versions may be chosen
-     * @param processes tells how many entries of the own region share the room of the others
-     * @param further terms beside those that every gateway weighs
+     * @param processes returns how many entries of the own region share the capacity of the other
+     *     regions
+     * @param additionalTerms terms in addition to those that every gateway applies
      */
     public UpstreamSelector(
             Topology topology,
@@ -92,61 +93,65 @@
             EngineModel engines,
             VersionGate versions,
             IntSupplier processes,
-            List<CostTerm> further) {
+            List<CostTerm> additionalTerms) {
         this.versions = versions;
         this.availability = availability;
         this.loads = loads;
         this.engines = engines;
         this.topology = topology;
-        this.crossings = new CrossingRule(topology, loads, processes);
-        this.usual = new CostTerms(topology, loads);
-        this.terms = new ArrayList<>(usual.all());
-        terms.addAll(further);
+        this.crossRegionRule = new CrossRegionRule(topology, loads, processes);
+        this.commonTerms = new CostTerms(topology, loads);
+        this.terms = new ArrayList<>(commonTerms.all());
+        terms.addAll(additionalTerms);
     }
 
     /**
-     * Chooses an upstream. Those left out for their failures are taken only if there is no other,
-     * and those of other regions only if the own one cannot begin within the objective.
+     * Chooses an upstream. Those ejected for their failures are chosen only if there is no other,
+     * and those of other regions only if the own region cannot begin the answer within the
+     * objective.
      *
      * @param request the request
      * @param excluded upstreams that must not be chosen
-     * @param nowMillis the time
-     * @return the choice; empty if no upstream of the service takes new work, and none in another
-     *     region has a place left
+     * @param nowMillis the current time, in milliseconds
+     * @return the choice; empty if no upstream of the service accepts new work, and none in another
+     *     region has capacity left
      */
     public Optional<Selection> choose(
             ServingRequest request, Set<String> excluded, long nowMillis) {
         String service = request.service();
-        List<Upstream> serving = takingRequests(request, excluded.isEmpty(), nowMillis);
-        Round round = new Round(request, excluded, serving, engines.estimate(service, nowMillis));
-        Candidate own = round.best(topology.region(), false, nowMillis);
-        if (topology.isOneRegion() || (own != null && crossings.isEnough(own))) {
-            return selection(own, null, serving.size());
+        List<Upstream> serving = accepting(request, excluded.isEmpty(), nowMillis);
+        Choice choice =
+                new Choice(request, excluded, serving, engines.estimate(service, nowMillis));
+        Candidate local = choice.best(topology.region(), false, nowMillis);
+        if (topology.isOneRegion() || (local != null && crossRegionRule.isLocalSufficient(local))) {
+            return selection(local, null, serving.size());
         }
-        Candidate other = round.bestElsewhere(own == null, nowMillis);
-        if (other == null) {
-            return selection(own, null, serving.size());
+        Candidate remote = choice.bestRemote(local == null, nowMillis);
+        if (remote == null) {
+            return selection(local, null, serving.size());
         }
-        if (own == null || round.crosses(own, other)) {
-            return selection(other, crossings.crossing(own, other), serving.size());
+        if (local == null || choice.shouldCross(local, remote)) {
+            return selection(remote, crossRegionRule.describe(local, remote), serving.size());
         }
-        return selection(own, null, serving.size());
+        return selection(local, null, serving.size());
     }
 
     /**
-     * Versions are admitted among all that stay, so that those under test do not get the requests
-     * of others that only rest or are limited. A sample that none of them takes is left to the
-     * version in use.
+     * Returns the upstreams that accept the request. Versions are admitted among all upstreams that
+     * do not leave, so that those under test do not receive the requests of others that are only
+     * backing off or limited. A sample that none of them accepts is sent to the version in use.
      */
-    private List<Upstream> takingRequests(ServingRequest request, boolean first, long nowMillis) {
+    private List<Upstream> accepting(
+            ServingRequest request, boolean isFirstAttempt, long nowMillis) {
         String service = request.service();
-        double held = availability.heldPart(service, request.priority(), nowMillis);
-        List<Upstream> staying = availability.staying(service);
-        List<Upstream> admitted = versions.admitted(service, staying, first, nowMillis);
-        List<Upstream> serving = availability.takingNow(admitted, held, nowMillis);
-        if (serving.isEmpty() && first && !admitted.isEmpty()) {
-            List<Upstream> others = versions.admitted(service, staying, false, nowMillis);
-            return availability.takingNow(others, held, nowMillis);
+        double reservedFraction =
+                availability.reservedFraction(service, request.priority(), nowMillis);
+        List<Upstream> notLeaving = availability.notLeaving(service);
+        List<Upstream> admitted = versions.admitted(service, notLeaving, isFirstAttempt, nowMillis);
+        List<Upstream> serving = availability.acceptingNow(admitted, reservedFraction, nowMillis);
+        if (serving.isEmpty() && isFirstAttempt && !admitted.isEmpty()) {
+            List<Upstream> others = versions.admitted(service, notLeaving, false, nowMillis);
+            return availability.acceptingNow(others, reservedFraction, nowMillis);
         }
         return serving;
     }
@@ -158,29 +163,29 @@
      * @param upstream the upstream's name
      */
     public void sent(ServingRequest request, String upstream) {
-        prefixes.read(upstream, request.prompt());
+        prefixes.recordPrompt(upstream, request.prompt());
     }
 
     /**
-     * Records that no connection to an upstream came about. For a while the others of its data
-     * centre are taken only if they promise much more than those elsewhere, since the way there may
-     * be cut.
+     * Records that a connection to an upstream failed. For a while, other upstreams of its data
+     * centre are chosen only if their cost is much lower than that of upstreams elsewhere, because
+     * the network path to the data centre may be interrupted.
      *
      * @param upstream the upstream
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void unreachable(Upstream upstream, long nowMillis) {
-        usual.unreachable(upstream, nowMillis);
+        commonTerms.unreachable(upstream, nowMillis);
     }
 
-    /** One choice: the request and the upstreams that may run it. */
-    private final class Round {
+    /** One choice: the request and the upstreams that may serve it. */
+    private final class Choice {
         private final ServingRequest request;
         private final Set<String> excluded;
         private final List<Upstream> serving;
         private final EngineEstimate engine;
 
-        Round(
+        Choice(
                 ServingRequest request,
                 Set<String> excluded,
                 List<Upstream> serving,
@@ -191,23 +196,24 @@
             this.engine = engine;
         }
 
-        /** Returns the best upstream of a region; null if it has none, or none with room. */
-        Candidate best(String region, boolean noneHere, long nowMillis) {
-            PromptHomes homes = PromptHomes.of(request.prompt(), serving, topology, region);
-            boolean own = region.equals(topology.region());
+        /** Returns the best upstream of a region; null if it has none, or none with capacity. */
+        Candidate best(String region, boolean noLocalUpstream, long nowMillis) {
+            PromptAffinity affinity =
+                    PromptAffinity.of(request.prompt(), serving, topology, region);
+            boolean local = region.equals(topology.region());
             Candidate best = null;
             double bestMillis = 0;
             boolean bestEjected = true;
             for (Upstream upstream : serving) {
-                boolean there = topology.region(upstream.dataCentre()).equals(region);
-                if (!there || excluded.contains(upstream.id())) {
+                boolean inRegion = topology.region(upstream.dataCentre()).equals(region);
+                if (!inRegion || excluded.contains(upstream.id())) {
                     continue;
                 }
-                Candidate candidate = candidate(upstream, request, engine, homes, nowMillis);
-                if (!own && !crossings.hasRoom(candidate, noneHere)) {
+                Candidate candidate = candidate(upstream, request, engine, affinity, nowMillis);
+                if (!local && !crossRegionRule.hasCapacity(candidate, noLocalUpstream)) {
                     continue;
                 }
-                boolean ejected = isLeftOut(upstream, nowMillis);
+                boolean ejected = isDeprioritized(upstream, nowMillis);
                 double millis = cost(candidate);
                 boolean better = best == null || millis < bestMillis;
                 if ((bestEjected && !ejected) || (bestEjected == ejected && better)) {
@@ -219,46 +225,47 @@
             return best;
         }
 
-        /** Returns the best upstream of all other regions; null if none has room. */
-        Candidate bestElsewhere(boolean noneHere, long nowMillis) {
+        /** Returns the best upstream of all other regions; null if none has capacity. */
+        Candidate bestRemote(boolean noLocalUpstream, long nowMillis) {
             Candidate best = null;
             for (String region : topology.otherRegions()) {
-                Candidate there = best(region, noneHere, nowMillis);
-                if (there != null && (best == null || isBetter(there, best))) {
-                    best = there;
+                Candidate candidate = best(region, noLocalUpstream, nowMillis);
+                if (candidate != null && (best == null || isBetter(candidate, best))) {
+                    best = candidate;
                 }
             }
             return best;
         }
 
-        boolean crosses(Candidate own, Candidate other) {
-            return crossings.isWorthTheWay(own, other) && crossings.isInShare(other, serving);
+        boolean shouldCross(Candidate local, Candidate remote) {
+            return crossRegionRule.isRemoteBetter(local, remote)
+                    && crossRegionRule.isWithinShare(remote, serving);
         }
 
         private boolean isBetter(Candidate one, Candidate other) {
             long now = one.nowMillis();
-            boolean ejected = isLeftOut(one.upstream(), now);
-            boolean otherEjected = isLeftOut(other.upstream(), now);
+            boolean ejected = isDeprioritized(one.upstream(), now);
+            boolean otherEjected = isDeprioritized(other.upstream(), now);
             return ejected == otherEjected ? cost(one) < cost(other) : otherEjected;
         }
     }
 
-    private boolean isLeftOut(Upstream upstream, long nowMillis) {
+    private boolean isDeprioritized(Upstream upstream, long nowMillis) {
         return loads.ejected(upstream.id(), nowMillis)
-                || availability.isReturning(upstream, nowMillis);
+                || availability.isRecovering(upstream, nowMillis);
     }
 
     private Candidate candidate(
             Upstream upstream,
             ServingRequest request,
             EngineEstimate engine,
-            PromptHomes homes,
+            PromptAffinity affinity,
             long nowMillis) {
         Prompt prompt = request.prompt();
         int cached =
                 Math.max(
                         prefixes.cachedTokens(upstream.id(), prompt),
-                        homes.trustedTokens(upstream, prompt));
+                        affinity.expectedCachedTokens(upstream, prompt));
         return new Candidate(
                 upstream,
                 request,
@@ -277,7 +284,8 @@
         return millis;
     }
 
-    private Optional<Selection> selection(Candidate best, Crossing crossing, int candidates) {
+    private Optional<Selection> selection(
+            Candidate best, CrossRegionChoice crossRegion, int candidates) {
         if (best == null) {
             return Optional.empty();
         }
@@ -288,7 +296,7 @@
         }
         EngineEstimate engine = best.engine();
         int slots = best.upstream().slots();
-        double place = engine.isLearned() ? engine.placeMillis(best.running(), slots) : 0;
+        double slotWait = engine.isLearned() ? engine.placeMillis(best.running(), slots) : 0;
         return Optional.of(
                 new Selection(
                         best.upstream(),
@@ -297,12 +305,12 @@
                         best.waitingTokens(),
                         best.cachedTokens(),
                         candidates,
-                        Math.round(place),
+                        Math.round(slotWait),
                         costs,
-                        Optional.ofNullable(crossing)));
+                        Optional.ofNullable(crossRegion)));
     }
 
-    /** What the terms count that a choice was made by, those that count nothing left out. */
+    /** Returns the costs that led to a choice, without terms whose cost is 0. */
     private List<CostShare> costs(Candidate chosen) {
         List<CostShare> costs = new ArrayList<>(terms.size());
         for (CostTerm term : terms) {
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamUse.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamUse.java
@@ -16,7 +16,7 @@
 package io.trailladder.core.upstream;
 
 /**
- * What one entry has under way at one upstream.
+ * The work that one entry has in flight at one upstream.
  *
  * @param upstream the upstream's name
  * @param requests requests in flight
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/package-info.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which upstreams serve, how loaded and how healthy they are, and the choice among them.
+ * The upstreams that serve requests, their load and health, and the choice among them.
  *
  * @since 0.2
  */
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/RegionLoadTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/RegionLoadTest.java
@@ -24,104 +24,117 @@
 import net.jqwik.api.Example;
 
 /**
- * Where requests go under loads that differ between two regions of 12 processes each.
+ * Where requests are sent under loads that differ between two regions of 12 processes each.
  *
- * <p>The model's figures are those of an engine of 32 places that reads 51 tokens a millisecond; a
- * request's 2,890 own tokens are read in 57 ms, 6,300 shared ones in 123 ms. Six engines take some
- * 105 requests a second while shared parts are held. The plain service has 3 upstreams of 6 places
- * in each region, and 43 ms for a request: some 420 a second.
+ * <p>The model's figures are those of an engine with 32 slots that reads 51 tokens per millisecond:
+ * the 2,890 tokens of a request's own are read in 57 ms, the 6,300 shared ones in 123 ms. Six
+ * engines serve about 105 requests per second while shared blocks are cached. The plain service has
+ * 3 upstreams of 6 slots in each region and takes 43 ms for a request: about 420 per second.
  */
 class RegionLoadTest {
     private static final Load MODEL = new Load(true, 6, 32, 60, 51.1, 1_015);
     private static final Load PLAIN = new Load(false, 3, 6, 42.9, 0, 249);
     private static final long SEED = 20_261_203;
 
-    private static TwoRegions calm(Load load, double perSecond) {
+    private static TwoRegions afterNormalLoad(Load load, double perSecond) {
         TwoRegions regions = new TwoRegions(load, SEED);
-        regions.pass(20_000, perSecond, perSecond);
+        regions.run(20_000, perSecond, perSecond);
         return regions;
     }
 
     /**
-     * Half of what a region can take: a quiet hour. Processes that know no regions send three of
-     * ten requests to the other one.
+     * Both regions run at half of their capacity. Guards against needless requests to the other
+     * region: processes without a region table send three of ten requests there.
      */
     @Example
-    void inAQuietHourNothingCrossesAndSharedPartsAreNotReadMoreOften() {
+    void atHalfLoadNothingCrossesAndSharedPartsAreNotReadMoreOften() {
         TwoRegions regions = new TwoRegions(MODEL, SEED);
-        regions.pass(60_000, 50, 50);
+        regions.run(60_000, 50, 50);
         Count north = regions.count("north");
         Count south = regions.count("south");
-        TwoRegions unknown = new TwoRegions(MODEL, SEED, Map.of());
-        unknown.pass(60_000, 50, 50);
-        assertTrue(unknown.count("north").crossed > 0.25 * unknown.count("north").asked);
+        TwoRegions withoutRegions = new TwoRegions(MODEL, SEED, Map.of());
+        withoutRegions.run(60_000, 50, 50);
+        assertTrue(
+                withoutRegions.count("north").crossed
+                        > 0.25 * withoutRegions.count("north").requests);
         int crossed = north.crossed + south.crossed;
-        assertTrue(crossed < 0.005 * (north.asked + south.asked), "crossed " + crossed);
-        assertTrue(north.partInTime() > 0.99, "north " + north.partInTime());
-        assertTrue(south.partInTime() > 0.99, "south " + south.partInTime());
-        String reads = regions.sharedReads() + " reads, " + unknown.sharedReads() + " without";
-        assertTrue(regions.sharedReads() <= 1.1 * unknown.sharedReads(), reads);
+        assertTrue(crossed < 0.005 * (north.requests + south.requests), "crossed " + crossed);
+        assertTrue(north.fractionInTime() > 0.99, "north " + north.fractionInTime());
+        assertTrue(south.fractionInTime() > 0.99, "south " + south.fractionInTime());
+        String reads =
+                regions.sharedReads() + " reads, " + withoutRegions.sharedReads() + " without";
+        assertTrue(regions.sharedReads() <= 1.1 * withoutRegions.sharedReads(), reads);
     }
 
-    /** Three times what one region can take for five seconds, half of that in the other. */
+    /**
+     * For five seconds, one region receives three times its capacity, the other half of its
+     * capacity.
+     */
     @Example
-    void burstOnAModelUsesTheOtherRegionAndLeavesItInTime() {
-        TwoRegions regions = calm(MODEL, 50);
-        regions.pass(5_000, 300, 50);
+    void burstOnAModelUsesTheOtherRegionWithoutDelayingIt() {
+        TwoRegions regions = afterNormalLoad(MODEL, 50);
+        regions.run(5_000, 300, 50);
         Count north = regions.count("north");
         Count south = regions.count("south");
         assertTrue(north.crossed > 50, "crossed " + north.crossed);
-        assertTrue(south.partInTime() > 0.99, "south " + south.partInTime());
+        assertTrue(south.fractionInTime() > 0.99, "south " + south.fractionInTime());
         assertEquals(0, south.crossed);
     }
 
-    /** Twice what one region can take for five seconds: few upstreams, so shares below one. */
+    /**
+     * For five seconds, one region receives twice its capacity. With few upstreams, the share of
+     * each process is below one request.
+     */
     @Example
-    void burstOnAPlainServiceUsesTheOtherRegionAndLeavesItInTime() {
-        TwoRegions regions = calm(PLAIN, 150);
-        regions.pass(5_000, 800, 150);
+    void burstOnAPlainServiceUsesTheOtherRegionWithoutDelayingIt() {
+        TwoRegions regions = afterNormalLoad(PLAIN, 150);
+        regions.run(5_000, 800, 150);
         Count north = regions.count("north");
         Count south = regions.count("south");
         assertTrue(north.crossed > 50, "crossed " + north.crossed);
-        assertTrue(south.partInTime() > 0.99, "south " + south.partInTime());
+        assertTrue(south.fractionInTime() > 0.99, "south " + south.fractionInTime());
     }
 
-    /** All upstreams of a region leave at once; the other has room for both. */
+    /** All upstreams of a region leave at once; the other region has capacity for both. */
     @Example
     void regionWithoutUpstreamsIsServedByTheOther() {
-        TwoRegions regions = calm(PLAIN, 100);
-        regions.lose("north");
-        regions.pass(10_000, 100, 100);
+        TwoRegions regions = afterNormalLoad(PLAIN, 100);
+        regions.removeUpstreams("north");
+        regions.run(10_000, 100, 100);
         Count north = regions.count("north");
-        assertEquals(north.asked, north.crossed + north.refused);
-        assertTrue(north.partInTime() > 0.99, "north " + north.partInTime());
+        assertEquals(north.requests, north.crossed + north.refused);
+        assertTrue(north.fractionInTime() > 0.99, "north " + north.fractionInTime());
         Count south = regions.count("south");
-        assertTrue(south.partInTime() > 0.99, "south " + south.partInTime());
+        assertTrue(south.fractionInTime() > 0.99, "south " + south.fractionInTime());
     }
 
     /**
-     * The same, and twice as many requests as the other region can take: its own go first, and most
-     * of the 270 a second that these leave go to the callers from elsewhere.
+     * As above, with twice as many requests as the other region can serve. Its own callers take
+     * precedence, and most of the remaining capacity of 270 per second serves the callers from the
+     * lost region.
      */
     @Example
-    void regionThatTakesOverKeepsItsOwnCallersInTime() {
-        TwoRegions regions = calm(PLAIN, 150);
-        regions.lose("north");
-        regions.pass(10_000, 700, 150);
+    void regionThatServesBothKeepsItsOwnCallersInTime() {
+        TwoRegions regions = afterNormalLoad(PLAIN, 150);
+        regions.removeUpstreams("north");
+        regions.run(10_000, 700, 150);
         Count south = regions.count("south");
-        assertTrue(south.partInTime() > 0.95, "south " + south.partInTime());
+        assertTrue(south.fractionInTime() > 0.95, "south " + south.fractionInTime());
         Count north = regions.count("north");
         assertTrue(north.inTime > 0.6 * 2_700, "north " + north.inTime);
     }
 
-    /** Requests of both regions pass all that both can take: nothing is gained by the long way. */
+    /**
+     * Both regions receive more than their capacity, so that sending requests to the other one
+     * gains nothing.
+     */
     @Example
     void overloadOfBothRegionsDoesNotCross() {
-        TwoRegions regions = calm(PLAIN, 150);
-        regions.pass(5_000, 600, 600);
+        TwoRegions regions = afterNormalLoad(PLAIN, 150);
+        regions.run(5_000, 600, 600);
         Count north = regions.count("north");
         Count south = regions.count("south");
-        int asked = north.asked + south.asked;
+        int asked = north.requests + south.requests;
         int crossed = north.crossed + south.crossed;
         assertTrue(crossed < 0.05 * asked, crossed + " of " + asked + " crossed");
     }
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/RegionUseTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/RegionUseTest.java
@@ -26,7 +26,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Sums of a region's work, and their spreading over its upstreams elsewhere. */
+/**
+ * Sums of a region's work for other regions, and their distribution over its upstreams there.
+ * Guards against work that is lost or counted twice.
+ */
 class RegionUseTest {
     private static Upstream upstream(String id, String service, String dataCentre) {
         return new Upstream(id, service, dataCentre, "h:1", 8, false, false, 0);
@@ -37,19 +40,19 @@
             @ForAll @IntRange(max = 5_000) int requests,
             @ForAll @IntRange(max = 2_000_000) int tokens,
             @ForAll @IntRange(min = 1, max = 40) int upstreams) {
-        List<Upstream> there = new ArrayList<>();
+        List<Upstream> known = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
-            there.add(upstream("w" + i, "s", "b"));
+            known.add(upstream("w" + i, "s", "b"));
         }
-        there.add(upstream("other", "t", "b"));
-        there.add(upstream("here", "s", "a"));
+        known.add(upstream("other", "t", "b"));
+        known.add(upstream("here", "s", "a"));
         UpstreamUse sum = new UpstreamUse(RegionUse.name("b", "s"), requests, tokens);
-        List<UpstreamUse> single = RegionUse.spread(List.of(sum), "b", there, dc -> dc);
+        List<UpstreamUse> single = RegionUse.spread(List.of(sum), "b", known, dc -> dc);
         assertEquals(requests, single.stream().mapToInt(UpstreamUse::requests).sum());
         assertEquals(tokens, single.stream().mapToInt(UpstreamUse::promptTokens).sum());
         assertTrue(single.stream().allMatch(use -> use.upstream().startsWith("w")));
-        int most = single.stream().mapToInt(UpstreamUse::requests).max().orElse(0);
-        assertTrue(most <= requests / upstreams + 1);
+        int max = single.stream().mapToInt(UpstreamUse::requests).max().orElse(0);
+        assertTrue(max <= requests / upstreams + 1);
     }
 
     @Example
@@ -64,9 +67,9 @@
                         new UpstreamUse("y", 2, 20),
                         new UpstreamUse("far", 3, 30),
                         new UpstreamUse("gone", 4, 40));
-        List<UpstreamUse> told = RegionUse.of(uses, directory::find, "a", "a"::equals);
+        List<UpstreamUse> reported = RegionUse.of(uses, directory::find, "a", "a"::equals);
         UpstreamUse sum = new UpstreamUse(RegionUse.name("a", "s"), 3, 30);
-        assertEquals(List.of(new UpstreamUse("far", 3, 30), sum), told);
+        assertEquals(List.of(new UpstreamUse("far", 3, 30), sum), reported);
     }
 
     @Example
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/TwoRegions.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/TwoRegions.java
@@ -36,13 +36,14 @@
 import java.util.SplittableRandom;
 
 /**
- * Gateway processes and upstreams of one service in two regions, in virtual time. Processes tell
- * each other their work five times a second, and know of others no more than that.
+ * Simulates gateway processes and upstreams of one service in two regions, in virtual time.
+ * Processes report their work to each other five times per second, and know nothing else about each
+ * other.
  */
 final class TwoRegions {
-    private static final int PROCESSES_OF_EACH = 12;
+    private static final int PROCESSES_PER_REGION = 12;
     private static final long DIGEST_MILLIS = 200;
-    private static final double WAY_MILLIS = 8;
+    private static final double CROSS_REGION_MILLIS = 8;
     static final int SUBJECTS = 20;
     private static final int SHARED_TOKENS = 6_300;
     private static final int OWN_TOKENS = 2_890;
@@ -59,47 +60,48 @@
             new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
     private final Map<String, Count> counts = new HashMap<>();
     private final Map<String, Set<String>> readers = new HashMap<>();
-    private final Map<String, String> known;
+    private final Map<String, String> knownRegions;
     private double now;
     private long number;
 
     /**
-     * What is asked of the service.
+     * The service and the load on it.
      *
      * @param prompted true for a model that reads prompts
-     * @param upstreamsOfEach upstreams of each region
-     * @param slots requests that each works on at once
-     * @param runMillis how long a place is taken, in milliseconds
-     * @param tokensPerMilli how fast a prompt is read; 0 if there are none
+     * @param upstreamsPerRegion upstreams of each region
+     * @param slots requests that each upstream processes at the same time
+     * @param runMillis how long a slot is occupied, in milliseconds
+     * @param tokensPerMilli how fast a prompt is read, in tokens per millisecond; 0 if there are
+     *     none
      * @param objectiveMillis time for the first event or the answer, in milliseconds
      */
     record Load(
             boolean prompted,
-            int upstreamsOfEach,
+            int upstreamsPerRegion,
             int slots,
             double runMillis,
             double tokensPerMilli,
             long objectiveMillis) {}
 
-    /** What became of the requests of one region. */
+    /** The outcome of the requests of one region. */
     static final class Count {
-        int asked;
+        int requests;
         int inTime;
         int refused;
         int crossed;
 
-        double partInTime() {
-            return inTime / (double) Math.max(1, asked);
+        double fractionInTime() {
+            return inTime / (double) Math.max(1, requests);
         }
     }
 
     private record Due(double at, long number, Runnable task) {}
 
-    /** One upstream: reads prompts one after the other, and has some places. */
+    /** One upstream, which reads prompts one after another and has a number of slots. */
     private static final class Engine {
-        private final PriorityQueue<Double> placesFreeAt = new PriorityQueue<>();
-        private final Set<String> held = new HashSet<>();
-        private double readsUntil;
+        private final PriorityQueue<Double> slotsFreeAt = new PriorityQueue<>();
+        private final Set<String> cachedSubjects = new HashSet<>();
+        private double readingUntil;
     }
 
     /** One process that accepts requests. */
@@ -112,31 +114,31 @@
 
         Gateway(String name, String dataCentre) {
             this.name = name;
-            Topology topology = Topology.of(dataCentre, known);
+            Topology topology = Topology.of(dataCentre, knownRegions);
             this.region = REGIONS.get(dataCentre);
             this.selector =
                     new UpstreamSelector(
                             topology,
-                            new UpstreamAvailability(directory, new UpstreamRests()),
+                            new UpstreamAvailability(directory, new UpstreamBackoffs()),
                             loads,
                             model,
                             new VersionGate(),
-                            () -> PROCESSES_OF_EACH,
+                            () -> PROCESSES_PER_REGION,
                             List.of());
         }
 
-        void tell() {
+        void reportUses() {
             List<UpstreamUse> uses = loads.ownUses();
             for (Gateway other : processes) {
                 if (other != this) {
-                    other.loads.peerUses(name, uses);
+                    other.loads.setPeerUses(name, uses);
                 }
             }
         }
 
         void serve(ServingRequest request) {
             Count count = count(region);
-            count.asked++;
+            count.requests++;
             Optional<Selection> chosen = selector.choose(request, Set.of(), (long) now);
             if (chosen.isEmpty()) {
                 count.refused++;
@@ -148,22 +150,27 @@
             int tokens = request.prompt().tokensIn();
             selector.sent(request, upstream.id());
             loads.sent(upstream.id(), tokens);
-            run(request, upstream, crosses ? WAY_MILLIS : 0.5, count, tokens);
+            run(request, upstream, crosses ? CROSS_REGION_MILLIS : 0.5, count, tokens);
         }
 
         private void run(
-                ServingRequest request, Upstream upstream, double way, Count count, int tokens) {
+                ServingRequest request,
+                Upstream upstream,
+                double latencyMillis,
+                Count count,
+                int tokens) {
             double sent = now;
             Engine engine = engines.get(upstream.id());
-            double place = now + way;
-            if (engine.placesFreeAt.size() >= load.slots()) {
-                place = Math.max(place, engine.placesFreeAt.remove());
+            double slotFreeAt = now + latencyMillis;
+            if (engine.slotsFreeAt.size() >= load.slots()) {
+                slotFreeAt = Math.max(slotFreeAt, engine.slotsFreeAt.remove());
             }
-            double first = load.prompted() ? read(engine, upstream, request, place) : place;
+            double first =
+                    load.prompted() ? read(engine, upstream, request, slotFreeAt) : slotFreeAt;
             double free = first + load.runMillis();
-            engine.placesFreeAt.add(free);
-            double begun = (load.prompted() ? first : free) + way;
-            double ended = free + way;
+            engine.slotsFreeAt.add(free);
+            double begun = (load.prompted() ? first : free) + latencyMillis;
+            double ended = free + latencyMillis;
             count.inTime += begun - sent <= load.objectiveMillis() ? 1 : 0;
             at(
                     begun,
@@ -186,27 +193,27 @@
         this(load, seed, REGIONS);
     }
 
-    /** Creates regions that the processes know as the table says. */
+    /** Creates regions whose processes know the regions of a table. */
     TwoRegions(Load load, long seed, Map<String, String> known) {
-        this.known = known;
+        this.knownRegions = known;
         this.load = load;
         this.random = new SplittableRandom(seed);
-        for (int i = 0; i < 2 * load.upstreamsOfEach(); i++) {
+        for (int i = 0; i < 2 * load.upstreamsPerRegion(); i++) {
             String id = "w" + i;
             String dataCentre = dataCentre(i);
             directory.changed(
                     new Upstream(id, SERVICE, dataCentre, "h:1", load.slots(), false, false, 0));
             engines.put(id, new Engine());
         }
-        for (int i = 0; i < 2 * PROCESSES_OF_EACH; i++) {
+        for (int i = 0; i < 2 * PROCESSES_PER_REGION; i++) {
             Gateway process = new Gateway("p" + i, dataCentre(i));
             processes.add(process);
-            at(i * 7.0, () -> tellAgain(process));
+            at(i * 7.0, () -> reportPeriodically(process));
         }
     }
 
-    /** Has a region's upstreams leave. */
-    void lose(String region) {
+    /** Makes a region's upstreams leave. */
+    void removeUpstreams(String region) {
         for (Upstream upstream : directory.all()) {
             if (REGIONS.get(upstream.dataCentre()).equals(region)) {
                 directory.leaving(new LeavingUpstream(upstream.id(), 0));
@@ -218,17 +225,19 @@
         return counts.computeIfAbsent(region, name -> new Count());
     }
 
-    /** Returns how many times shared parts were read by an upstream that did not hold them. */
+    /**
+     * Returns how many times shared blocks were read by an upstream that did not have them cached.
+     */
     int sharedReads() {
         return readers.values().stream().mapToInt(Set::size).sum();
     }
 
-    /** Has requests come at both regions; what became of them is counted anew. */
-    void pass(long millis, double northPerSecond, double southPerSecond) {
+    /** Generates requests in both regions for some time; resets the counts first. */
+    void run(long millis, double northPerSecond, double southPerSecond) {
         counts.clear();
         double end = now + millis;
-        arrive("north", northPerSecond, end);
-        arrive("south", southPerSecond, end);
+        scheduleArrivals("north", northPerSecond, end);
+        scheduleArrivals("south", southPerSecond, end);
         while (!due.isEmpty() && due.peek().at() < end) {
             Due next = due.remove();
             now = next.at();
@@ -237,32 +246,34 @@
         now = end;
     }
 
-    private void arrive(String region, double perSecond, double end) {
-        double at = now - Math.log(1 - random.nextDouble()) * 1_000 / perSecond;
+    private void scheduleArrivals(String region, double requestsPerSecond, double end) {
+        double at = now - Math.log(1 - random.nextDouble()) * 1_000 / requestsPerSecond;
         while (at < end) {
             List<Gateway> there =
                     processes.stream().filter(process -> process.region.equals(region)).toList();
             Gateway process = there.get(random.nextInt(there.size()));
             double accepted = at;
             at(accepted, () -> process.serve(request((long) accepted)));
-            at -= Math.log(1 - random.nextDouble()) * 1_000 / perSecond;
+            at -= Math.log(1 - random.nextDouble()) * 1_000 / requestsPerSecond;
         }
     }
 
-    private void tellAgain(Gateway process) {
-        process.tell();
-        at(now + DIGEST_MILLIS, () -> tellAgain(process));
+    private void reportPeriodically(Gateway process) {
+        process.reportUses();
+        at(now + DIGEST_MILLIS, () -> reportPeriodically(process));
     }
 
-    private double read(Engine engine, Upstream upstream, ServingRequest request, double place) {
+    private double read(
+            Engine engine, Upstream upstream, ServingRequest request, double slotFreeAt) {
         String subject = request.prompt().subject();
         int tokens = OWN_TOKENS;
-        if (engine.held.add(subject)) {
+        if (engine.cachedSubjects.add(subject)) {
             tokens += SHARED_TOKENS;
             readers.computeIfAbsent(subject, key -> new HashSet<>()).add(upstream.id());
         }
-        engine.readsUntil = Math.max(place, engine.readsUntil) + tokens / load.tokensPerMilli();
-        return engine.readsUntil;
+        engine.readingUntil =
+                Math.max(slotFreeAt, engine.readingUntil) + tokens / load.tokensPerMilli();
+        return engine.readingUntil;
     }
 
     private void at(double time, Runnable task) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Attempt.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Attempt.java
@@ -19,8 +19,8 @@
 import io.trailladder.core.pipeline.ServingRequest;
 import io.trailladder.core.rollout.AnswerSeen;
 import io.trailladder.core.upstream.AnswerNotice;
-import io.trailladder.core.upstream.LimitTurn;
 import io.trailladder.core.upstream.Selection;
+import io.trailladder.core.upstream.SendSlot;
 import io.trailladder.core.upstream.Upstream;
 import io.trailladder.core.upstream.UpstreamAvailability;
 import io.trailladder.entry.http.CallFailure;
@@ -47,7 +47,7 @@
     private final double predictedMillis;
     private final Owner owner;
     private final long createdMillis;
-    private Optional<LimitTurn> turn = Optional.empty();
+    private Optional<SendSlot> turn = Optional.empty();
     private ClientCall call;
     private boolean sent;
     private long sentMillis;
@@ -206,7 +206,7 @@
         } else {
             context.crashes().answered(upstream, createdMillis);
             if (answered <= SUCCESS_TO) {
-                context.rests().taken(upstream, heardMillis);
+                context.rests().requestAccepted(upstream, heardMillis);
             }
             owner.answered(this, answered, headers, length);
         }
@@ -314,7 +314,7 @@
     private void finish() {
         over = true;
         if (!sent) {
-            turn.ifPresent(context.limits()::giveBack);
+            turn.ifPresent(context.limits()::returnSlot);
         }
         promptRead();
         context.loads().ended(upstream.id());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestWriter.java
@@ -191,7 +191,7 @@
                 processes,
                 keepsUsage ? histories(usage.allChangesAfter(leaf.usageTold())) : List.of(),
                 quotas.restUses(leaf.life(), nowMillis),
-                loads.restUses(leaf.name()),
+                loads.usesExcept(leaf.name()),
                 sum(others, nowMillis),
                 evidence(others, nowMillis),
                 parts.sections(DigestScope.REST, Peer.names(others), nowMillis));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
@@ -30,10 +30,10 @@
 import io.trailladder.core.upstream.DemandMeter;
 import io.trailladder.core.upstream.Upstream;
 import io.trailladder.core.upstream.UpstreamAvailability;
+import io.trailladder.core.upstream.UpstreamBackoffs;
 import io.trailladder.core.upstream.UpstreamDirectory;
 import io.trailladder.core.upstream.UpstreamLimits;
 import io.trailladder.core.upstream.UpstreamLoads;
-import io.trailladder.core.upstream.UpstreamRests;
 import io.trailladder.core.upstream.UpstreamSelector;
 import io.trailladder.entry.gateway.DecisionLog.Lifecycle;
 import io.trailladder.entry.gateway.DecisionLog.StoreUse;
@@ -100,7 +100,7 @@
     private final HttpConnector connector = new HttpConnector(loop);
     private final UpstreamDirectory directory = new UpstreamDirectory();
     private final UpstreamLoads loads = new UpstreamLoads();
-    private final UpstreamRests rests = new UpstreamRests();
+    private final UpstreamBackoffs rests = new UpstreamBackoffs();
     private final UpstreamLimits limits;
     private final UpstreamAvailability availability;
     private final EngineModel engines = new EngineModel();
@@ -371,9 +371,9 @@
     }
 
     private void forgetGone() {
-        loads.forgetGone(directory);
-        rests.forgetGone(directory, loop.nowMillis());
-        limits.forgetGone(directory, loop.nowMillis());
+        loads.evictUnlisted(directory);
+        rests.evictUnlisted(directory, loop.nowMillis());
+        limits.evictOutdated(directory, loop.nowMillis());
     }
 
     /** Stops the process: it goes on serving until the balancer has left it out. */
@@ -476,8 +476,8 @@
             if (!directory.isLeaving(upstream.id())) {
                 crashes.isGone(upstream);
             }
-        } else if (upstream.leavesMillis() > 0) {
-            long notice = Math.max(0, upstream.leavesMillis() - END_MARGIN_MILLIS);
+        } else if (upstream.leavesInMillis() > 0) {
+            long notice = Math.max(0, upstream.leavesInMillis() - END_MARGIN_MILLIS);
             loop.schedule(notice, () -> intake.moveAway(upstream));
         }
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
@@ -24,7 +24,7 @@
 import io.trailladder.core.pipeline.RecoveryPolicy;
 import io.trailladder.core.pipeline.ServingRequest;
 import io.trailladder.core.policy.RouteKind;
-import io.trailladder.core.upstream.Crossing;
+import io.trailladder.core.upstream.CrossRegionChoice;
 import io.trailladder.core.upstream.Selection;
 import io.trailladder.core.upstream.Upstream;
 import io.trailladder.entry.gateway.DecisionLog.AttemptFailed;
@@ -96,7 +96,7 @@
     void start() {
         long now = context.loop().nowMillis();
         context.budgets().requested(request.service(), now);
-        context.availability().asked(request.service(), request.priority(), now);
+        context.availability().requestReceived(request.service(), request.priority(), now);
         nextAttempt();
     }
 
@@ -124,7 +124,7 @@
         }
         long now = context.loop().nowMillis();
         boolean leaves = reason == AttemptFailure.LEAVING;
-        if (!leaves || context.availability().isAnyTaking(request.service(), now)) {
+        if (!leaves || context.availability().isAnyAccepting(request.service(), now)) {
             attempt.fail(reason);
         }
     }
@@ -205,8 +205,8 @@
         } else if (choice.isEmpty()) {
             turnAwayWithoutChoice(now);
         } else if (!history.hasAnswerBegun()
-                && choice.get().placeMillis() > request.deadlineMillis() - now) {
-            turnAway(TurnedAway.NO_PLACE_IN_TIME, choice.get().placeMillis());
+                && choice.get().slotWaitMillis() > request.deadlineMillis() - now) {
+            turnAway(TurnedAway.NO_PLACE_IN_TIME, choice.get().slotWaitMillis());
         } else {
             send(choice.get(), now);
         }
@@ -214,7 +214,8 @@
 
     private void turnAwayWithoutChoice(long now) {
         long none =
-                context.availability().noneTakesMillis(request.service(), request.priority(), now);
+                context.availability()
+                        .untilAnyAcceptsMillis(request.service(), request.priority(), now);
         if (none > 0) {
             turnAway(TurnedAway.NONE_TAKES, none);
         } else {
@@ -256,7 +257,7 @@
                         selection.candidates(),
                         context.peersAgeMillis().getAsLong(),
                         history.lastEventId()));
-        selection.crossing().ifPresent(this::crosses);
+        selection.crossRegion().ifPresent(this::crosses);
         context.selector().sent(request, upstream.id());
         answer.newAttempt();
         attempt = new Attempt(context, request, selection, this);
@@ -264,14 +265,14 @@
         attempt.start(calls.to(upstream, history.lastEventId(), now));
     }
 
-    private void crosses(Crossing crossing) {
+    private void crosses(CrossRegionChoice crossing) {
         context.metrics().count(GatewayMetrics.Event.SENT_TO_OTHER_REGION);
         DecisionLog.write(
                 new SentAcross(
                         request.id(),
                         crossing.region(),
-                        crossing.hereMillis(),
-                        crossing.thereMillis()));
+                        crossing.localMillis(),
+                        crossing.remoteMillis()));
     }
 
     private void firstByte() {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ReturnTimes.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ReturnTimes.java
@@ -18,7 +18,7 @@
 import io.trailladder.core.engine.EngineModel;
 import io.trailladder.core.pipeline.ServingRequest;
 import io.trailladder.core.policy.ServiceSpec;
-import io.trailladder.core.upstream.PlaceForecast;
+import io.trailladder.core.upstream.SlotForecast;
 import io.trailladder.core.upstream.UpstreamAvailability;
 import io.trailladder.core.upstream.UpstreamLoads;
 import java.util.HashMap;
@@ -67,15 +67,15 @@
      */
     long place(ServingRequest request, long nowMillis) {
         String service = request.service();
-        long noneTakes = availability.noneTakesMillis(service, request.priority(), nowMillis);
-        double every = availability.ownEveryMillis(service);
+        long noneTakes = availability.untilAnyAcceptsMillis(service, request.priority(), nowMillis);
+        double every = availability.ownIntervalMillis(service);
         if (noneTakes > 0 && every > 0) {
             String queue = service + '/' + request.priority();
             return turn(queue, nowMillis, nowMillis + noneTakes, every);
         }
         long place =
-                PlaceForecast.millis(
-                        availability.staying(service),
+                SlotForecast.millis(
+                        availability.notLeaving(service),
                         loads,
                         engines.estimate(service, nowMillis),
                         bootMillis(service));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ServingContext.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ServingContext.java
@@ -19,10 +19,10 @@
 import io.trailladder.core.engine.EngineModel;
 import io.trailladder.core.upstream.DemandMeter;
 import io.trailladder.core.upstream.UpstreamAvailability;
+import io.trailladder.core.upstream.UpstreamBackoffs;
 import io.trailladder.core.upstream.UpstreamDirectory;
 import io.trailladder.core.upstream.UpstreamLimits;
 import io.trailladder.core.upstream.UpstreamLoads;
-import io.trailladder.core.upstream.UpstreamRests;
 import io.trailladder.core.upstream.UpstreamSelector;
 import io.trailladder.entry.http.HttpConnector;
 import io.trailladder.entry.loop.EventLoop;
@@ -66,7 +66,7 @@
         ConnectionShares connections,
         UpstreamDirectory directory,
         UpstreamAvailability availability,
-        UpstreamRests rests,
+        UpstreamBackoffs rests,
         UpstreamLimits limits,
         UpstreamNotices notices,
         UpstreamLoads loads,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SilenceWatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SilenceWatch.java
@@ -77,7 +77,7 @@
         long now = context.loop().nowMillis();
         if (attempt.silentMillis() >= most
                 && RecoveryPolicy.allowsAnother(request, history, now)
-                && context.availability().isAnyTaking(request.service(), now)
+                && context.availability().isAnyAccepting(request.service(), now)
                 && context.budgets().tryRetry(request.service(), now)) {
             paid = true;
             attempt.fail(AttemptFailure.SILENT);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
@@ -18,8 +18,8 @@
 import io.trailladder.core.RecentMap;
 import io.trailladder.core.upstream.AnswerNotice;
 import io.trailladder.core.upstream.Upstream;
+import io.trailladder.core.upstream.UpstreamBackoffs;
 import io.trailladder.core.upstream.UpstreamLimits;
-import io.trailladder.core.upstream.UpstreamRests;
 import io.trailladder.entry.gateway.GatewayMetrics.Event;
 import java.util.Map;
 import java.util.function.LongSupplier;
@@ -37,7 +37,7 @@
 
     private final LongSupplier nowMillis;
     private final DirectoryKeeper directory;
-    private final UpstreamRests rests;
+    private final UpstreamBackoffs rests;
     private final UpstreamLimits limits;
     private final GatewayMetrics metrics;
     private final Map<String, Boolean> faulty = new RecentMap<>(MOST_FAULTY);
@@ -45,7 +45,7 @@
     UpstreamNotices(
             LongSupplier nowMillis,
             DirectoryKeeper directory,
-            UpstreamRests rests,
+            UpstreamBackoffs rests,
             UpstreamLimits limits,
             GatewayMetrics metrics) {
         this.nowMillis = nowMillis;
@@ -68,7 +68,7 @@
     void heard(
             String request, Upstream upstream, int status, AnswerNotice notice, long sentMillis) {
         long now = nowMillis.getAsLong();
-        boolean news = limits.answered(upstream, notice.limit(), sentMillis, now);
+        boolean news = limits.answerReceived(upstream, notice.limit(), sentMillis, now);
         if (news) {
             metrics.count(Event.UPSTREAM_CHANGED_ITS_LIMIT);
         }
@@ -79,7 +79,8 @@
             metrics.count(Event.UPSTREAM_SAID_IT_LEAVES);
             news = true;
         }
-        if (notice.restMillis() > 0 && rests.asked(upstream, notice.restMillis(), now)) {
+        if (notice.backoffMillis() > 0
+                && rests.backoffRequested(upstream, notice.backoffMillis(), now)) {
             metrics.count(Event.UPSTREAM_ASKED_FOR_REST);
             news = true;
         }
@@ -94,7 +95,7 @@
                             upstream.id(),
                             status,
                             notice.leaving(),
-                            Math.min(notice.restMillis(), UpstreamRests.LONGEST_MILLIS),
+                            Math.min(notice.backoffMillis(), UpstreamBackoffs.MAX_BACKOFF_MILLIS),
                             notice.limit(),
                             notice.fault()));
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
@@ -25,7 +25,7 @@
 import io.trailladder.core.policy.ServingPolicy;
 import io.trailladder.core.topology.Topology;
 import io.trailladder.core.upstream.DemandMeter;
-import io.trailladder.core.upstream.TurnOrder;
+import io.trailladder.core.upstream.SendSlotOrder;
 import io.trailladder.core.upstream.Upstream;
 import io.trailladder.core.upstream.UpstreamDirectory;
 import io.trailladder.core.upstream.UpstreamLimits;
@@ -181,9 +181,9 @@
         return limits;
     }
 
-    private TurnOrder turns(Upstream upstream) {
+    private SendSlotOrder turns(Upstream upstream) {
         List<String> names = cluster.names();
-        return new TurnOrder(names.indexOf(member.name()), names.size());
+        return new SendSlotOrder(names.indexOf(member.name()), names.size());
     }
 
     CrashWatch crashes() {
