--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/AnswerNotice.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/AnswerNotice.java
@@ -19,8 +19,8 @@
  * What the head of an answer reports about the upstream itself, in addition to the answer.
  *
  * @param leaving true if the upstream announces that it leaves
- * @param backoffMillis how long it requests no requests from this process, in milliseconds; 0 if it
- *     does not request a back-off
+ * @param backoffMillis duration of the back-off that it requests from this process, in
+ *     milliseconds; 0 if none
  * @param limit how many requests it accepts from all processes together
  * @param fault what could not be parsed, with the expected form; empty if everything could
  * @since 0.5
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/DemandMeter.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/DemandMeter.java
@@ -33,7 +33,7 @@
      */
     private static final double SMOOTHING_MILLIS = 6_000;
 
-    /** Minimum time over which a rate is computed, in milliseconds: that of a few requests. */
+    /** Minimum time over which a rate is computed, in milliseconds: the time of a few requests. */
     private static final double MIN_SPAN_MILLIS = 500;
 
     private final Map<String, Rate> rates = new HashMap<>();
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamAvailability.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamAvailability.java
@@ -218,7 +218,8 @@
      * @param service the service
      * @param priority the priority of the request; 0 is the most urgent
      * @param nowMillis the current time, in milliseconds
-     * @return milliseconds until the first accepts one; 0 if one does now, or all leave
+     * @return milliseconds until the first accepts one; 0 if one does now, all leave, or this
+     *     process has no share of any of their limits
      */
     public long untilAnyAcceptsMillis(String service, int priority, long nowMillis) {
         if (backoffs.isEmpty() && limits.isEmpty()) {
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/RegionLoadTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/RegionLoadTest.java
@@ -134,8 +134,8 @@
         regions.run(5_000, 600, 600);
         Count north = regions.count("north");
         Count south = regions.count("south");
-        int asked = north.requests + south.requests;
+        int requests = north.requests + south.requests;
         int crossed = north.crossed + south.crossed;
-        assertTrue(crossed < 0.05 * asked, crossed + " of " + asked + " crossed");
+        assertTrue(crossed < 0.05 * requests, crossed + " of " + requests + " crossed");
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/UpstreamLimitHistoriesTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/UpstreamLimitHistoriesTest.java
@@ -146,11 +146,11 @@
                 return;
             }
             if (limits.isLimited(UPSTREAM)) {
-                var turn = limits.take(UPSTREAM);
-                if (turn.isEmpty()) {
+                var slot = limits.take(UPSTREAM);
+                if (slot.isEmpty()) {
                     return;
                 }
-                limits.sent(turn.get());
+                limits.sent(slot.get());
             }
             arrivals.add(now);
             long sent = now;
