--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestWriter.java
@@ -190,7 +190,7 @@
                 DigestScope.REST,
                 processes,
                 keepsUsage ? histories(usage.allChangesAfter(leaf.usageTold())) : List.of(),
-                quotas.restUses(leaf.life(), nowMillis),
+                quotas.usesWithoutLeaf(leaf.life(), nowMillis),
                 loads.usesExcept(leaf.name()),
                 sum(others, nowMillis),
                 evidence(others, nowMillis),
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
@@ -33,14 +33,14 @@
  */
 final class UpstreamNotices {
     /** Most upstreams of which it is known that an unreadable notice was logged. */
-    private static final int MOST_FAULTY = 1_000;
+    private static final int MAX_FAULTY_UPSTREAMS = 1_000;
 
     private final LongSupplier nowMillis;
     private final DirectoryKeeper directory;
-    private final UpstreamBackoffs rests;
+    private final UpstreamBackoffs backoffs;
     private final UpstreamLimits limits;
     private final GatewayMetrics metrics;
-    private final Map<String, Boolean> faulty = new RecentMap<>(MOST_FAULTY);
+    private final Map<String, Boolean> faulty = new RecentMap<>(MAX_FAULTY_UPSTREAMS);
 
     UpstreamNotices(
             LongSupplier nowMillis,
@@ -50,7 +50,7 @@
             GatewayMetrics metrics) {
         this.nowMillis = nowMillis;
         this.directory = directory;
-        this.rests = rests;
+        this.backoffs = rests;
         this.limits = limits;
         this.metrics = metrics;
     }
@@ -65,7 +65,7 @@
      * @param notice what it says
      * @param sentMillis when the request was sent
      */
-    void heard(
+    void received(
             String request, Upstream upstream, int status, AnswerNotice notice, long sentMillis) {
         long now = nowMillis.getAsLong();
         boolean news = limits.answerReceived(upstream, notice.limit(), sentMillis, now);
@@ -80,7 +80,7 @@
             news = true;
         }
         if (notice.backoffMillis() > 0
-                && rests.backoffRequested(upstream, notice.backoffMillis(), now)) {
+                && backoffs.backoffRequested(upstream, notice.backoffMillis(), now)) {
             metrics.count(Event.UPSTREAM_ASKED_FOR_REST);
             news = true;
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
@@ -133,9 +133,9 @@
         view.add(LimitPart.of(limits, cluster::now, () -> tellsSoon = true));
         view.add(new CrashPart(crashes, member.name().hashCode() * 31L + life));
         crashes.onOwnNews(view::tellSoon);
-        quotas.onMuchUsed(() -> tellsSoon = true);
+        quotas.onMuchUnreported(() -> tellsSoon = true);
         view.start(new Links(), () -> false);
-        quotas.policy(cluster.policy(), cluster.now());
+        quotas.applyPolicy(cluster.policy(), cluster.now());
         startedMillis = cluster.now();
         listAtMillis = startedMillis;
         heardMillis.clear();
@@ -203,7 +203,7 @@
     }
 
     void policyChanged() {
-        quotas.policy(cluster.policy(), cluster.now());
+        quotas.applyPolicy(cluster.policy(), cluster.now());
     }
 
     /** Tells how many requests come now, if so many are expected on average. */
