--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
@@ -30,10 +30,10 @@
 import io.trailladder.core.upstream.DemandMeter;
 import io.trailladder.core.upstream.Upstream;
 import io.trailladder.core.upstream.UpstreamAvailability;
+import io.trailladder.core.upstream.UpstreamBackoffs;
 import io.trailladder.core.upstream.UpstreamDirectory;
 import io.trailladder.core.upstream.UpstreamLimits;
 import io.trailladder.core.upstream.UpstreamLoads;
-import io.trailladder.core.upstream.UpstreamRests;
 import io.trailladder.core.upstream.UpstreamSelector;
 import io.trailladder.entry.gateway.DecisionLog.Lifecycle;
 import io.trailladder.entry.gateway.DecisionLog.StoreUse;
@@ -105,7 +105,7 @@
     private final HttpConnector connector = new HttpConnector(loop);
     private final UpstreamDirectory directory = new UpstreamDirectory();
     private final UpstreamLoads loads = new UpstreamLoads();
-    private final UpstreamRests backoffs = new UpstreamRests();
+    private final UpstreamBackoffs backoffs = new UpstreamBackoffs();
     private final UpstreamLimits limits;
     private final UpstreamAvailability availability;
     private final EngineModel engines = new EngineModel();
@@ -377,9 +377,9 @@
     }
 
     private void pruneRemovedUpstreams() {
-        loads.forgetGone(directory);
-        backoffs.forgetGone(directory, loop.nowMillis());
-        limits.forgetGone(directory, loop.nowMillis());
+        loads.evictUnlisted(directory);
+        backoffs.evictUnlisted(directory, loop.nowMillis());
+        limits.evictOutdated(directory, loop.nowMillis());
     }
 
     /** Begins to stop the process, which serves until the load balancer has removed it. */
@@ -494,8 +494,8 @@
             if (!directory.isLeaving(upstream.id())) {
                 crashes.isGone(upstream);
             }
-        } else if (upstream.leavesMillis() > 0) {
-            long delayMillis = Math.max(0, upstream.leavesMillis() - END_MARGIN_MILLIS);
+        } else if (upstream.leavesInMillis() > 0) {
+            long delayMillis = Math.max(0, upstream.leavesInMillis() - END_MARGIN_MILLIS);
             loop.schedule(delayMillis, () -> intake.upstreamEnding(upstream));
         }
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
@@ -24,7 +24,7 @@
 import io.trailladder.core.pipeline.RecoveryPolicy;
 import io.trailladder.core.pipeline.ServingRequest;
 import io.trailladder.core.policy.RouteKind;
-import io.trailladder.core.upstream.Crossing;
+import io.trailladder.core.upstream.CrossRegionChoice;
 import io.trailladder.core.upstream.Selection;
 import io.trailladder.core.upstream.Upstream;
 import io.trailladder.entry.gateway.DecisionLog.AttemptFailed;
@@ -96,7 +96,7 @@
     void start() {
         long now = context.loop().nowMillis();
         context.budgets().requested(request.service(), now);
-        context.availability().asked(request.service(), request.priority(), now);
+        context.availability().requestReceived(request.service(), request.priority(), now);
         nextAttempt();
     }
 
@@ -128,7 +128,7 @@
         }
         long now = context.loop().nowMillis();
         boolean leaving = reason == AttemptFailure.LEAVING;
-        if (!leaving || context.availability().isAnyTaking(request.service(), now)) {
+        if (!leaving || context.availability().isAnyAccepting(request.service(), now)) {
             attempt.fail(reason);
         }
     }
@@ -209,8 +209,8 @@
         } else if (choice.isEmpty()) {
             turnAwayWithoutChoice(now);
         } else if (!history.hasAnswerBegun()
-                && choice.get().placeMillis() > request.deadlineMillis() - now) {
-            turnAway(TurnedAway.NO_PLACE_IN_TIME, choice.get().placeMillis());
+                && choice.get().slotWaitMillis() > request.deadlineMillis() - now) {
+            turnAway(TurnedAway.NO_PLACE_IN_TIME, choice.get().slotWaitMillis());
         } else {
             send(choice.get(), now);
         }
@@ -218,7 +218,8 @@
 
     private void turnAwayWithoutChoice(long now) {
         long unavailableMillis =
-                context.availability().noneTakesMillis(request.service(), request.priority(), now);
+                context.availability()
+                        .untilAnyAcceptsMillis(request.service(), request.priority(), now);
         if (unavailableMillis > 0) {
             turnAway(TurnedAway.NONE_AVAILABLE, unavailableMillis);
         } else {
@@ -264,7 +265,7 @@
                         selection.candidates(),
                         context.peersAgeMillis().getAsLong(),
                         history.lastEventId()));
-        selection.crossing().ifPresent(this::recordCrossing);
+        selection.crossRegion().ifPresent(this::recordCrossing);
         context.selector().sent(request, upstream.id());
         answer.newAttempt();
         attempt = new Attempt(context, request, selection, this);
@@ -272,14 +273,14 @@
         attempt.start(calls.to(upstream, history.lastEventId(), now));
     }
 
-    private void recordCrossing(Crossing crossing) {
+    private void recordCrossing(CrossRegionChoice crossing) {
         context.metrics().count(GatewayMetrics.Event.SENT_TO_OTHER_REGION);
         DecisionLog.write(
                 new SentAcross(
                         request.id(),
                         crossing.region(),
-                        crossing.hereMillis(),
-                        crossing.thereMillis()));
+                        crossing.localMillis(),
+                        crossing.remoteMillis()));
     }
 
     private void firstByte() {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ResponseTimeoutWatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ResponseTimeoutWatch.java
@@ -84,7 +84,7 @@
         long now = context.loop().nowMillis();
         if (attempt.unresponsiveMillis() >= timeoutMillis
                 && RecoveryPolicy.allowsAnother(request, history, now)
-                && context.availability().isAnyTaking(request.service(), now)
+                && context.availability().isAnyAccepting(request.service(), now)
                 && context.budgets().tryRetry(request.service(), now)) {
             retryCharged = true;
             attempt.fail(AttemptFailure.SILENT);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
@@ -18,8 +18,8 @@
 import io.trailladder.core.RecentMap;
 import io.trailladder.core.upstream.AnswerNotice;
 import io.trailladder.core.upstream.Upstream;
+import io.trailladder.core.upstream.UpstreamBackoffs;
 import io.trailladder.core.upstream.UpstreamLimits;
-import io.trailladder.core.upstream.UpstreamRests;
 import io.trailladder.entry.gateway.GatewayMetrics.Event;
 import java.util.Map;
 import java.util.function.LongSupplier;
@@ -39,7 +39,7 @@
 
     private final LongSupplier nowMillis;
     private final DirectoryKeeper directory;
-    private final UpstreamRests backoffs;
+    private final UpstreamBackoffs backoffs;
     private final UpstreamLimits limits;
     private final GatewayMetrics metrics;
     private final Map<String, Boolean> faulty = new RecentMap<>(MAX_FAULTY_UPSTREAMS);
@@ -47,7 +47,7 @@
     UpstreamNotices(
             LongSupplier nowMillis,
             DirectoryKeeper directory,
-            UpstreamRests backoffs,
+            UpstreamBackoffs backoffs,
             UpstreamLimits limits,
             GatewayMetrics metrics) {
         this.nowMillis = nowMillis;
@@ -70,7 +70,7 @@
     void received(
             String request, Upstream upstream, int status, AnswerNotice notice, long sentMillis) {
         long now = nowMillis.getAsLong();
-        boolean changed = limits.answered(upstream, notice.limit(), sentMillis, now);
+        boolean changed = limits.answerReceived(upstream, notice.limit(), sentMillis, now);
         if (changed) {
             metrics.count(Event.UPSTREAM_CHANGED_ITS_LIMIT);
         }
@@ -81,7 +81,8 @@
             metrics.count(Event.UPSTREAM_SAID_IT_LEAVES);
             changed = true;
         }
-        if (notice.restMillis() > 0 && backoffs.asked(upstream, notice.restMillis(), now)) {
+        if (notice.backoffMillis() > 0
+                && backoffs.backoffRequested(upstream, notice.backoffMillis(), now)) {
             metrics.count(Event.UPSTREAM_ASKED_FOR_REST);
             changed = true;
         }
@@ -96,7 +97,7 @@
                             upstream.id(),
                             status,
                             notice.leaving(),
-                            Math.min(notice.restMillis(), UpstreamRests.LONGEST_MILLIS),
+                            Math.min(notice.backoffMillis(), UpstreamBackoffs.MAX_BACKOFF_MILLIS),
                             notice.limit(),
                             notice.fault()));
         }
