--- a/trailladder-core/src/main/java/io/trailladder/core/duty/FleetPlanner.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/FleetPlanner.java
@@ -28,57 +28,61 @@
 import java.util.TreeMap;
 
 /**
- * Decides how many upstreams of a service each data centre is to have, and of which kind.
+ * Decides how many upstreams of a service each data centre gets, and of which kind.
  *
- * <p>Reclaimable upstreams carry the load, in equal parts in every data centre: as many as it needs
- * in comfort, and so many that the loss of all of one data centre leaves as many as serve it with a
- * margin. Upstreams at the full price only bridge the time in which reclaimable ones cannot be had.
- * Numbers grow soon and shrink late, so that they do not swing with the load. A planner that takes
- * a running system over begins with what serves, and gives nothing back before it has measured the
- * load for {@link #MEASURED_MILLIS}.
+ * <p>Reclaimable upstreams serve the load, in equal numbers in every data centre: as many as the
+ * load needs for comfortable operation, and enough that after the loss of a whole data centre the
+ * others serve it with a margin. Full-price upstreams only cover the time in which reclaimable ones
+ * are not available. Numbers grow soon and shrink late, so that they do not oscillate with the
+ * load. A planner that takes over a running system starts from the upstreams that serve, and
+ * releases none before it has measured the load for {@link #LOAD_MEASUREMENT_MILLIS}.
  *
  * @since 0.2
  */
 public final class FleetPlanner {
     /**
-     * How long the load must have been known before a planner that takes over, or began with a
-     * guess, shrinks a fleet, in milliseconds: some of the time over which the load is smoothed, so
-     * that a load that is still being summed up is not taken for a small one.
+     * Time for which the load must be known before a planner that took over, or that started from a
+     * guess, shrinks a fleet, in milliseconds. It is longer than the time constant with which the
+     * load is smoothed, so that a load that is still being summed up is not taken for a small one.
      */
-    public static final long MEASURED_MILLIS = 8_000;
+    public static final long LOAD_MEASUREMENT_MILLIS = 8_000;
 
     /**
-     * Reclaimable upstreams ordered for each that the operator provided, before any load is known:
-     * a data centre of three may be lost at once.
+     * Reclaimable upstreams ordered for each upstream that the operator provided, before any load
+     * is known. The factor covers the loss of one of three data centres.
      */
     private static final double PROVISION_FACTOR = 1.5;
 
     /**
-     * Part of a guessed number that stays when the load has been measured for the first time: a
-     * load that swings may just be at its lowest.
+     * Part of a guessed number that stays when the load has been measured for the first time, since
+     * an oscillating load may be at its lowest then.
      */
-    private static final double LEAST_OF_GUESS = 0.5;
+    private static final double MIN_PART_OF_GUESS = 0.5;
 
-    /** Upstreams that are to be left after a loss while no load is known. */
-    private static final double LEAST_WITHOUT_LOAD = 2;
+    /** Upstreams that must be left after the loss of a data centre while no load is known. */
+    private static final double MIN_WITHOUT_LOAD = 2;
 
     /**
-     * How long more must be wanted before reclaimable upstreams grow, in milliseconds: longer than
-     * a clump of arrivals.
+     * Time for which more reclaimable upstreams must be wanted before their number grows, in
+     * milliseconds. It is longer than a burst of arrivals.
      */
     private static final long GROW_AFTER_MILLIS = 1_500;
 
-    /** How long fewer must be wanted before they shrink; half of it measured no better. */
+    /**
+     * Time for which fewer reclaimable upstreams must be wanted before their number shrinks, in
+     * milliseconds. Half of it gives no better results.
+     */
     private static final long SHRINK_AFTER_MILLIS = 20_000;
 
     /**
-     * Time beyond the boot within which reclaimable upstreams that were ordered should serve, in
-     * milliseconds: until then nothing is bought in their place.
+     * Time beyond the boot time within which ordered reclaimable upstreams should serve, in
+     * milliseconds. Until then no full-price upstreams are ordered in their place.
      */
-    private static final long LATE_MILLIS = 1_500;
+    private static final long START_GRACE_MILLIS = 1_500;
 
     /**
-     * How long upstreams at the full price stay when they are no longer wanted: a swing of load.
+     * Time for which full-price upstreams are kept when they are no longer wanted, in milliseconds.
+     * It covers an oscillation of the load.
      */
     private static final long RELEASE_AFTER_MILLIS = 2_000;
 
@@ -87,19 +91,20 @@
     private final Map<String, Integer> dataCentres = new TreeMap<>();
     private final Set<String> provided = new HashSet<>();
     private final FullPricePlacement placement = new FullPricePlacement();
-    private final Map<String, Long> shortSinceMillis = new TreeMap<>();
-    private final FollowedNumber perDataCentre =
-            new FollowedNumber(GROW_AFTER_MILLIS, SHRINK_AFTER_MILLIS);
-    private final FollowedNumber fullPrice = new FollowedNumber(0, RELEASE_AFTER_MILLIS);
-    private long knownSinceMillis = -1;
+    private final Map<String, Long> shortageSinceMillis = new TreeMap<>();
+    private final StabilisedCount perDataCentre =
+            new StabilisedCount(GROW_AFTER_MILLIS, SHRINK_AFTER_MILLIS);
+    private final StabilisedCount fullPrice = new StabilisedCount(0, RELEASE_AFTER_MILLIS);
+    private long loadKnownSinceMillis = -1;
     private boolean guessed;
-    private int mostWanted;
+    private int maxWanted;
 
     /**
      * Creates a planner.
      *
-     * @param service the service it plans for
-     * @param takesOver true if others may have ordered upstreams before this process started
+     * @param service the service for which it plans
+     * @param takesOver true if other processes may have ordered upstreams before this process
+     *     started
      */
     public FleetPlanner(String service, boolean takesOver) {
         this.service = service;
@@ -107,14 +112,14 @@
     }
 
     /**
-     * Plans.
+     * Computes the orders for the current step.
      *
      * @param scaling bounds and prices
-     * @param upstreams the service's upstreams, leaving ones too
+     * @param upstreams the upstreams of the service, including leaving ones
      * @param need how many upstreams the load needs; empty if no load is known
-     * @param declined data centres where reclaimable upstreams could not be had lately
-     * @param nowMillis the time
-     * @return an order for both kinds in every data centre
+     * @param declined data centres in which the cloud recently declined reclaimable upstreams
+     * @param nowMillis the current time, in milliseconds
+     * @return one order for each kind in every data centre
      */
     public List<UpstreamOrder> plan(
             ScalingSpec scaling,
@@ -126,20 +131,23 @@
                 upstreams.stream().filter(upstream -> !upstream.draining()).toList();
         upstreams.forEach(upstream -> dataCentres.putIfAbsent(upstream.dataCentre(), 0));
         if (need.isEmpty()) {
-            learnProvided(serving);
+            recordProvided(serving);
         }
-        boolean holds = takesOver && !isMeasured(need.isPresent(), nowMillis);
-        if (holds) {
-            perDataCentre.hold(mostInOneDataCentre(serving), nowMillis);
+        boolean holding = takesOver && !isLoadMeasured(need.isPresent(), nowMillis);
+        if (holding) {
+            perDataCentre.holdAtLeast(maxInOneDataCentre(serving), nowMillis);
         }
         int target = target(wantedPerDataCentre(scaling, need), need.isPresent(), nowMillis);
         Map<String, Integer> reclaimable = reclaimable(scaling, serving, need, declined, target);
-        int coming = coming(scaling, serving, reclaimable, declined, nowMillis);
+        int expectedSoon = expectedSoon(scaling, serving, reclaimable, declined, nowMillis);
         int wantedFull =
-                holds ? count(serving, false) : wantedFullPrice(scaling, serving, need, coming);
-        int full = fullPrice.follow(wantedFull, nowMillis);
+                holding
+                        ? count(serving, false)
+                        : wantedFullPrice(scaling, serving, need, expectedSoon);
+        int full = fullPrice.update(wantedFull, nowMillis);
         Map<String, Integer> fullByDataCentre =
-                placement.place(full, scaling, room(scaling, serving, reclaimable, declined));
+                placement.place(
+                        full, scaling, fullPriceCapacity(scaling, serving, reclaimable, declined));
         List<UpstreamOrder> orders = new ArrayList<>();
         for (String dataCentre : dataCentres.keySet()) {
             orders.add(new UpstreamOrder(service, dataCentre, true, reclaimable.get(dataCentre)));
@@ -151,22 +159,24 @@
     }
 
     /**
-     * Follows what is wanted. A number that was guessed from the operator's provision is replaced
-     * by the most that was wanted once the load has been known for {@link #MEASURED_MILLIS}.
+     * Updates the target per data centre. Once the load has been known for {@link
+     * #LOAD_MEASUREMENT_MILLIS}, a number that was guessed from the operator's provision is
+     * replaced by the highest number wanted so far, but at least by {@code MIN_PART_OF_GUESS} of
+     * the guess.
      */
     private int target(int wanted, boolean known, long nowMillis) {
         if (guessed && known) {
-            mostWanted = Math.max(mostWanted, wanted);
-            if (isMeasured(true, nowMillis)) {
+            maxWanted = Math.max(maxWanted, wanted);
+            if (isLoadMeasured(true, nowMillis)) {
                 guessed = false;
                 perDataCentre.set(
-                        Math.max(mostWanted, ceil(LEAST_OF_GUESS * perDataCentre.value())));
+                        Math.max(maxWanted, ceil(MIN_PART_OF_GUESS * perDataCentre.value())));
             }
         }
-        return perDataCentre.follow(wanted, nowMillis);
+        return perDataCentre.update(wanted, nowMillis);
     }
 
-    /** What data centres decline is ordered in the others, in the same step. */
+    /** Orders what some data centres decline in the others, in the same step. */
     private Map<String, Integer> reclaimable(
             ScalingSpec scaling,
             List<Upstream> serving,
@@ -175,57 +185,60 @@
             int target) {
         Map<String, Integer> byDataCentre = new TreeMap<>();
         dataCentres.keySet().forEach(dataCentre -> byDataCentre.put(dataCentre, target));
-        List<String> open =
-                dataCentres.keySet().stream().filter(z -> !declined.contains(z)).toList();
-        if (open.isEmpty() || open.size() == dataCentres.size() || need.isEmpty()) {
+        List<String> accepting =
+                dataCentres.keySet().stream().filter(name -> !declined.contains(name)).toList();
+        if (accepting.isEmpty() || accepting.size() == dataCentres.size() || need.isEmpty()) {
             return byDataCentre;
         }
-        int there = 0;
+        int inDeclining = 0;
         for (String dataCentre : dataCentres.keySet()) {
-            there += open.contains(dataCentre) ? 0 : count(serving, dataCentre, true);
+            inDeclining += accepting.contains(dataCentre) ? 0 : count(serving, dataCentre, true);
         }
-        int each = ceil((need.get().comfortable() - there) / open.size());
-        int bounded = Math.max(target, Math.min(scaling.max(), each));
-        open.forEach(dataCentre -> byDataCentre.put(dataCentre, bounded));
+        int perAccepting = ceil((need.get().comfortable() - inDeclining) / accepting.size());
+        int bounded = Math.max(target, Math.min(scaling.max(), perAccepting));
+        accepting.forEach(dataCentre -> byDataCentre.put(dataCentre, bounded));
         return byDataCentre;
     }
 
-    /** Reclaimable upstreams that were ordered and should serve soon. */
-    private int coming(
+    /** Returns the number of reclaimable upstreams that were ordered and should serve soon. */
+    private int expectedSoon(
             ScalingSpec scaling,
             List<Upstream> serving,
             Map<String, Integer> ordered,
             Set<String> declined,
             long nowMillis) {
-        int coming = 0;
+        int expectedSoon = 0;
         for (String dataCentre : dataCentres.keySet()) {
             int missing = ordered.get(dataCentre) - count(serving, dataCentre, true);
             if (missing <= 0 || declined.contains(dataCentre)) {
-                shortSinceMillis.remove(dataCentre);
+                shortageSinceMillis.remove(dataCentre);
                 continue;
             }
-            long since = shortSinceMillis.computeIfAbsent(dataCentre, name -> nowMillis);
-            coming += nowMillis - since <= scaling.bootMillis() + LATE_MILLIS ? missing : 0;
+            long since = shortageSinceMillis.computeIfAbsent(dataCentre, name -> nowMillis);
+            expectedSoon +=
+                    nowMillis - since <= scaling.bootMillis() + START_GRACE_MILLIS ? missing : 0;
         }
-        return coming;
+        return expectedSoon;
     }
 
-    private boolean isMeasured(boolean known, long nowMillis) {
-        if (knownSinceMillis < 0 && known) {
-            knownSinceMillis = nowMillis;
+    private boolean isLoadMeasured(boolean known, long nowMillis) {
+        if (loadKnownSinceMillis < 0 && known) {
+            loadKnownSinceMillis = nowMillis;
         }
-        return knownSinceMillis >= 0 && nowMillis - knownSinceMillis >= MEASURED_MILLIS;
+        return loadKnownSinceMillis >= 0
+                && nowMillis - loadKnownSinceMillis >= LOAD_MEASUREMENT_MILLIS;
     }
 
     /**
-     * Before any load is known, the operator's own provision is the best guess of what is needed.
+     * Records the operator's own provision, which is the best guess of the need before any load is
+     * known.
      */
-    private void learnProvided(List<Upstream> serving) {
+    private void recordProvided(List<Upstream> serving) {
         serving.stream()
                 .filter(upstream -> !upstream.reclaimable())
                 .forEach(upstream -> provided.add(upstream.id()));
-        if (providedPerDataCentre() > 0 && knownSinceMillis < 0) {
-            perDataCentre.atLeast(providedPerDataCentre());
+        if (providedPerDataCentre() > 0 && loadKnownSinceMillis < 0) {
+            perDataCentre.raiseTo(providedPerDataCentre());
             guessed = !takesOver;
         }
     }
@@ -235,54 +248,61 @@
     }
 
     private int wantedPerDataCentre(ScalingSpec scaling, Optional<FleetNeed> need) {
-        int all = Math.max(1, dataCentres.size());
-        int others = Math.max(1, all - 1);
+        int dataCentreCount = Math.max(1, dataCentres.size());
+        int remainingAfterLoss = Math.max(1, dataCentreCount - 1);
         int wanted =
                 need.map(
                                 known ->
                                         Math.max(
-                                                ceil(known.comfortable() / all),
-                                                ceil(known.staffed() / others)))
+                                                ceil(known.comfortable() / dataCentreCount),
+                                                ceil(known.staffed() / remainingAfterLoss)))
                         .orElseGet(() -> Math.max(perDataCentre.value(), providedPerDataCentre()));
         return Math.max(Math.max(1, scaling.min()), Math.min(scaling.max(), wanted));
     }
 
     /**
-     * Full-price upstreams that make up for reclaimable ones that cannot be had, and for the loss
-     * of one more data centre: waves come some seconds apart, and the last one would leave nothing.
+     * Returns how many full-price upstreams make up for reclaimable ones that are not available,
+     * and for the loss of one more data centre. Losses come some seconds apart, so without the
+     * latter the last one would leave no upstream.
      */
     private int wantedFullPrice(
-            ScalingSpec scaling, List<Upstream> serving, Optional<FleetNeed> need, int coming) {
+            ScalingSpec scaling,
+            List<Upstream> serving,
+            Optional<FleetNeed> need,
+            int expectedSoon) {
         int reclaimable = count(serving, true);
-        int most = scaling.max() * dataCentres.size();
-        int least = ceil(need.map(FleetNeed::tight).orElse(LEAST_WITHOUT_LOAD));
-        int afterLoss = least - (reclaimable - mostInOneDataCentre(serving));
-        int bridged = need.map(known -> ceil(known.staffed()) - reclaimable - coming).orElse(0);
-        return Math.max(0, Math.min(most, Math.max(bridged, afterLoss)));
+        int max = scaling.max() * dataCentres.size();
+        int min = ceil(need.map(FleetNeed::tight).orElse(MIN_WITHOUT_LOAD));
+        int afterLoss = min - (reclaimable - maxInOneDataCentre(serving));
+        int bridged =
+                need.map(known -> ceil(known.staffed()) - reclaimable - expectedSoon).orElse(0);
+        return Math.max(0, Math.min(max, Math.max(bridged, afterLoss)));
     }
 
-    /** How many at the full price each data centre can have beside its reclaimable ones. */
-    private Map<String, Integer> room(
+    /**
+     * Returns how many full-price upstreams each data centre can have beside its reclaimable ones.
+     */
+    private Map<String, Integer> fullPriceCapacity(
             ScalingSpec scaling,
             List<Upstream> serving,
             Map<String, Integer> reclaimable,
             Set<String> declined) {
-        Map<String, Integer> room = new TreeMap<>();
+        Map<String, Integer> capacity = new TreeMap<>();
         for (String dataCentre : dataCentres.keySet()) {
-            int others =
+            int reclaimableCount =
                     declined.contains(dataCentre)
                             ? count(serving, dataCentre, true)
                             : reclaimable.get(dataCentre);
-            room.put(dataCentre, Math.max(0, scaling.max() - others));
+            capacity.put(dataCentre, Math.max(0, scaling.max() - reclaimableCount));
         }
-        return room;
+        return capacity;
     }
 
     private static int ceil(double value) {
         return (int) Math.ceil(value);
     }
 
-    private int mostInOneDataCentre(List<Upstream> serving) {
+    private int maxInOneDataCentre(List<Upstream> serving) {
         return dataCentres.keySet().stream()
                 .mapToInt(dataCentre -> count(serving, dataCentre, true))
                 .max()
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/FullPricePlacement.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/FullPricePlacement.java
@@ -22,10 +22,11 @@
 import java.util.TreeMap;
 
 /**
- * Places upstreams at the full price in the data centres where they cost least.
+ * Places full-price upstreams in the data centres where they cost least.
  *
- * <p>What was placed stays where it is as long as it is wanted: moved to another data centre it
- * would have to boot again. What is no longer wanted is taken from the dearest first.
+ * <p>Placed upstreams stay where they are as long as they are wanted, since an upstream moved to
+ * another data centre would have to boot again. Upstreams that are no longer wanted are removed
+ * from the most expensive data centre first.
  */
 final class FullPricePlacement {
     private final Map<String, Integer> placed = new TreeMap<>();
@@ -33,30 +34,34 @@
     /**
      * Places a number of upstreams.
      *
-     * @param wanted how many
+     * @param wanted the number of upstreams
      * @param scaling prices of the data centres
-     * @param room how many each data centre can have
-     * @return how many each gets; together fewer than wanted if there is no room
+     * @param capacity how many upstreams each data centre can have
+     * @return how many upstreams each data centre gets; fewer in total than wanted if the capacity
+     *     does not suffice
      */
-    Map<String, Integer> place(int wanted, ScalingSpec scaling, Map<String, Integer> room) {
-        List<String> cheapestFirst =
-                room.keySet().stream()
+    Map<String, Integer> place(int wanted, ScalingSpec scaling, Map<String, Integer> capacity) {
+        List<String> byPrice =
+                capacity.keySet().stream()
                         .sorted(
                                 Comparator.comparingDouble(
                                         dataCentre ->
                                                 scaling.dataCentrePrices()
                                                         .getOrDefault(dataCentre, 1.0)))
                         .toList();
-        int left = wanted;
-        for (String dataCentre : cheapestFirst) {
-            int kept = Math.min(left, placed.getOrDefault(dataCentre, 0));
+        int remaining = wanted;
+        for (String dataCentre : byPrice) {
+            int kept = Math.min(remaining, placed.getOrDefault(dataCentre, 0));
             placed.put(dataCentre, kept);
-            left -= kept;
+            remaining -= kept;
         }
-        for (String dataCentre : cheapestFirst) {
-            int more = Math.max(0, Math.min(left, room.get(dataCentre) - placed.get(dataCentre)));
-            placed.merge(dataCentre, more, Integer::sum);
-            left -= more;
+        for (String dataCentre : byPrice) {
+            int added =
+                    Math.max(
+                            0,
+                            Math.min(remaining, capacity.get(dataCentre) - placed.get(dataCentre)));
+            placed.merge(dataCentre, added, Integer::sum);
+            remaining -= added;
         }
         return new TreeMap<>(placed);
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/LeaderElection.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/LeaderElection.java
@@ -18,36 +18,39 @@
 import java.util.function.LongSupplier;
 
 /**
- * Decides when this entry asks for, renews and gives up the lease under which one entry at a time
- * does the work that needs a single doer.
+ * Decides when this entry requests, renews and releases the lease under which a single entry at a
+ * time, the leader, does work for all.
  *
- * <p>The lease and the leader's key live in the platform's store. The fencing token is the revision
- * at which the key was made, or one more than the highest token known if that is higher: revisions
- * go back when the store comes back from a copy, and tokens must not. This entry believes in its
- * lease only until a margin before its time to live has passed since the last renewal was
- * <em>sent</em>.
+ * <p>The lease and the leader's key are stored in the platform's store. The fencing token is the
+ * revision at which the key was created, or one more than the highest known token if that is
+ * higher: revisions go back when the store is restored from a copy, and tokens must not. This entry
+ * treats its lease as valid only until a margin before its time to live has passed since the last
+ * renewal was <em>sent</em>.
  *
- * <p>After the store's history was replaced the leader does not act until the store has shown that
- * its key is still there, and claims it anew if not. All others wait until its lease would have
- * ended, since it may not have heard of the change.
+ * <p>After the store's history was replaced, the leader does not act until the store has confirmed
+ * that its key still exists, and claims the key again if it does not. All other entries wait until
+ * the leader's lease would have expired, since it may not know of the change.
  *
  * @since 0.2
  */
 public final class LeaderElection {
-    /** How long before the end of its lease this entry stops acting, in milliseconds. */
+    /**
+     * Time before the end of its lease at which this entry stops acting as the leader, in
+     * milliseconds.
+     */
     public static final long MARGIN_MILLIS = 600;
 
     private static final long RENEWALS_PER_TTL = 4;
     private static final long BACKOFF_MILLIS = 400;
 
     private final long ttlMillis;
-    private final long returnMillis;
-    private final LongSupplier patienceMillis;
+    private final long formerLeaderDelayMillis;
+    private final LongSupplier claimDelayMillis;
 
     private State state = State.FOLLOWING;
     private boolean keyPresent = true;
     private boolean stopping;
-    private long keyGoneMillis;
+    private long keyRemovedMillis;
     private long notBeforeMillis;
     private long lease;
     private long token;
@@ -55,10 +58,10 @@
     private long validUntilMillis;
     private long highestToken;
     private long keyRevision;
-    private boolean reclaims;
+    private boolean reclaiming;
     private long epoch;
 
-    /** What this entry is doing about the lease. */
+    /** State of this entry with respect to the lease. */
     private enum State {
         FOLLOWING,
         WAITING_FOR_GRANT,
@@ -69,59 +72,66 @@
         WAITING_FOR_CONFIRMATION
     }
 
-    /** What is to be asked of the store. */
+    /** Request to be sent to the store. */
     public enum Step {
-        /** Nothing. */
+        /** No request. */
         NONE,
-        /** A lease is to be granted. */
+        /** Requests a lease. */
         GRANT,
-        /** The leader's key is to be created under the lease, if it is absent. */
+        /**
+         * Creates the leader's key under the lease if the key is absent, or replaces {@link
+         * #claimedRevision} of it.
+         */
         CLAIM,
-        /** The lease is to be renewed. */
+        /** Renews the lease. */
         RENEW,
-        /** The leader's key is to be read, and the lease to be renewed if it is this entry's. */
+        /** Reads the leader's key, and renews the lease if the key is this entry's. */
         CONFIRM,
-        /** The lease is to be ended. */
+        /** Ends the lease. */
         END
     }
 
     /**
-     * Creates the state of an entry that follows.
+     * Creates the state of a follower with a fixed claim delay.
      *
      * @param ttlMillis time to live of the lease, in milliseconds
-     * @param patienceMillis how long this entry waits after the key is gone, in milliseconds;
-     *     entries with different patience do not all ask at once
-     * @param returnMillis how long a former leader waits before it asks again, in milliseconds
+     * @param claimDelayMillis time between the removal of the key and a claim of this entry, in
+     *     milliseconds; entries with different delays do not all send requests at once
+     * @param formerLeaderDelayMillis time that a former leader waits before it requests a lease
+     *     again, in milliseconds
      */
-    public LeaderElection(long ttlMillis, long patienceMillis, long returnMillis) {
-        this(ttlMillis, () -> patienceMillis, returnMillis);
+    public LeaderElection(long ttlMillis, long claimDelayMillis, long formerLeaderDelayMillis) {
+        this(ttlMillis, () -> claimDelayMillis, formerLeaderDelayMillis);
     }
 
     /**
-     * Creates the state of an entry that follows, with a patience that changes.
+     * Creates the state of a follower with a variable claim delay.
      *
      * @param ttlMillis time to live of the lease, in milliseconds
-     * @param patienceMillis tells how long this entry waits after the key is gone, in milliseconds
-     * @param returnMillis how long a former leader waits before it asks again, in milliseconds
+     * @param claimDelayMillis returns the time between the removal of the key and a claim of this
+     *     entry, in milliseconds
+     * @param formerLeaderDelayMillis time that a former leader waits before it requests a lease
+     *     again, in milliseconds
      */
-    public LeaderElection(long ttlMillis, LongSupplier patienceMillis, long returnMillis) {
+    public LeaderElection(
+            long ttlMillis, LongSupplier claimDelayMillis, long formerLeaderDelayMillis) {
         this.ttlMillis = ttlMillis;
-        this.patienceMillis = patienceMillis;
-        this.returnMillis = returnMillis;
+        this.claimDelayMillis = claimDelayMillis;
+        this.formerLeaderDelayMillis = formerLeaderDelayMillis;
     }
 
     /**
-     * Decides the next step. The caller carries it out and reports the result.
+     * Returns the next request. The caller sends it and reports the result.
      *
-     * @param nowMillis the time on the monotonic clock
-     * @return the step
+     * @param nowMillis the current time on the monotonic clock, in milliseconds
+     * @return the request; {@link Step#NONE} if there is nothing to do
      */
     public Step next(long nowMillis) {
         if (stopping) {
             return endIfHeld();
         }
-        if (isAsLeader() && nowMillis >= validUntilMillis) {
-            follow(nowMillis);
+        if (hasLeaderState() && nowMillis >= validUntilMillis) {
+            stepDown(nowMillis);
             return Step.NONE;
         }
         if (state == State.UNCONFIRMED && nowMillis >= notBeforeMillis) {
@@ -145,13 +155,13 @@
     }
 
     /**
-     * Records that the leader's key was seen in the store.
+     * Records that the store contains the leader's key.
      *
-     * @param keyToken the token of the leader whose key it is
+     * @param keyToken the token of the leader that owns the key
      */
     public void keySeen(long keyToken) {
         keyPresent = true;
-        // the leader's own may be higher by one, to fit its epoch
+        // the leader's own token may be higher by one, to have the parity of its epoch
         tokenSeen(keyToken + 1);
         if (state == State.LEADING && keyToken > token) {
             state = State.FOLLOWING;
@@ -159,7 +169,7 @@
     }
 
     /**
-     * Records that a leader has, or had, a token. Later ones must be higher.
+     * Records that a leader has, or had, a token. Later tokens must be higher.
      *
      * @param seen the token
      */
@@ -168,7 +178,7 @@
     }
 
     /**
-     * Returns the highest token of any leader that is known here.
+     * Returns the highest known token of any leader.
      *
      * @return the token; 0 if none is known
      */
@@ -177,40 +187,40 @@
     }
 
     /**
-     * Records which history of the store is current.
+     * Records the current epoch of the store's history.
      *
-     * @param current the epoch; 0 if the store names none
+     * @param current the epoch; 0 if the store does not name one
      */
     public void epoch(long current) {
         epoch = current;
     }
 
     /**
-     * Has this entry wait as after a change of the history: it has just started, and a leader that
-     * the store has lost may still act.
+     * Records that this entry has just started. It waits as after a change of the history, since a
+     * leader that the store no longer knows may still act.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void started(long nowMillis) {
         notBeforeMillis = nowMillis + ttlMillis - MARGIN_MILLIS;
     }
 
-    /** Returns the lowest token that is at least as high as a number and fits the epoch. */
-    private long fitting(long least) {
-        boolean fits = epoch == 0 || (least & 1) == (epoch & 1);
-        return fits ? least : least + 1;
+    /** Returns the lowest token that is at least {@code min} and has the parity of the epoch. */
+    private long lowestFittingToken(long min) {
+        boolean fits = epoch == 0 || (min & 1) == (epoch & 1);
+        return fits ? min : min + 1;
     }
 
     /**
-     * Records that the store's history was replaced: keys and leases may be gone, and their numbers
-     * given out again.
+     * Records that the store's history was replaced: keys and leases may be lost, and their numbers
+     * may be assigned again.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void historyReplaced(long nowMillis) {
         keyPresent = true;
         endReclaim();
-        if (isAsLeader() && nowMillis < validUntilMillis) {
+        if (hasLeaderState() && nowMillis < validUntilMillis) {
             state = State.UNCONFIRMED;
             notBeforeMillis = nowMillis;
         } else {
@@ -223,7 +233,7 @@
     /**
      * Records that the leader's key is still this entry's, and that its lease was renewed.
      *
-     * @param sentMillis when the renewal was sent
+     * @param sentMillis the time at which the renewal was sent, in milliseconds
      */
     public void confirmed(long sentMillis) {
         if (state == State.WAITING_FOR_CONFIRMATION) {
@@ -234,13 +244,13 @@
     }
 
     /**
-     * Records that the leader's key is not this entry's any more. Unless another one has led since,
-     * the key may be claimed at once: one of a lower token is of an earlier leader, and a copy has
-     * held it.
+     * Records that the leader's key is no longer this entry's. Unless another entry has led since,
+     * the key may be claimed at once: a key with a lower token belongs to an earlier leader and was
+     * restored from a copy.
      *
-     * @param revision the revision of the key that stands there; 0 if there is none
-     * @param keyToken the token of the leader whose key it is; 0 if there is none
-     * @param nowMillis the time
+     * @param revision the revision of the present key; 0 if there is none
+     * @param keyToken the token of the leader that owns the present key; 0 if there is none
+     * @param nowMillis the current time, in milliseconds
      */
     public void displaced(long revision, long keyToken, long nowMillis) {
         if (state != State.WAITING_FOR_CONFIRMATION) {
@@ -248,18 +258,18 @@
         }
         if (keyToken > token) {
             keySeen(keyToken);
-            follow(nowMillis);
+            stepDown(nowMillis);
         } else {
             state = State.FOLLOWING;
-            reclaims = true;
+            reclaiming = true;
             keyRevision = revision;
         }
     }
 
     /**
-     * Records that nothing was heard of the leader's key; it is asked for again soon.
+     * Records that the read of the leader's key was not answered; it is repeated after a back-off.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void notConfirmed(long nowMillis) {
         if (state == State.WAITING_FOR_CONFIRMATION) {
@@ -269,7 +279,7 @@
     }
 
     /**
-     * Returns which revision of the leader's key a claim replaces.
+     * Returns the revision of the leader's key that a claim replaces.
      *
      * @return the revision; 0 if the key must be absent
      */
@@ -278,37 +288,37 @@
     }
 
     /**
-     * Takes a higher token, because the platform has seen a higher one than this leader's although
-     * the leader's key is its own.
+     * Raises the token, because the platform has seen a higher one than this leader's although the
+     * leader's key is its own.
      *
-     * @param next the least token to take
+     * @param next the minimum of the new token
      */
-    public void raise(long next) {
+    public void raiseToken(long next) {
         if (state == State.LEADING && next > token) {
-            token = fitting(next);
+            token = lowestFittingToken(next);
             tokenSeen(token);
         }
     }
 
     /**
-     * Records that the leader's key is gone.
+     * Records that the leader's key was removed.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
-    public void keyGone(long nowMillis) {
+    public void keyRemoved(long nowMillis) {
         if (keyPresent) {
-            keyGoneMillis = nowMillis;
+            keyRemovedMillis = nowMillis;
         }
         keyPresent = false;
         if (state == State.LEADING) {
-            follow(nowMillis);
+            stepDown(nowMillis);
         }
     }
 
     /**
      * Records that a lease was granted.
      *
-     * @param granted the lease's number
+     * @param granted the number of the lease
      */
     public void granted(long granted) {
         if (state == State.WAITING_FOR_GRANT) {
@@ -320,11 +330,11 @@
     /**
      * Records that the key was created.
      *
-     * @param made the revision at which it was made
+     * @param createdRevision the revision at which it was created
      */
-    public void claimed(long made) {
+    public void claimed(long createdRevision) {
         if (state == State.WAITING_FOR_CLAIM) {
-            token = fitting(Math.max(made, highestToken + 1));
+            token = lowestFittingToken(Math.max(createdRevision, highestToken + 1));
             tokenSeen(token);
             endReclaim();
             keyPresent = true;
@@ -334,13 +344,13 @@
     }
 
     /**
-     * Records that a grant or claim did not succeed, or that nobody knows whether it did. An
-     * unanswered claim is never believed: its lease is left to lapse.
+     * Records that a grant or claim failed, or that its result is unknown. An unanswered claim
+     * never makes this entry the leader: its lease is left to expire.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void notClaimed(long nowMillis) {
-        if (!isAsLeader()) {
+        if (!hasLeaderState()) {
             state = State.FOLLOWING;
             endReclaim();
             notBeforeMillis = Math.max(notBeforeMillis, nowMillis + BACKOFF_MILLIS);
@@ -350,7 +360,7 @@
     /**
      * Records that the lease was renewed.
      *
-     * @param sentMillis when the renewal was sent
+     * @param sentMillis the time at which the renewal was sent, in milliseconds
      */
     public void renewed(long sentMillis) {
         if (state == State.LEADING) {
@@ -362,24 +372,24 @@
      * Records that the store no longer knows the lease, or that a call was refused because another
      * entry has a higher token.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
-    public void lost(long nowMillis) {
+    public void leadershipLost(long nowMillis) {
         if (state == State.LEADING) {
-            follow(nowMillis);
+            stepDown(nowMillis);
         }
     }
 
-    /** Records that this entry stops; it gives the lease up and asks for none. */
+    /** Records that this entry stops. It ends its lease and requests no other. */
     public void stop() {
         stopping = true;
     }
 
     /**
-     * Tells whether this entry may act as the leader now.
+     * Returns whether this entry may act as the leader.
      *
-     * @param nowMillis the time on the monotonic clock
-     * @return true while its lease surely holds
+     * @param nowMillis the current time on the monotonic clock, in milliseconds
+     * @return true while its lease is certainly valid
      */
     public boolean leads(long nowMillis) {
         return state == State.LEADING && !stopping && nowMillis < validUntilMillis;
@@ -395,7 +405,7 @@
     }
 
     /**
-     * Returns the lease's number.
+     * Returns the number of the lease.
      *
      * @return the number; 0 if there was none
      */
@@ -403,19 +413,19 @@
         return lease;
     }
 
-    private boolean isAsLeader() {
+    private boolean hasLeaderState() {
         return state == State.LEADING
                 || state == State.UNCONFIRMED
                 || state == State.WAITING_FOR_CONFIRMATION;
     }
 
     private boolean mayClaim(long nowMillis) {
-        boolean free = !keyPresent && nowMillis - keyGoneMillis >= patienceMillis.getAsLong();
-        return reclaims || (free && nowMillis >= notBeforeMillis);
+        boolean free = !keyPresent && nowMillis - keyRemovedMillis >= claimDelayMillis.getAsLong();
+        return reclaiming || (free && nowMillis >= notBeforeMillis);
     }
 
     private void endReclaim() {
-        reclaims = false;
+        reclaiming = false;
         keyRevision = 0;
     }
 
@@ -427,9 +437,9 @@
         return Step.NONE;
     }
 
-    private void follow(long nowMillis) {
+    private void stepDown(long nowMillis) {
         state = State.FOLLOWING;
         endReclaim();
-        notBeforeMillis = nowMillis + returnMillis;
+        notBeforeMillis = nowMillis + formerLeaderDelayMillis;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/RegistrationWatch.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/RegistrationWatch.java
@@ -21,34 +21,35 @@
 import java.util.Set;
 
 /**
- * Tells when the upstreams that an operator provided have all registered.
+ * Detects when all upstreams that an operator provided have registered.
  *
- * <p>They register one by one: 42 over some 3 s. Whoever takes the first that are seen for all of
- * them orders too few in their place, and the day begins with half of what it needs. The list
- * counts as complete once nobody new has come for longer than the gaps between them let expect.
+ * <p>Upstreams register one by one, for example 42 over about 3 s. If the first ones were taken for
+ * the whole list, too few upstreams would be ordered in their place, and the service would start
+ * with half of the capacity it needs. The list counts as complete once no new upstream has appeared
+ * for longer than the gaps between registrations suggest.
  *
  * @since 0.4
  */
 public final class RegistrationWatch {
     /**
-     * Least time without a newcomer, in milliseconds: several of the gaps of a tenth of a second.
+     * Minimum time without a new upstream, in milliseconds: several of the usual gaps of 100 ms.
      */
-    static final long LEAST_QUIET_MILLIS = 1_000;
+    static final long MIN_QUIET_MILLIS = 1_000;
 
     /**
-     * Most time that is waited for another newcomer, in milliseconds: all that were provided are
+     * Maximum time to wait for another new upstream, in milliseconds. All provided upstreams are
      * paid for meanwhile.
      */
-    static final long MOST_QUIET_MILLIS = 3_000;
+    static final long MAX_QUIET_MILLIS = 3_000;
 
     /**
-     * Longest time that a list may keep growing, in milliseconds: one that never rests, because
-     * upstreams come and go, must not keep orders back for ever.
+     * Maximum time for which a list may keep growing, in milliseconds. A list that never stops
+     * changing, because upstreams start and leave, must not delay orders indefinitely.
      */
-    static final long MOST_WAIT_MILLIS = 10_000;
+    static final long MAX_WAIT_MILLIS = 10_000;
 
-    /** How many times the longest gap seen so far must pass without a newcomer. */
-    private static final int GAPS = 2;
+    /** How many times the longest gap so far must pass without a new upstream. */
+    private static final int QUIET_GAPS = 2;
 
     private final Set<String> seen = new HashSet<>();
     private long firstMillis;
@@ -57,11 +58,11 @@
     private boolean settled;
 
     /**
-     * Looks at the list. To be called a few times a second.
+     * Checks the list. Must be called a few times a second.
      *
-     * @param upstreams the service's upstreams, leaving ones too
-     * @param nowMillis the time
-     * @return true once the list has been complete, also later
+     * @param upstreams the upstreams of the service, including leaving ones
+     * @param nowMillis the current time, in milliseconds
+     * @return true once the list is complete, and from then on
      */
     public boolean isSettled(Collection<Upstream> upstreams, long nowMillis) {
         if (settled) {
@@ -80,11 +81,12 @@
             firstMillis = nowMillis;
         }
         boolean quiet = nowMillis - lastMillis >= quietMillis();
-        settled = !seen.isEmpty() && (quiet || nowMillis - firstMillis >= MOST_WAIT_MILLIS);
+        settled = !seen.isEmpty() && (quiet || nowMillis - firstMillis >= MAX_WAIT_MILLIS);
         return settled;
     }
 
     private long quietMillis() {
-        return Math.max(LEAST_QUIET_MILLIS, Math.min(MOST_QUIET_MILLIS, GAPS * longestGapMillis));
+        return Math.max(
+                MIN_QUIET_MILLIS, Math.min(MAX_QUIET_MILLIS, QUIET_GAPS * longestGapMillis));
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/UpstreamOrder.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/UpstreamOrder.java
@@ -16,12 +16,12 @@
 package io.trailladder.core.duty;
 
 /**
- * How many upstreams of one kind a data centre is to have.
+ * Number of upstreams of one kind that a data centre should have.
  *
  * @param service the service
  * @param dataCentre the data centre
- * @param reclaimable true for those the cloud may take back
- * @param count how many
+ * @param reclaimable true for upstreams that the cloud may take back
+ * @param count the number of upstreams
  * @since 0.2
  */
 public record UpstreamOrder(String service, String dataCentre, boolean reclaimable, int count) {}
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/UsageCount.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/UsageCount.java
@@ -16,11 +16,11 @@
 package io.trailladder.core.duty;
 
 /**
- * How many requests of one organisation began to run within one window.
+ * Number of requests of one organisation that started to run within one window.
  *
- * @param window the window's number
+ * @param window the number of the window
  * @param organisation the organisation
- * @param started requests
+ * @param started the number of started requests
  * @since 0.2
  */
 public record UsageCount(long window, String organisation, int started) {}
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/UsageLedger.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/UsageLedger.java
@@ -23,41 +23,48 @@
 import java.util.TreeMap;
 
 /**
- * Counts the requests that began to run, by window and organisation: this entry's own and what its
- * peers told of theirs, so that the counts of a lost entry survive at the others.
+ * Counts the requests that started to run, by window and organisation: those of this entry and
+ * those reported by its peers, so that the counts of a lost entry are kept by the others.
  *
  * @since 0.2
  */
 public final class UsageLedger {
-    private static final long KEPT_WINDOWS = 8;
+    private static final long RETAINED_WINDOWS = 8;
 
     private final String self;
     private final long windowMillis;
     private final Map<String, NavigableMap<Long, Map<String, Integer>>> byEntry = new HashMap<>();
 
-    /** The latest change of each count, by its number, so that few are looked at for the last. */
+    /**
+     * The latest change of each count by its number, so that only changes after a given number are
+     * read.
+     */
     private final NavigableMap<Long, Change> changes = new TreeMap<>();
 
-    private final Map<Key, Long> numbers = new HashMap<>();
+    private final Map<Key, Long> latestNumbers = new HashMap<>();
     private long sequence;
     private long oldestWindow = Long.MIN_VALUE;
 
-    /** Whom this entry has to tell of a change, each among those that follow. */
+    /**
+     * Recipients of a change. A change is also reported to the recipients of the constants before
+     * its own.
+     */
     private enum Audience {
-        /** Those that keep all counts, lest these are lost with the others. */
-        KEEPERS,
-        /** Other regions. */
+        /** Usage replicas, which store all counts in case the other entries are lost. */
+        REPLICAS,
+        /** The other regions. */
         REGIONS,
         /** All hubs. */
         HUBS
     }
 
-    /** A count that has changed, and who has to be told. */
+    /** A changed count and its recipients. */
     private record Change(Key key, Audience audience) {}
 
     /**
-     * Names one count. Equality is written out: the methods that records get are linked at their
-     * first call, which takes a process that starts some 5 ms of processor time for each record.
+     * Identifies one count. Equality is explicit, since the generated record methods are linked at
+     * their first call, which adds about 5 ms of processor time for each record to the start of a
+     * process.
      */
     private record Key(String entry, long window, String organisation) {
         @Override
@@ -77,7 +84,7 @@
     /**
      * Creates a ledger.
      *
-     * @param self names this life of this entry; a restarted entry has another name
+     * @param self identifies this incarnation of this entry; a restarted entry has another name
      * @param windowMillis length of a window, in milliseconds
      */
     public UsageLedger(String self, long windowMillis) {
@@ -86,10 +93,10 @@
     }
 
     /**
-     * Records that a request of this entry began to run.
+     * Records that a request of this entry started to run.
      *
-     * @param organisation whose it is
-     * @param wallMillis when, in milliseconds since the start of 1970
+     * @param organisation the organisation of the request
+     * @param wallMillis the start, in milliseconds since the start of 1970
      */
     public void started(String organisation, long wallMillis) {
         long window = windowAt(wallMillis);
@@ -98,24 +105,24 @@
     }
 
     /**
-     * Takes over an entry's counts. Counts only grow within the life of an entry.
+     * Merges the counts of an entry. Counts only grow within an incarnation of an entry.
      *
-     * @param entry names the life of the entry
+     * @param entry identifies the incarnation of the entry
      * @param counts its counts of recent windows
-     * @param passOn true if this entry has to tell others of them
+     * @param passOn true if this entry must report them to the hubs
      */
     public void merge(String entry, List<UsageCount> counts, boolean passOn) {
         merge(entry, counts, passOn ? Audience.HUBS : Audience.REGIONS);
     }
 
     /**
-     * Takes over counts of an entry of another region, which are not told to other regions again.
+     * Merges counts of an entry of another region, which are not reported to other regions again.
      *
-     * @param entry names the life of the entry
+     * @param entry identifies the incarnation of the entry
      * @param counts its counts of recent windows
      */
-    public void mergeElsewhere(String entry, List<UsageCount> counts) {
-        merge(entry, counts, Audience.KEEPERS);
+    public void mergeFromOtherRegion(String entry, List<UsageCount> counts) {
+        merge(entry, counts, Audience.REPLICAS);
     }
 
     private void merge(String entry, List<UsageCount> counts, Audience audience) {
@@ -130,7 +137,7 @@
     }
 
     /**
-     * Returns the number of the latest change that others are to be told of.
+     * Returns the number of the latest change.
      *
      * @return a number that grows with every change
      */
@@ -139,53 +146,54 @@
     }
 
     /**
-     * Returns the counts that have changed and that hubs have to be told of, by entry.
+     * Returns the changed counts that must be reported to hubs, by entry.
      *
-     * @param after the number of the latest change that was told
-     * @return the counts as they are now
+     * @param after the number of the latest change reported before
+     * @return the current counts
      */
     public Map<String, List<UsageCount>> changesAfter(long after) {
         return changesAfter(after, Audience.HUBS);
     }
 
     /**
-     * Returns the counts of the own region that have changed, by entry.
+     * Returns the changed counts of the own region, by entry.
      *
-     * @param after the number of the latest change that was told
-     * @return the counts as they are now
+     * @param after the number of the latest change reported before
+     * @return the current counts
      */
     public Map<String, List<UsageCount>> regionChangesAfter(long after) {
         return changesAfter(after, Audience.REGIONS);
     }
 
     /**
-     * Returns all counts that have changed, by entry, for one that is to know them as well.
+     * Returns all changed counts, by entry, for a usage replica.
      *
-     * @param after the number of the latest change that was told
-     * @return the counts as they are now
+     * @param after the number of the latest change reported before
+     * @return the current counts
      */
     public Map<String, List<UsageCount>> allChangesAfter(long after) {
-        return changesAfter(after, Audience.KEEPERS);
+        return changesAfter(after, Audience.REPLICAS);
     }
 
     private Map<String, List<UsageCount>> changesAfter(long after, Audience audience) {
-        Map<String, List<UsageCount>> news = new TreeMap<>();
+        Map<String, List<UsageCount>> changedCounts = new TreeMap<>();
         for (Change change : changes.tailMap(after, false).values()) {
             if (change.audience().compareTo(audience) >= 0) {
                 Key key = change.key();
                 int started = counts(key.entry(), key.window()).get(key.organisation());
-                news.computeIfAbsent(key.entry(), entry -> new ArrayList<>())
+                changedCounts
+                        .computeIfAbsent(key.entry(), entry -> new ArrayList<>())
                         .add(new UsageCount(key.window(), key.organisation(), started));
             }
         }
-        return news;
+        return changedCounts;
     }
 
     /**
-     * Returns the counts of one life of an entry.
+     * Returns the counts of one incarnation of an entry.
      *
-     * @param entry names the life
-     * @return counts of recent windows
+     * @param entry identifies the incarnation
+     * @return the counts of recent windows
      */
     public List<UsageCount> countsOf(String entry) {
         List<UsageCount> counts = new ArrayList<>();
@@ -201,10 +209,10 @@
     }
 
     /**
-     * Returns the counts of all entries together.
+     * Returns the total counts of all entries.
      *
-     * @param window the window's number
-     * @return requests by organisation
+     * @param window the number of the window
+     * @return the number of requests by organisation
      */
     public Map<String, Integer> total(long window) {
         Map<String, Integer> total = new TreeMap<>();
@@ -222,46 +230,50 @@
     }
 
     /**
-     * Returns the window of a time.
+     * Returns the window that contains a time.
      *
-     * @param wallMillis milliseconds since the start of 1970
-     * @return its number
+     * @param wallMillis the time, in milliseconds since the start of 1970
+     * @return the number of the window
      */
     public long windowAt(long wallMillis) {
         return Math.floorDiv(wallMillis, windowMillis);
     }
 
     /**
-     * Returns the entries whose counts are known.
+     * Returns the entries with known counts.
      *
-     * @return names of lives of entries
+     * @return the identifiers of incarnations of entries
      */
     public List<String> entries() {
         return List.copyOf(byEntry.keySet());
     }
 
     /**
-     * Forgets windows that were reported long ago.
+     * Removes windows that are more than {@code RETAINED_WINDOWS} old, which were reported long
+     * ago.
      *
-     * @param wallMillis the time
+     * @param wallMillis the current time, in milliseconds since the start of 1970
      */
-    public void forgetOld(long wallMillis) {
-        long oldest = windowAt(wallMillis) - KEPT_WINDOWS;
+    public void removeOldWindows(long wallMillis) {
+        long oldest = windowAt(wallMillis) - RETAINED_WINDOWS;
         if (oldest == oldestWindow) {
             return;
         }
         oldestWindow = oldest;
         changes.values().removeIf(change -> change.key().window() < oldest);
-        numbers.keySet().removeIf(key -> key.window() < oldest);
+        latestNumbers.keySet().removeIf(key -> key.window() < oldest);
         byEntry.values().forEach(windows -> windows.headMap(oldest).clear());
         byEntry.entrySet()
                 .removeIf(entry -> entry.getValue().isEmpty() && !entry.getKey().equals(self));
     }
 
-    /** A change that was to be told to more, and may not have been told yet, stays so. */
+    /**
+     * Records a change. A previous change of the same count keeps its wider audience, since it may
+     * not have been reported yet.
+     */
     private void changed(Key key, Audience audience) {
         sequence++;
-        Long before = numbers.put(key, sequence);
+        Long before = latestNumbers.put(key, sequence);
         Change replaced = before == null ? null : changes.remove(before);
         boolean wider = replaced != null && replaced.audience().compareTo(audience) > 0;
         changes.put(sequence, new Change(key, wider ? replaced.audience() : audience));
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/package-info.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Work that one entry at a time does for all: who does it, usage counts and orders of upstreams.
+ * Work that a single entry does for all: the election of that entry, usage counts, and orders of
+ * upstreams.
  *
  * @since 0.2
  */
--- a/trailladder-core/src/main/java/io/trailladder/core/limit/LimitShare.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/limit/LimitShare.java
@@ -16,24 +16,27 @@
 package io.trailladder.core.limit;
 
 /**
- * Splits a row's limit over the entries in proportion to what each is asked for.
+ * Splits the limit of a row over the entries in proportion to their demand.
  *
  * @since 0.1
  */
 public final class LimitShare {
-    /** Part of the limit that is split evenly, so that an entry without demand can begin. */
+    /**
+     * Part of the limit that is split evenly, so that an entry without demand can start to serve
+     * requests.
+     */
     public static final double EVEN_PART = 0.2;
 
     private LimitShare() {}
 
     /**
-     * Computes one entry's share.
+     * Returns the share of one entry.
      *
-     * @param limit the row's limit over all entries, in requests a second
-     * @param own what this entry is asked for, in requests a second
-     * @param others what all other entries are asked for together
-     * @param peers how many other entries there are
-     * @return this entry's share, in requests a second
+     * @param limit the limit of the row over all entries, in requests a second
+     * @param own the demand at this entry, in requests a second
+     * @param others the total demand at all other entries, in requests a second
+     * @param peers the number of other entries
+     * @return the share of this entry, in requests a second
      */
     public static double of(double limit, double own, double others, int peers) {
         double even = limit / (peers + 1);
--- a/trailladder-core/src/main/java/io/trailladder/core/limit/QuotaBucket.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/limit/QuotaBucket.java
@@ -18,45 +18,49 @@
 import io.trailladder.core.policy.RateSpec;
 
 /**
- * One organisation's limit over all entries, as this entry sees it: a token bucket that its own
- * requests and those its peers tell of draw on.
+ * The limit of one organisation over all entries, as seen by one entry: a token bucket from which
+ * the entry's own requests and the requests reported by its peers draw.
  *
- * <p>The part of processes that cannot be heard is left to them, of the rate and of what the bucket
- * holds: cut off one by one, all of them together pass what one bucket holds, where each would pass
- * that much otherwise. While none is heard for a moment, they are taken to go on as before, and
- * what they leave may be taken; if they stay unheard it was taken from the own part. A part smaller
- * than a request is saved up until one fits.
+ * <p>The part of unreachable processes, from which no updates are received, is left to them, of the
+ * rate as well as of the level. When processes are partitioned one after the other, all of them
+ * together then let pass what one bucket contains; otherwise each would let pass that much. While
+ * no other process is reachable for a moment, the others are assumed to go on as before, and what
+ * they leave may be used; if they stay unreachable, it is charged to the reachable part. A part
+ * smaller than one request accumulates until the request fits.
  *
  * @since 0.2
  */
 public final class QuotaBucket {
     private static final double MILLIS_PER_SECOND = 1000.0;
 
-    /** Time after which what others took counts a third, in milliseconds: some requests of each. */
-    private static final double OTHERS_MILLIS = 2_000;
+    /**
+     * Time constant with which the use by others decays, in milliseconds: after it a unit counts
+     * about a third. It covers several requests of each process.
+     */
+    private static final double OTHERS_DECAY_MILLIS = 2_000;
 
     private RateSpec limit;
     private double level;
-    private double levelOfUnheard;
+    private double unreachableLevel;
     private long updatedMillis;
-    private double ownPart = 1;
-    private double savedFor;
-    private boolean othersGoOn;
-    private double levelIfOthersGoOn;
-    private double partIfOthersGoOn;
+    private double reachablePart = 1;
+    private double maxRequestUnits;
+    private boolean assumeOthersActive;
+    private double levelIfOthersActive;
+    private double partIfOthersActive;
     private double used;
     private double usedByLeaves;
     private double usedByPeers;
-    private double othersRecent;
+    private double recentUseByOthers;
     private long othersUpdatedMillis;
     private double othersPerSecond;
 
     /**
      * Creates a bucket.
      *
-     * @param limit the organisation's limit
-     * @param level units it holds at first
-     * @param nowMillis the time
+     * @param limit the limit of the organisation
+     * @param level the initial level, in units
+     * @param nowMillis the current time, in milliseconds
      */
     public QuotaBucket(RateSpec limit, double level, long nowMillis) {
         this.limit = limit;
@@ -66,58 +70,60 @@
     }
 
     /**
-     * Takes a request's units if there are enough.
+     * Takes the units of a request if there are enough.
      *
-     * @param units the request's size
-     * @param nowMillis the time
-     * @return 0 if the request may go on, else milliseconds until asking again may help
+     * @param units the size of the request
+     * @param nowMillis the current time, in milliseconds
+     * @return 0 if the request may proceed, else the time after which another attempt may succeed,
+     *     in milliseconds
      */
     public long tryTake(double units, long nowMillis) {
         refill(nowMillis);
         double needed = Math.min(units, limit.burst());
-        savedFor = Math.max(savedFor, needed);
-        if (!limit.limited() || usable() >= needed) {
+        maxRequestUnits = Math.max(maxRequestUnits, needed);
+        if (!limit.limited() || usableLevel() >= needed) {
             take(units);
             used += units;
             return 0;
         }
-        double part = othersGoOn ? partIfOthersGoOn : ownPart;
+        double part = assumeOthersActive ? partIfOthersActive : reachablePart;
         double perSecond = Math.max(1, limit.perSecond() * part);
-        return Math.max(1, (long) Math.ceil((needed - usable()) * MILLIS_PER_SECOND / perSecond));
+        return Math.max(
+                1, (long) Math.ceil((needed - usableLevel()) * MILLIS_PER_SECOND / perSecond));
     }
 
     /**
-     * Records what peers have taken.
+     * Records units taken by peers.
      *
-     * @param units units since it was last told
-     * @param nowMillis the time
+     * @param units the units taken since the last report
+     * @param nowMillis the current time, in milliseconds
      */
     public void takenByPeers(double units, long nowMillis) {
         refill(nowMillis);
         take(units);
         usedByPeers += units;
-        othersTook(units, nowMillis);
+        recordUseByOthers(units, nowMillis);
     }
 
     /**
-     * Records what a process has taken that relies on this one to tell the others.
+     * Records units taken by a leaf, which relies on this process to report them to the others.
      *
-     * @param units units since it was last told
-     * @param nowMillis the time
+     * @param units the units taken since the last report
+     * @param nowMillis the current time, in milliseconds
      */
     public void takenByLeaf(double units, long nowMillis) {
         refill(nowMillis);
         take(units);
         usedByLeaves += units;
-        othersTook(units, nowMillis);
+        recordUseByOthers(units, nowMillis);
     }
 
     /**
-     * Gives units back that a request did not use because it did not run.
+     * Returns the units of a request that did not run to the bucket.
      *
-     * @param units the request's size
+     * @param units the size of the request
      */
-    public void giveBack(double units) {
+    public void returnUnits(double units) {
         take(-units);
         used -= units;
     }
@@ -126,113 +132,115 @@
      * Changes the limit. A lower limit takes effect at once.
      *
      * @param changed the new limit
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void limit(RateSpec changed, long nowMillis) {
         refill(nowMillis);
         if (changed.limited() && !limit.limited()) {
-            level = changed.burst() * ownPart;
-            levelOfUnheard = changed.burst() * (1 - ownPart);
-            levelIfOthersGoOn = changed.burst();
+            level = changed.burst() * reachablePart;
+            unreachableLevel = changed.burst() * (1 - reachablePart);
+            levelIfOthersActive = changed.burst();
         }
         limit = changed;
-        bound();
+        clampLevels();
     }
 
     /**
-     * Sets the part of the limit that heard entries share.
+     * Sets the part of the limit that the reachable entries share.
      *
-     * @param part above 0, at most 1; 1 if every peer is heard
-     * @param nowMillis the time
+     * @param part above 0, at most 1; 1 if every peer is reachable
+     * @param nowMillis the current time, in milliseconds
      */
     public void sharedPart(double part, long nowMillis) {
         refill(nowMillis);
         split(part);
-        othersGoOn = false;
-        othersTook(0, nowMillis);
-        othersPerSecond = othersRecent * MILLIS_PER_SECOND / OTHERS_MILLIS;
+        assumeOthersActive = false;
+        recordUseByOthers(0, nowMillis);
+        othersPerSecond = recentUseByOthers * MILLIS_PER_SECOND / OTHERS_DECAY_MILLIS;
     }
 
     /**
-     * Has this entry use what the others leave if they go on as they did when they were last heard.
-     * To be called in place of {@link #sharedPart} while it hears nobody for a moment.
+     * Lets this entry use what the others leave if they go on as they did when they were last
+     * reachable. Called in place of {@link #sharedPart} while no other entry is reachable for a
+     * moment.
      *
-     * @param part the part of the limit that is its own, above 0 and at most 1
-     * @param nowMillis the time
+     * @param part the part of the limit that is this entry's own, above 0 and at most 1
+     * @param nowMillis the current time, in milliseconds
      */
-    public void othersGoOn(double part, long nowMillis) {
+    public void assumeOthersActive(double part, long nowMillis) {
         refill(nowMillis);
-        if (!othersGoOn) {
-            levelIfOthersGoOn = level + levelOfUnheard;
+        if (!assumeOthersActive) {
+            levelIfOthersActive = level + unreachableLevel;
         }
         split(part);
-        double left = limit.limited() ? 1 - othersPerSecond / limit.perSecond() : 1;
-        partIfOthersGoOn = Math.max(part, left);
-        othersGoOn = true;
+        double remainingPart = limit.limited() ? 1 - othersPerSecond / limit.perSecond() : 1;
+        partIfOthersActive = Math.max(part, remainingPart);
+        assumeOthersActive = true;
     }
 
     /**
-     * Tells that others are heard again that were taken to go on: what they left was free to take.
+     * Records that others that were assumed to go on are reachable again, so that what they left
+     * was free to use.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
-    public void othersWentOn(long nowMillis) {
+    public void othersWereActive(long nowMillis) {
         refill(nowMillis);
-        if (othersGoOn) {
-            level = levelIfOthersGoOn * ownPart;
-            levelOfUnheard = levelIfOthersGoOn * (1 - ownPart);
+        if (assumeOthersActive) {
+            level = levelIfOthersActive * reachablePart;
+            unreachableLevel = levelIfOthersActive * (1 - reachablePart);
         }
     }
 
     /**
-     * Takes over a lower level that a peer knows of, after a start.
+     * Lowers the level to that of a peer, after a start of this entry.
      *
-     * @param peerLevel the peer's {@link #levelOfAll}
-     * @param nowMillis the time
+     * @param peerLevel the {@link #totalLevel} of the peer
+     * @param nowMillis the current time, in milliseconds
      */
-    public void atMost(double peerLevel, long nowMillis) {
+    public void capLevel(double peerLevel, long nowMillis) {
         refill(nowMillis);
-        double excess = Math.max(0, level + levelOfUnheard - peerLevel);
-        level -= excess * ownPart;
-        levelOfUnheard -= excess * (1 - ownPart);
-        levelIfOthersGoOn = Math.min(levelIfOthersGoOn, peerLevel);
+        double excess = Math.max(0, level + unreachableLevel - peerLevel);
+        level -= excess * reachablePart;
+        unreachableLevel -= excess * (1 - reachablePart);
+        levelIfOthersActive = Math.min(levelIfOthersActive, peerLevel);
     }
 
     /**
-     * Tells whether some units are much of what the limit allows at once, or in a second if that is
-     * more.
+     * Returns whether some units are at least a part of what the limit allows at once, or in a
+     * second if that is more.
      *
-     * @param units units
-     * @param part a part of that
-     * @return false if they are less than it, or nothing is limited
+     * @param units the units
+     * @param part the part, from 0 to 1
+     * @return false if they are less, or if there is no limit
      */
-    public boolean isMuch(double units, double part) {
-        double most = Math.max(limit.burst(), limit.perSecond());
-        return limit.limited() && units >= most * part;
+    public boolean isLargePart(double units, double part) {
+        double max = Math.max(limit.burst(), limit.perSecond());
+        return limit.limited() && units >= max * part;
     }
 
     /**
-     * Returns all units this entry has let pass since its start, to be told to peers.
+     * Returns all units that this entry has let pass since its start, which are reported to peers.
      *
-     * @return units
+     * @return the units
      */
     public double used() {
         return used;
     }
 
     /**
-     * Returns all units that this entry, and those that rely on it, have let pass.
+     * Returns all units that this entry and its leaves have let pass.
      *
-     * @return units
+     * @return the units
      */
     public double usedByGroup() {
         return used + usedByLeaves;
     }
 
     /**
-     * Returns all units that this entry has let pass or was told of.
+     * Returns all units that this entry has let pass or that were reported to it.
      *
-     * @return units
+     * @return the units
      */
     public double usedByAll() {
         return used + usedByLeaves + usedByPeers;
@@ -241,64 +249,64 @@
     /**
      * Returns the units that this entry may let pass.
      *
-     * @param nowMillis the time
-     * @return units; below 0 if peers have taken more than there was
+     * @param nowMillis the current time, in milliseconds
+     * @return the units; below 0 if peers have taken more than there were
      */
     public double level(long nowMillis) {
         refill(nowMillis);
-        return usable();
+        return usableLevel();
     }
 
     /**
-     * Returns the units left if those that are not heard have taken nothing but their part of the
-     * rate since.
+     * Returns the units left over all processes if unreachable ones have taken no more than their
+     * part of the rate.
      *
-     * @param nowMillis the time
-     * @return units; below 0 if more was taken than there was
+     * @param nowMillis the current time, in milliseconds
+     * @return the units; below 0 if more were taken than there were
      */
-    public double levelOfAll(long nowMillis) {
+    public double totalLevel(long nowMillis) {
         refill(nowMillis);
-        return othersGoOn ? levelIfOthersGoOn : level + levelOfUnheard;
+        return assumeOthersActive ? levelIfOthersActive : level + unreachableLevel;
     }
 
-    private double usable() {
-        return othersGoOn ? levelIfOthersGoOn : level;
+    private double usableLevel() {
+        return assumeOthersActive ? levelIfOthersActive : level;
     }
 
     private void take(double units) {
         level -= units;
-        levelIfOthersGoOn -= units;
+        levelIfOthersActive -= units;
     }
 
-    /** Divides what there is anew between those that are heard and those that are not. */
+    /** Divides the current units between reachable and unreachable processes. */
     private void split(double part) {
         double moved =
-                part <= ownPart
-                        ? level * (part - ownPart) / ownPart
-                        : levelOfUnheard * (part - ownPart) / (1 - ownPart);
+                part <= reachablePart
+                        ? level * (part - reachablePart) / reachablePart
+                        : unreachableLevel * (part - reachablePart) / (1 - reachablePart);
         level += moved;
-        levelOfUnheard -= moved;
-        ownPart = part;
-        savedFor = part < 1 ? savedFor : 0;
+        unreachableLevel -= moved;
+        reachablePart = part;
+        maxRequestUnits = part < 1 ? maxRequestUnits : 0;
     }
 
-    private void othersTook(double units, long nowMillis) {
+    private void recordUseByOthers(double units, long nowMillis) {
         double elapsed = Math.max(0, nowMillis - othersUpdatedMillis);
-        othersRecent = othersRecent * Math.exp(-elapsed / OTHERS_MILLIS) + units;
+        recentUseByOthers = recentUseByOthers * Math.exp(-elapsed / OTHERS_DECAY_MILLIS) + units;
         othersUpdatedMillis = Math.max(othersUpdatedMillis, nowMillis);
     }
 
     private void refill(long nowMillis) {
         double elapsed = Math.max(0, nowMillis - updatedMillis) / MILLIS_PER_SECOND;
-        level += elapsed * limit.perSecond() * ownPart;
-        levelIfOthersGoOn += elapsed * limit.perSecond() * partIfOthersGoOn;
-        bound();
+        level += elapsed * limit.perSecond() * reachablePart;
+        levelIfOthersActive += elapsed * limit.perSecond() * partIfOthersActive;
+        clampLevels();
         updatedMillis = Math.max(updatedMillis, nowMillis);
     }
 
-    private void bound() {
-        level = Math.min(level, Math.max(limit.burst() * ownPart, savedFor));
-        levelOfUnheard = Math.min(levelOfUnheard, limit.burst() * (1 - ownPart));
-        levelIfOthersGoOn = Math.min(levelIfOthersGoOn, limit.burst());
+    private void clampLevels() {
+        level = Math.min(level, Math.max(limit.burst() * reachablePart, maxRequestUnits));
+        unreachableLevel = Math.min(unreachableLevel, limit.burst() * (1 - reachablePart));
+        levelIfOthersActive = Math.min(levelIfOthersActive, limit.burst());
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/limit/RateLimiter.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/limit/RateLimiter.java
@@ -16,7 +16,7 @@
 package io.trailladder.core.limit;
 
 /**
- * A token bucket: so many requests a second, with one second's worth of burst.
+ * A token bucket for a number of requests a second, with a burst of one second's requests.
  *
  * @since 0.1
  */
@@ -30,8 +30,8 @@
     /**
      * Creates a limiter with a full bucket.
      *
-     * @param perSecond requests a second
-     * @param nowMillis the time
+     * @param perSecond the rate, in requests a second
+     * @param nowMillis the current time, in milliseconds
      */
     public RateLimiter(double perSecond, long nowMillis) {
         this.perSecond = perSecond;
@@ -40,10 +40,11 @@
     }
 
     /**
-     * Takes one request's token if there is one.
+     * Takes the token of one request if there is one.
      *
-     * @param nowMillis the time
-     * @return 0 if the request may go on, else milliseconds until asking again may help
+     * @param nowMillis the current time, in milliseconds
+     * @return 0 if the request may proceed, else the time after which another attempt may succeed,
+     *     in milliseconds
      */
     public long tryAcquire(long nowMillis) {
         refill(nowMillis);
@@ -55,10 +56,10 @@
     }
 
     /**
-     * Changes the rate, for a new share of the row's limit.
+     * Changes the rate, for a new share of the limit of the row.
      *
-     * @param newPerSecond requests a second, above 0
-     * @param nowMillis the time
+     * @param newPerSecond the rate, in requests a second, above 0
+     * @param nowMillis the current time, in milliseconds
      */
     public void rate(double newPerSecond, long nowMillis) {
         refill(nowMillis);
--- a/trailladder-core/src/main/java/io/trailladder/core/limit/RetryBudget.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/limit/RetryBudget.java
@@ -16,26 +16,26 @@
 package io.trailladder.core.limit;
 
 /**
- * Lets an organisation's requests be retried only as often as a share of its successes, so that
- * retries never amplify a wave of failures. Safe for several threads.
+ * Limits the retries of an organisation's requests to a share of its successes, so that retries do
+ * not amplify a series of failures. Thread-safe.
  *
  * @since 0.1
  */
 public final class RetryBudget {
-    /** Retries earned by one success. */
+    /** Number of retries that one success adds to the budget. */
     public static final double RETRIES_PER_SUCCESS = 0.15;
 
-    private static final double MOST = 20;
+    private static final double MAX_BALANCE = 20;
 
-    private double balance = MOST;
+    private double balance = MAX_BALANCE;
 
     /** Records a request that succeeded. */
     public synchronized void succeeded() {
-        balance = Math.min(MOST, balance + RETRIES_PER_SUCCESS);
+        balance = Math.min(MAX_BALANCE, balance + RETRIES_PER_SUCCESS);
     }
 
     /**
-     * Takes one retry if the budget has one.
+     * Takes one retry if the budget contains one.
      *
      * @return true if the retry may be made
      */
--- a/trailladder-core/src/main/java/io/trailladder/core/limit/WindowedRetryBudget.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/limit/WindowedRetryBudget.java
@@ -19,21 +19,22 @@
 import java.util.Deque;
 
 /**
- * The second and later attempts that one service may get from this entry within a sliding window: a
- * part of the requests of that window, and this entry's part of a fixed allowance.
+ * Limits the second and later attempts of the requests of one service at this entry within a
+ * sliding window, to a part of the requests of that window plus this entry's part of a fixed
+ * allowance.
  *
  * @since 0.2
  */
 public final class WindowedRetryBudget {
     private static final int SLICES = 20;
-    private static final double SAFETY = 0.7;
+    private static final double SAFETY_FACTOR = 0.7;
 
     private final double ratio;
     private final double allowance;
     private final long sliceMillis;
     private final Deque<Slice> slices = new ArrayDeque<>();
 
-    /** What was counted in one part of the window. */
+    /** Counts of one slice of the window. */
     private static final class Slice {
         final long number;
         int requests;
@@ -47,8 +48,8 @@
     /**
      * Creates a budget.
      *
-     * @param ratio retries allowed for each request
-     * @param allowance retries allowed on top in each window, over all entries
+     * @param ratio the number of retries allowed for each request
+     * @param allowance the number of additional retries allowed in each window, over all entries
      * @param windowMillis length of the window, in milliseconds
      */
     public WindowedRetryBudget(double ratio, double allowance, long windowMillis) {
@@ -60,7 +61,7 @@
     /**
      * Records the first attempt of a request.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void requested(long nowMillis) {
         slice(nowMillis).requests++;
@@ -69,8 +70,8 @@
     /**
      * Takes one retry if the window has one left.
      *
-     * @param entries how many entries share the allowance
-     * @param nowMillis the time
+     * @param entries the number of entries that share the allowance
+     * @param nowMillis the current time, in milliseconds
      * @return true if the retry may be made
      */
     public boolean tryRetry(int entries, long nowMillis) {
@@ -81,8 +82,8 @@
             requests += slice.requests;
             retries += slice.retries;
         }
-        double most = SAFETY * (ratio * requests + allowance / Math.max(1, entries));
-        if (retries + 1 > most) {
+        double max = SAFETY_FACTOR * (ratio * requests + allowance / Math.max(1, entries));
+        if (retries + 1 > max) {
             return false;
         }
         current.retries++;
--- a/trailladder-core/src/main/java/io/trailladder/core/membership/GatewayMember.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/membership/GatewayMember.java
@@ -16,19 +16,19 @@
 package io.trailladder.core.membership;
 
 /**
- * One gateway process as the others know it.
+ * A gateway process as known to the others.
  *
- * @param name its name, unlike all others
- * @param dataCentre where it runs
- * @param address host and port where it takes links
+ * @param name its unique name
+ * @param dataCentre the data centre in which it runs
+ * @param address host and port on which it accepts links
  * @param linkMbps bandwidth of its network link, in megabits a second
- * @param cores processor it may use, in cores
+ * @param cores processor capacity that it may use, in cores
  * @since 0.2
  */
 public record GatewayMember(
         String name, String dataCentre, String address, double linkMbps, double cores) {
-    // written out: the methods that records get are linked at their first call, and that of five
-    // fields takes a process that starts some 20 ms of processor time
+    // explicit, since the generated record methods are linked at their first call: for five fields
+    // this adds about 20 ms of processor time to the start of a process
     @Override
     public boolean equals(Object other) {
         return other instanceof GatewayMember that
--- a/trailladder-core/src/main/java/io/trailladder/core/membership/HubTopology.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/membership/HubTopology.java
@@ -27,18 +27,18 @@
 /**
  * Chooses the hubs among the gateway processes.
  *
- * <p>Few processes link to each other directly. Above {@link #FULL_MESH_MOST} the strongest of each
- * data centre are hubs, which link to each other, and every other process links to one of them. So
- * the links of a process do not grow with the number of processes, and those of a hub grow with the
- * processes of its data centre only.
+ * <p>Up to {@link #FULL_MESH_MAX_PROCESSES} processes all link to each other. Above that number the
+ * strongest processes of each data centre are hubs, which link to each other, and every other
+ * process links to one hub. So the number of links of a process does not grow with the number of
+ * processes, and that of a hub grows only with the number of processes of its data centre.
  *
  * @since 0.2
  */
 public final class HubTopology {
-    /** Most processes that all link to each other. */
-    public static final int FULL_MESH_MOST = 12;
+    /** Maximum number of processes that all link to each other. */
+    public static final int FULL_MESH_MAX_PROCESSES = 12;
 
-    /** Hubs of a data centre. */
+    /** Number of hubs of a data centre. */
     public static final int HUBS_PER_DATA_CENTRE = 2;
 
     private static final Comparator<GatewayMember> STRONGEST_FIRST =
@@ -46,26 +46,26 @@
                     .thenComparingDouble(member -> -member.cores())
                     .thenComparing(GatewayMember::name);
 
-    /** Processes of a region that link to other regions. */
-    public static final int CARRIERS_PER_REGION = 2;
+    /** Number of bridge hubs of a region, which link to other regions. */
+    public static final int BRIDGES_PER_REGION = 2;
 
     private HubTopology() {}
 
     /**
-     * Tells whether all processes link to each other.
+     * Returns whether all processes link to each other.
      *
      * @param members all known processes
-     * @return true if there are few
+     * @return true if there are at most {@link #FULL_MESH_MAX_PROCESSES}
      */
     public static boolean isFullMesh(Collection<GatewayMember> members) {
-        return members.size() <= FULL_MESH_MOST;
+        return members.size() <= FULL_MESH_MAX_PROCESSES;
     }
 
     /**
-     * Chooses the hubs.
+     * Returns the hubs.
      *
      * @param members all known processes
-     * @return the hubs of every data centre; everyone of a full mesh
+     * @return the hubs of every data centre; all processes of a full mesh
      */
     public static List<GatewayMember> hubs(Collection<GatewayMember> members) {
         if (isFullMesh(members)) {
@@ -86,15 +86,18 @@
     }
 
     /**
-     * Orders the hubs of a region by who is to carry its sums to other regions: the strongest, then
-     * the strongest of another data centre, so that no loss of one takes both, then the others.
+     * Returns the hubs of a region in the order in which they act as bridges, which send the
+     * aggregated figures of the region to other regions. The strongest comes first, then the
+     * strongest of another data centre, so that the loss of one data centre does not take both,
+     * then the others.
      *
      * @param hubs all hubs
-     * @param topology tells the regions
-     * @param region the region's name
-     * @return its hubs, the first {@link #CARRIERS_PER_REGION} of those that can be reached carry
+     * @param topology the regions of the data centres
+     * @param region the name of the region
+     * @return the hubs of the region; the first {@link #BRIDGES_PER_REGION} that are reachable are
+     *     bridges
      */
-    public static List<GatewayMember> carriers(
+    public static List<GatewayMember> bridgeOrder(
             Collection<GatewayMember> hubs, Topology topology, String region) {
         List<GatewayMember> order = new ArrayList<>();
         for (GatewayMember hub : hubs) {
@@ -113,21 +116,21 @@
     }
 
     /**
-     * Orders the processes that a leaf may link to: the hubs of its data centre in an order of its
-     * own, so that leaves spread over them, then the next strongest there, then hubs of its region,
-     * then hubs elsewhere.
+     * Returns the processes to which a leaf may link, in order of preference: the hubs of its data
+     * centre in an order that depends on the leaf, so that leaves spread over them, then the next
+     * strongest processes there, then hubs of its region, then hubs of other regions.
      *
      * @param self the leaf
      * @param members all known processes
-     * @param topology tells how far they are
-     * @return the others, the most wanted first
+     * @param topology the distances of the data centres
+     * @return the other processes, the most preferred first
      */
     public static List<GatewayMember> candidates(
             GatewayMember self, Collection<GatewayMember> members, Topology topology) {
         List<GatewayMember> hubs = hubs(members);
         Comparator<GatewayMember> order =
                 Comparator.<GatewayMember>comparingInt(member -> rank(member, hubs, topology))
-                        .thenComparingLong(member -> spread(self, member, hubs))
+                        .thenComparingLong(member -> spreadHash(self, member, hubs))
                         .thenComparing(STRONGEST_FIRST);
         return members.stream()
                 .filter(member -> !member.name().equals(self.name()))
@@ -144,7 +147,8 @@
         };
     }
 
-    private static long spread(GatewayMember self, GatewayMember member, List<GatewayMember> hubs) {
+    private static long spreadHash(
+            GatewayMember self, GatewayMember member, List<GatewayMember> hubs) {
         if (!hubs.contains(member)) {
             return 0;
         }
--- a/trailladder-core/src/main/java/io/trailladder/core/membership/LinkPlanner.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/membership/LinkPlanner.java
@@ -26,18 +26,18 @@
 import java.util.Set;
 
 /**
- * Decides which processes this process opens links to, and whether it acts as a hub.
+ * Decides to which processes this process opens links, and whether it acts as a hub.
  *
- * <p>A leaf stays with its hub until the link is lost, and leaves out whom it could not reach, for
- * longer each time. One that had to take a process of lower rank returns to a hub of its data
- * centre when it may try it again. A process that others took as their hub acts as one, whatever
- * its rank.
+ * <p>A leaf keeps its hub until the link is lost, and avoids processes that it could not reach, for
+ * a longer time after each failure. A leaf that had to link to a process of lower rank returns to a
+ * hub of its data centre as soon as it may try that hub again. A process that others use as their
+ * hub acts as one, whatever its rank.
  *
  * @since 0.2
  */
 public final class LinkPlanner {
-    private static final long AVOID_MILLIS = 3_000;
-    private static final int MOST_DOUBLINGS = 4;
+    private static final long MIN_AVOID_MILLIS = 3_000;
+    private static final int MAX_DOUBLINGS = 4;
 
     private final GatewayMember self;
     private final Topology topology;
@@ -46,17 +46,17 @@
     private List<GatewayMember> members = List.of();
     private List<GatewayMember> hubs = List.of();
     private List<GatewayMember> candidates = List.of();
-    private Set<String> followers = Set.of();
-    private String hub = "";
+    private Set<String> storeFollowers = Set.of();
+    private String hubAddress = "";
 
-    /** The hubs of each region, those that are to carry its sums first. */
-    private final Map<String, List<GatewayMember>> carriers = new HashMap<>();
+    /** The hubs of each region, in the order in which they act as bridges. */
+    private final Map<String, List<GatewayMember>> bridgeOrders = new HashMap<>();
 
     /**
-     * What to do about links.
+     * The links that a process opens.
      *
      * @param hub true if this process acts as a hub
-     * @param dial addresses to be linked to by this process
+     * @param dial the addresses to which this process opens links
      */
     public record LinkPlan(boolean hub, Set<String> dial) {
         /** Copies the addresses. */
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Creates a planner that knows nobody, where all is one region.
+     * Creates a planner without known processes, where all data centres are in one region.
      *
      * @param self this process
      */
@@ -75,10 +75,10 @@
     }
 
     /**
-     * Creates a planner that knows nobody.
+     * Creates a planner without known processes.
      *
      * @param self this process
-     * @param topology where it is
+     * @param topology the location of this process
      */
     public LinkPlanner(GatewayMember self, Topology topology) {
         this.self = self;
@@ -94,25 +94,25 @@
         members = List.copyOf(listed);
         hubs = HubTopology.hubs(members);
         candidates = HubTopology.candidates(self, members, topology);
-        carriers.clear();
-        order(topology.region());
-        topology.otherRegions().forEach(this::order);
-        // each region has followers of its own: what they pass on does not cross
-        followers = StoreFollowers.of(carriers.get(topology.region()));
+        bridgeOrders.clear();
+        orderBridges(topology.region());
+        topology.otherRegions().forEach(this::orderBridges);
+        // each region has its own followers: they do not pass updates on to other regions
+        storeFollowers = StoreFollowers.of(bridgeOrders.get(topology.region()));
     }
 
     /**
-     * Tells whether a process is one of the few hubs that follow the store for all.
+     * Returns whether a process is one of the few hubs that follow the store for all processes.
      *
-     * @param name the process's name
-     * @return false where all processes link to each other: there each follows for itself
+     * @param name the name of the process
+     * @return false in a full mesh, where each process follows the store itself
      */
     public boolean isStoreFollower(String name) {
-        return !HubTopology.isFullMesh(members) && followers.contains(name);
+        return !HubTopology.isFullMesh(members) && storeFollowers.contains(name);
     }
 
     /**
-     * Returns how many processes are known, this one included.
+     * Returns the number of known processes, this one included.
      *
      * @return a count of at least 1
      */
@@ -122,7 +122,7 @@
     }
 
     /**
-     * Returns how many processes of the own region are known, this one included.
+     * Returns the number of known processes of the own region, this one included.
      *
      * @return a count of at least 1
      */
@@ -138,17 +138,17 @@
     }
 
     /**
-     * Records that a process could not be reached, or fell silent.
+     * Records that a process was not reachable, or stopped responding.
      *
      * @param address its address
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void unreachable(String address, long nowMillis) {
-        int before = failures.merge(address, 1, Integer::sum) - 1;
-        long avoid = AVOID_MILLIS << Math.min(before, MOST_DOUBLINGS);
+        int previousFailures = failures.merge(address, 1, Integer::sum) - 1;
+        long avoid = MIN_AVOID_MILLIS << Math.min(previousFailures, MAX_DOUBLINGS);
         avoidedUntilMillis.put(address, nowMillis + avoid);
-        if (hub.equals(address)) {
-            hub = "";
+        if (hubAddress.equals(address)) {
+            hubAddress = "";
         }
     }
 
@@ -162,36 +162,37 @@
     }
 
     /**
-     * Plans.
+     * Computes the links to open.
      *
-     * @param needed true if others rely on this process as a hub, or it leads
-     * @param nowMillis the time
-     * @return whom to link to
+     * @param needed true if other processes use this process as their hub, or if it is the leader
+     * @param nowMillis the current time, in milliseconds
+     * @return the plan
      */
     public LinkPlan plan(boolean needed, long nowMillis) {
         avoidedUntilMillis.values().removeIf(until -> until <= nowMillis);
-        List<GatewayMember> own = carriers.getOrDefault(topology.region(), List.of());
-        if (HubTopology.isFullMesh(members) || own.stream().anyMatch(this::isSelf)) {
-            return hubPlan(mesh(own), own);
+        List<GatewayMember> ownHubs = bridgeOrders.getOrDefault(topology.region(), List.of());
+        if (HubTopology.isFullMesh(members) || ownHubs.stream().anyMatch(this::isSelf)) {
+            return hubPlan(addressesToDial(ownHubs), ownHubs);
         }
         if (needed) {
-            List<GatewayMember> withSelf = new ArrayList<>(own);
+            List<GatewayMember> withSelf = new ArrayList<>(ownHubs);
             withSelf.add(self);
-            return hubPlan(addresses(own), withSelf);
+            return hubPlan(addresses(ownHubs), withSelf);
         }
         chooseHub();
-        return new LinkPlan(false, hub.isEmpty() ? Set.of() : Set.of(hub));
+        return new LinkPlan(false, hubAddress.isEmpty() ? Set.of() : Set.of(hubAddress));
     }
 
     /**
-     * Returns the place of a hub in the order in which hubs carry the sums of their region.
+     * Returns the position of a hub in the order in which the hubs of its region act as bridges.
      *
-     * @param name the hub's name
+     * @param name the name of the hub
      * @param dataCentre its data centre
-     * @return 0 for the first; more than any hub's for a process that is none
+     * @return 0 for the first; {@link Integer#MAX_VALUE} for a process that is not a hub
      */
-    public int carrierRank(String name, String dataCentre) {
-        List<GatewayMember> order = carriers.getOrDefault(topology.region(dataCentre), List.of());
+    public int bridgeRank(String name, String dataCentre) {
+        List<GatewayMember> order =
+                bridgeOrders.getOrDefault(topology.region(dataCentre), List.of());
         for (int i = 0; i < order.size(); i++) {
             if (order.get(i).name().equals(name)) {
                 return i;
@@ -200,52 +201,56 @@
         return Integer.MAX_VALUE;
     }
 
-    private void order(String region) {
-        carriers.put(region, HubTopology.carriers(hubs, topology, region));
+    private void orderBridges(String region) {
+        bridgeOrders.put(region, HubTopology.bridgeOrder(hubs, topology, region));
     }
 
     private boolean isSelf(GatewayMember member) {
         return member.name().equals(self.name());
     }
 
-    /** A hub links to those of its region, and to other regions if it is to carry sums. */
-    private LinkPlan hubPlan(Set<String> dial, List<GatewayMember> own) {
-        if (!topology.isOneRegion() && standing(own).stream().anyMatch(this::isSelf)) {
-            boolean first = first(own).stream().anyMatch(this::isSelf);
-            topology.otherRegions().forEach(region -> dialAcross(region, first, dial));
+    /**
+     * Returns the plan of a hub: it links to the hubs of its region, and to other regions if it is
+     * a bridge.
+     */
+    private LinkPlan hubPlan(Set<String> dial, List<GatewayMember> ownHubs) {
+        if (!topology.isOneRegion() && reachableBridges(ownHubs).stream().anyMatch(this::isSelf)) {
+            boolean isPreferred = preferredBridges(ownHubs).stream().anyMatch(this::isSelf);
+            topology.otherRegions().forEach(region -> dialOtherRegion(region, isPreferred, dial));
         }
         return new LinkPlan(true, dial);
     }
 
     /**
-     * The first carriers of a region are always wanted. Who stands in for one dials, and is
-     * dialled, whatever the addresses: the other side may not know that it does.
+     * Adds the links to another region. Its preferred bridges always get a link. A substitute for a
+     * preferred bridge dials, and is dialled, whatever the order of the addresses, since the other
+     * side may not know that it is a substitute.
      */
-    private void dialAcross(String region, boolean first, Set<String> dial) {
-        List<GatewayMember> order = carriers.getOrDefault(region, List.of());
-        List<GatewayMember> wanted = first(order);
-        dial.addAll(first ? mesh(wanted) : addresses(wanted));
-        for (GatewayMember member : standing(order)) {
-            if (!wanted.contains(member)) {
+    private void dialOtherRegion(String region, boolean isPreferred, Set<String> dial) {
+        List<GatewayMember> order = bridgeOrders.getOrDefault(region, List.of());
+        List<GatewayMember> preferred = preferredBridges(order);
+        dial.addAll(isPreferred ? addressesToDial(preferred) : addresses(preferred));
+        for (GatewayMember member : reachableBridges(order)) {
+            if (!preferred.contains(member)) {
                 dial.add(member.address());
             }
         }
     }
 
-    private static List<GatewayMember> first(List<GatewayMember> order) {
-        return order.subList(0, Math.min(HubTopology.CARRIERS_PER_REGION, order.size()));
+    private static List<GatewayMember> preferredBridges(List<GatewayMember> order) {
+        return order.subList(0, Math.min(HubTopology.BRIDGES_PER_REGION, order.size()));
     }
 
-    /** The first of a region's hubs that could be reached when last tried. */
-    private List<GatewayMember> standing(List<GatewayMember> order) {
-        List<GatewayMember> standing = new ArrayList<>();
+    /** Returns the first hubs of a region that were reachable at the last attempt. */
+    private List<GatewayMember> reachableBridges(List<GatewayMember> order) {
+        List<GatewayMember> reachable = new ArrayList<>();
         for (GatewayMember member : order) {
-            boolean lost = !isSelf(member) && failures.containsKey(member.address());
-            if (!lost && standing.size() < HubTopology.CARRIERS_PER_REGION) {
-                standing.add(member);
+            boolean unreachable = !isSelf(member) && failures.containsKey(member.address());
+            if (!unreachable && reachable.size() < HubTopology.BRIDGES_PER_REGION) {
+                reachable.add(member);
             }
         }
-        return standing;
+        return reachable;
     }
 
     private void chooseHub() {
@@ -254,9 +259,9 @@
                         .filter(member -> !avoidedUntilMillis.containsKey(member.address()))
                         .findFirst();
         Optional<GatewayMember> current =
-                members.stream().filter(member -> member.address().equals(hub)).findFirst();
+                members.stream().filter(member -> member.address().equals(hubAddress)).findFirst();
         if (current.isEmpty() || (!isLocalHub(current) && isLocalHub(best))) {
-            hub = best.map(GatewayMember::address).orElse("");
+            hubAddress = best.map(GatewayMember::address).orElse("");
         }
     }
 
@@ -266,8 +271,11 @@
                 .isPresent();
     }
 
-    /** Of two processes that want each other, the one whose address sorts lower dials. */
-    private Set<String> mesh(Collection<GatewayMember> wanted) {
+    /**
+     * Returns the addresses that this process dials: of two processes that want a link to each
+     * other, the one whose address sorts lower dials.
+     */
+    private Set<String> addressesToDial(Collection<GatewayMember> wanted) {
         Set<String> dial = new HashSet<>();
         for (GatewayMember member : wanted) {
             if (self.address().compareTo(member.address()) < 0) {
--- a/trailladder-core/src/main/java/io/trailladder/core/membership/LocalUpstream.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/membership/LocalUpstream.java
@@ -16,12 +16,12 @@
 package io.trailladder.core.membership;
 
 /**
- * One process that serves requests: a model engine or a plain service.
+ * A process that serves requests: a model engine or a plain service.
  *
- * @param id the instance's name; never used again for another instance
- * @param dataCentre where it runs
+ * @param id the name of the instance, which is never reused for another instance
+ * @param dataCentre the data centre in which it runs
  * @param address host and port, for example {@code 127.0.0.7:8000}
- * @param target the model or service it serves
+ * @param target the model or service that it serves
  * @since 0.1
  */
 public record LocalUpstream(String id, String dataCentre, String address, String target) {}
--- a/trailladder-core/src/main/java/io/trailladder/core/membership/LocalUpstreamDirectory.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/membership/LocalUpstreamDirectory.java
@@ -25,25 +25,26 @@
 import java.util.Set;
 
 /**
- * Merges the instance list, which lags, with notices, which do not.
+ * Merges the instance list, which is updated with a delay, with notices, which arrive at once.
  *
- * <p>Leaving is sticky: instance names are never used again, so a late list cannot bring an
- * upstream back. A list only adds upstreams and takes away those it no longer has.
+ * <p>An upstream that is leaving stays so: names of instances are never reused, so an outdated list
+ * cannot make it available again. A list only adds upstreams, and removes those that it no longer
+ * contains.
  *
  * @since 0.1
  */
 public final class LocalUpstreamDirectory {
-    private static final int MAX_REMEMBERED_LEAVING = 20_000;
+    private static final int MAX_LEAVING_NAMES = 20_000;
 
     private final Map<String, LocalUpstream> upstreams = new HashMap<>();
     private final Set<String> leaving = new HashSet<>();
     private long listVersion;
 
     /**
-     * Takes over a copy of the instance list.
+     * Replaces the listed upstreams by those of a copy of the instance list.
      *
-     * @param listed the upstreams the list calls live or leaving
-     * @param listedLeaving the names of those it calls leaving
+     * @param listed the upstreams that the list names as live or leaving
+     * @param listedLeaving the names of those that it names as leaving
      * @return the upstreams that are newly leaving
      */
     public List<LocalUpstream> listed(
@@ -56,18 +57,18 @@
             listVersion++;
         }
         List<LocalUpstream> newlyLeaving = new ArrayList<>();
-        listedLeaving.forEach(id -> noticed(id).ifPresent(newlyLeaving::add));
-        forgetOldNotices();
+        listedLeaving.forEach(id -> leavingNoticed(id).ifPresent(newlyLeaving::add));
+        removeOldNotices();
         return newlyLeaving;
     }
 
     /**
-     * Records that an upstream has begun to leave.
+     * Records that an upstream is leaving.
      *
-     * @param id the upstream's name, known or not yet known
-     * @return the upstream if this is news and the upstream is known
+     * @param id the name of the upstream, listed or not yet listed
+     * @return the upstream if it is listed and was not known to be leaving
      */
-    public Optional<LocalUpstream> noticed(String id) {
+    public Optional<LocalUpstream> leavingNoticed(String id) {
         if (!leaving.add(id)) {
             return Optional.empty();
         }
@@ -75,9 +76,9 @@
     }
 
     /**
-     * Returns what is known of one upstream.
+     * Returns the state of one upstream.
      *
-     * @param id the upstream's name
+     * @param id the name of the upstream
      * @return its state, if it is listed
      */
     public Optional<UpstreamState> state(String id) {
@@ -85,9 +86,9 @@
     }
 
     /**
-     * Returns all listed upstreams.
+     * Returns the states of all listed upstreams.
      *
-     * @return their states, in no order
+     * @return the states, in no particular order
      */
     public List<UpstreamState> states() {
         return upstreams.values().stream().map(this::stateOf).toList();
@@ -103,7 +104,8 @@
     }
 
     /**
-     * Returns a number that grows with every change of the list, but not with notices.
+     * Returns the version of the list, which grows with every change of the list, but not with
+     * notices.
      *
      * @return the version
      */
@@ -115,8 +117,8 @@
         return new UpstreamState(upstream, leaving.contains(upstream.id()));
     }
 
-    private void forgetOldNotices() {
-        if (leaving.size() > MAX_REMEMBERED_LEAVING) {
+    private void removeOldNotices() {
+        if (leaving.size() > MAX_LEAVING_NAMES) {
             leaving.retainAll(upstreams.keySet());
         }
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/membership/MemberCount.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/membership/MemberCount.java
@@ -20,13 +20,13 @@
 import java.util.stream.Stream;
 
 /**
- * Works out how many processes there are, from how many each has read in the store itself.
+ * Computes the number of processes from the numbers that each process has read from the store.
  *
- * <p>A process passes on what it has read, never what a peer told: two processes would else keep a
- * number alive that nobody reads any more, and share limits with processes that do not exist.
+ * <p>A process passes on only what it has read itself, never what a peer reported. Otherwise two
+ * processes could keep an outdated number alive, and share limits with processes that do not exist.
  *
  * <pre>{@code
- * int count = MemberCount.of(new Reading(8, true), toldByPeers, heard);
+ * int count = MemberCount.of(new Reading(8, true), reported, received);
  * }</pre>
  *
  * @since 0.3
@@ -35,10 +35,10 @@
     private MemberCount() {}
 
     /**
-     * How many processes one process has read.
+     * The number of processes that one process has read from the store.
      *
-     * @param members the count, itself included; 0 if it has read none yet
-     * @param current true if the store answers it, so that the count follows changes
+     * @param members the number, itself included; 0 if it has read none yet
+     * @param current true if the store answers the process, so that the number follows changes
      */
     public record Reading(int members, boolean current) {
         private boolean isKnown() {
@@ -47,23 +47,23 @@
     }
 
     /**
-     * Works the count out. Readings of processes that the store does not answer count only if there
-     * are no others.
+     * Returns the number of processes. Readings of processes that the store does not answer count
+     * only if there are no others.
      *
-     * @param own what this process has read
-     * @param told what its peers have read
-     * @param heard how many processes' figures this one knows, its own included
+     * @param own the reading of this process
+     * @param reported the readings of its peers
+     * @param received the number of processes whose figures this process has, its own included
      * @return a count of at least 1
      */
-    public static int of(Reading own, Collection<Reading> told, int heard) {
-        int current = largest(own, told, Reading::current);
-        int listed = current > 0 ? current : largest(own, told, reading -> true);
-        return Math.max(1, Math.max(listed, heard));
+    public static int of(Reading own, Collection<Reading> reported, int received) {
+        int current = largest(own, reported, Reading::current);
+        int listed = current > 0 ? current : largest(own, reported, reading -> true);
+        return Math.max(1, Math.max(listed, received));
     }
 
     private static int largest(
-            Reading own, Collection<Reading> told, Predicate<Reading> condition) {
-        return Stream.concat(Stream.of(own), told.stream())
+            Reading own, Collection<Reading> reported, Predicate<Reading> condition) {
+        return Stream.concat(Stream.of(own), reported.stream())
                 .filter(Reading::isKnown)
                 .filter(condition)
                 .mapToInt(Reading::members)
--- a/trailladder-core/src/main/java/io/trailladder/core/membership/PeerTopology.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/membership/PeerTopology.java
@@ -23,31 +23,32 @@
 import java.util.TreeMap;
 
 /**
- * Chooses which entries an entry keeps links to, and which entries of a data centre do work that
- * few should do.
+ * Chooses the entries to which an entry keeps links, and the entries of a data centre that do work
+ * that only a few should do.
  *
  * @since 0.1
  */
 public final class PeerTopology {
-    /** Entries of every other data centre that an entry keeps links to. */
+    /** Number of entries of every other data centre to which an entry keeps links. */
     public static final int REMOTE_LINKS = 2;
 
     private PeerTopology() {}
 
     /**
-     * An entry as the topology sees it.
+     * An entry and its location.
      *
-     * @param id its name
-     * @param dataCentre where it runs
+     * @param id the name of the entry
+     * @param dataCentre the data centre in which it runs
      */
     public record Member(String id, String dataCentre) {}
 
     /**
-     * Chooses the entries to keep links to: all of the same data centre, and a few of every other.
+     * Returns the entries to which an entry keeps links: all of the same data centre, and {@link
+     * #REMOTE_LINKS} of every other.
      *
      * @param self this entry
      * @param members all known entries
-     * @return the names to link to
+     * @return the names of the entries to link to
      */
     public static List<String> neighbours(Member self, List<Member> members) {
         Map<String, List<Member>> remote = new TreeMap<>();
@@ -73,13 +74,13 @@
     }
 
     /**
-     * Ranks an entry among the live ones of its data centre. The first ones do what all need but
-     * few should ask the platform for.
+     * Returns the rank of an entry among the live entries of its data centre. The first ones send
+     * the requests to the platform that all entries need but few should send.
      *
      * @param self this entry
      * @param live the live entries, with or without this one
-     * @param task names the work, so that different work falls to different entries
-     * @return 0 for the first
+     * @param task the name of the work, so that different work is assigned to different entries
+     * @return the rank; 0 for the first
      */
     public static int rank(Member self, List<Member> live, String task) {
         Comparator<Member> order = byHash(task);
--- a/trailladder-core/src/main/java/io/trailladder/core/membership/StoreFollowers.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/membership/StoreFollowers.java
@@ -24,30 +24,30 @@
 import java.util.TreeMap;
 
 /**
- * Chooses which hubs follow the platform's store for all processes. The others hear of policy and
- * upstreams from these, as a leaf does from its hub, so that calls to the store do not grow with
- * the number of hubs.
+ * Chooses the hubs that follow the platform's store for all processes. The other hubs receive
+ * policy and upstreams from these, as a leaf does from its hub, so that the number of calls to the
+ * store does not grow with the number of hubs.
  *
  * <p>The choice needs no messages: every process makes it from the same list. Lists that differ for
- * a moment lead to one follower more or fewer, and a hub that hears no follower follows the store
- * itself.
+ * a short time lead to one follower more or fewer, and a hub that receives nothing from a follower
+ * follows the store itself.
  *
  * @since 0.3
  */
 public final class StoreFollowers {
     /**
-     * Most followers. Three, each in another data centre where there are so many: one may be lost
-     * with its data centre while another is turned away by the store.
+     * Maximum number of followers. There are three, in different data centres where possible: one
+     * may be lost with its data centre while the store refuses the calls of another.
      */
-    public static final int MOST = 3;
+    public static final int MAX_FOLLOWERS = 3;
 
     private StoreFollowers() {}
 
     /**
-     * Chooses the followers.
+     * Returns the followers.
      *
      * @param hubs the hubs, the strongest of each data centre before its others
-     * @return their names; all hubs if there are few
+     * @return the names of the followers; all hubs if there are at most {@link #MAX_FOLLOWERS}
      */
     public static Set<String> of(Collection<GatewayMember> hubs) {
         Map<String, List<GatewayMember>> byDataCentre = new TreeMap<>();
@@ -57,7 +57,7 @@
                     .add(hub);
         }
         Set<String> names = new HashSet<>();
-        for (int rank = 0; names.size() < MOST && rank < hubs.size(); rank++) {
+        for (int rank = 0; names.size() < MAX_FOLLOWERS && rank < hubs.size(); rank++) {
             addRank(byDataCentre, rank, names);
         }
         return names;
@@ -66,7 +66,7 @@
     private static void addRank(
             Map<String, List<GatewayMember>> byDataCentre, int rank, Set<String> names) {
         for (List<GatewayMember> local : byDataCentre.values()) {
-            if (rank < local.size() && names.size() < MOST) {
+            if (rank < local.size() && names.size() < MAX_FOLLOWERS) {
                 names.add(local.get(rank).name());
             }
         }
--- a/trailladder-core/src/main/java/io/trailladder/core/membership/UpstreamState.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/membership/UpstreamState.java
@@ -16,15 +16,15 @@
 package io.trailladder.core.membership;
 
 /**
- * What an entry knows of one upstream.
+ * The state of an upstream as known to an entry.
  *
  * @param upstream the upstream
- * @param leaving true once any notice of its leaving was seen
+ * @param leaving true once a notice that it is leaving was received
  * @since 0.1
  */
 public record UpstreamState(LocalUpstream upstream, boolean leaving) {
     /**
-     * Tells whether new work may be sent to it.
+     * Returns whether new requests may be sent to the upstream.
      *
      * @return true if it is not leaving
      */
--- a/trailladder-core/src/main/java/io/trailladder/core/membership/package-info.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which upstreams exist and which of them are leaving.
+ * Known upstreams and processes, and the links between processes.
  *
  * @since 0.1
  */
--- a/trailladder-core/src/main/java/io/trailladder/core/store/StoreEpoch.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/store/StoreEpoch.java
@@ -16,67 +16,74 @@
 package io.trailladder.core.store;
 
 /**
- * The number of the platform's store's history, as one process knows it.
+ * The epoch of the history of the platform's store, as known to one process.
  *
- * <p>The number rises when the store comes back without some of what it had acknowledged. Its
- * revisions and leases are then given out again, so those of two epochs say nothing of each other.
+ * <p>The epoch rises when the store is restored without some of the writes that it had
+ * acknowledged. Its revisions and leases are then assigned again, so those of two epochs cannot be
+ * compared.
  *
  * <pre>{@code
  * StoreEpoch epoch = new StoreEpoch();
- * epoch.named(3); // CURRENT: the first that is known
- * epoch.named(4); // NEW
- * epoch.named(3); // OLD: an answer that came late
+ * epoch.observe(3); // CURRENT: the first known epoch
+ * epoch.observe(4); // NEW
+ * epoch.observe(3); // OLD: a late answer
  * }</pre>
  *
  * @since 0.5
  */
 public final class StoreEpoch {
-    /** Most epochs that may pass unheard: a number further ahead is taken for a spoiled one. */
-    static final long MOST_AHEAD = 1_000;
+    /**
+     * Maximum number of epochs between two observed ones. A number further ahead is treated as
+     * invalid.
+     */
+    static final long MAX_AHEAD = 1_000;
 
-    /** Highest number that is taken for one at all. */
-    static final long HIGHEST = Integer.MAX_VALUE;
+    /** Maximum valid epoch. */
+    static final long MAX_EPOCH = Integer.MAX_VALUE;
 
     private long current;
 
-    /** What a named epoch says. */
-    public enum Named {
-        /** It is the current one, the first that is known, or none. */
+    /** Meaning of an observed epoch. */
+    public enum Observation {
+        /** It is the current epoch, the first known one, or none. */
         CURRENT,
-        /** It has just become the current one; what is known of the store is of another history. */
+        /**
+         * It has just become the current epoch; what is known of the store belongs to another
+         * history.
+         */
         NEW,
-        /** It is an earlier one. */
+        /** It is an earlier epoch. */
         OLD,
-        /** It cannot be true. */
+        /** It is invalid: negative, above the maximum, or too far ahead of the current epoch. */
         UNSOUND
     }
 
     /**
-     * Takes an epoch in that the store or a peer names.
+     * Records an epoch that the store or a peer reports.
      *
-     * @param epoch the number; 0 if none was named
-     * @return what that means
+     * @param epoch the epoch; 0 if none was reported
+     * @return the meaning of the epoch
      */
-    public Named named(long epoch) {
+    public Observation observe(long epoch) {
         if (epoch == 0 || epoch == current) {
-            return Named.CURRENT;
+            return Observation.CURRENT;
         }
-        boolean tooFar = current > 0 && epoch - current > MOST_AHEAD;
-        if (epoch < 0 || epoch > HIGHEST || tooFar) {
-            return Named.UNSOUND;
+        boolean tooFar = current > 0 && epoch - current > MAX_AHEAD;
+        if (epoch < 0 || epoch > MAX_EPOCH || tooFar) {
+            return Observation.UNSOUND;
         }
         if (epoch < current) {
-            return Named.OLD;
+            return Observation.OLD;
         }
         boolean first = current == 0;
         current = epoch;
-        return first ? Named.CURRENT : Named.NEW;
+        return first ? Observation.CURRENT : Observation.NEW;
     }
 
     /**
      * Returns the current epoch.
      *
-     * @return the number; 0 if none was named yet
+     * @return the epoch; 0 if none was reported yet
      */
     public long current() {
         return current;
--- a/trailladder-core/src/main/java/io/trailladder/core/store/package-info.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/store/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What is known of the platform's store itself.
+ * State of the platform's store itself.
  *
  * @since 0.5
  */
--- a/trailladder-core/src/main/java/io/trailladder/core/time/AgreedTime.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/time/AgreedTime.java
@@ -23,14 +23,14 @@
 import java.util.Map;
 
 /**
- * The time of day by the median of what processes see, so that counts by time of day go to the
- * right window at a process whose own clock was wrong when it started.
+ * The time of day by the median of the clocks of all processes, so that counts by time of day are
+ * assigned to the right window in a process whose own clock was wrong when it started.
  *
  * <p>The time never goes backward: after a step back it stands still until it is reached again.
  *
  * <pre>{@code
  * AgreedTime time = new AgreedTime();
- * time.told("hub-1", new TimeVote(9_990, 70));
+ * time.reported("hub-1", new TimeVote(9_990, 70));
  * long millis = time.millis(steadyMillis, 12_400); // by the hub, not by the own clock
  * }</pre>
  *
@@ -38,60 +38,61 @@
  */
 public final class AgreedTime {
     /**
-     * Fewest processes, this one included, whose median is believed more than the own clock: one
+     * Minimum number of processes, this one included, whose median replaces the own clock: one
      * wrong clock among them is outvoted.
      */
-    public static final int LEAST_VOTERS = 3;
+    public static final int MIN_VOTERS = 3;
 
     /**
-     * Change of the own clock from which on the median is worked out anew, in milliseconds: it is
-     * asked for with each request, and clocks that are read to the millisecond move by one.
+     * Change of the own clock above which the median is computed again, in milliseconds. The time
+     * is read for each request, and clocks with a resolution of one millisecond vary by one.
      */
-    private static final long OWN_CHANGE_MILLIS = 5;
+    private static final long RECOMPUTE_CHANGE_MILLIS = 5;
 
-    private final Map<String, TimeVote> told = new HashMap<>();
+    private final Map<String, TimeVote> reported = new HashMap<>();
     private TimeVote agreed = new TimeVote(0, 1);
-    private long agreedOwnMillis = Long.MIN_VALUE;
+    private long agreedOwnOffsetMillis = Long.MIN_VALUE;
     private long lastMillis = Long.MIN_VALUE;
 
     /**
-     * Takes over what a peer tells in place of what it told before.
+     * Records the vote of a peer, which replaces its previous one. An invalid vote is ignored.
      *
-     * @param peer the peer's name
-     * @param vote the time as the peer, and those it speaks for, see it, by the steady clock here
+     * @param peer the name of the peer
+     * @param vote the time of day as the peer and the processes that it represents see it, relative
+     *     to the steady clock of this process
      */
-    public void told(String peer, TimeVote vote) {
-        if (vote.isSound()) {
-            told.put(peer, vote);
-            agreedOwnMillis = Long.MIN_VALUE;
+    public void reported(String peer, TimeVote vote) {
+        if (vote.isValid()) {
+            reported.put(peer, vote);
+            agreedOwnOffsetMillis = Long.MIN_VALUE;
         }
     }
 
     /**
-     * Forgets what a peer told.
+     * Removes the vote of a peer.
      *
-     * @param peer the peer's name
+     * @param peer the name of the peer
      */
-    public void forget(String peer) {
-        told.remove(peer);
-        agreedOwnMillis = Long.MIN_VALUE;
+    public void remove(String peer) {
+        reported.remove(peer);
+        agreedOwnOffsetMillis = Long.MIN_VALUE;
     }
 
     /**
      * Returns the time of day.
      *
      * @param steadyMillis the steady clock, in milliseconds
-     * @param ownOffsetMillis what the own clock is ahead of the steady one, in milliseconds
+     * @param ownOffsetMillis the offset of the own clock from the steady clock, in milliseconds
      * @return milliseconds since the start of 1970; never less than before
      */
     public long millis(long steadyMillis, long ownOffsetMillis) {
-        boolean stale = agreedOwnMillis == Long.MIN_VALUE;
-        if (stale || Math.abs(ownOffsetMillis - agreedOwnMillis) > OWN_CHANGE_MILLIS) {
-            agreed = median(ownOffsetMillis, told.values());
-            agreedOwnMillis = ownOffsetMillis;
+        boolean stale = agreedOwnOffsetMillis == Long.MIN_VALUE;
+        if (stale || Math.abs(ownOffsetMillis - agreedOwnOffsetMillis) > RECOMPUTE_CHANGE_MILLIS) {
+            agreed = median(ownOffsetMillis, reported.values());
+            agreedOwnOffsetMillis = ownOffsetMillis;
         }
-        boolean believed = agreed.voters() >= LEAST_VOTERS;
-        long offset = believed ? agreed.offsetMillis() : ownOffsetMillis;
+        boolean enoughVoters = agreed.voters() >= MIN_VOTERS;
+        long offset = enoughVoters ? agreed.offsetMillis() : ownOffsetMillis;
         lastMillis = Math.max(lastMillis, steadyMillis + offset);
         return lastMillis;
     }
@@ -99,14 +100,14 @@
     /**
      * Returns the vote of this process and some peers.
      *
-     * @param ownOffsetMillis what the own clock is ahead of the steady one, in milliseconds
-     * @param peers the peers' names
-     * @return their median, and how many processes it speaks for
+     * @param ownOffsetMillis the offset of the own clock from the steady clock, in milliseconds
+     * @param peers the names of the peers
+     * @return their median, and the number of processes that it represents
      */
     public TimeVote vote(long ownOffsetMillis, Collection<String> peers) {
         List<TimeVote> votes = new ArrayList<>(peers.size());
         for (String peer : peers) {
-            TimeVote vote = told.get(peer);
+            TimeVote vote = reported.get(peer);
             if (vote != null) {
                 votes.add(vote);
             }
@@ -114,17 +115,20 @@
         return median(ownOffsetMillis, votes);
     }
 
-    /** The median by voters, so that a hub's vote weighs as much as the processes behind it. */
+    /**
+     * Returns the median weighted by voters, so that the vote of a hub weighs as much as the
+     * processes that it represents.
+     */
     private static TimeVote median(long ownOffsetMillis, Collection<TimeVote> others) {
         List<TimeVote> votes = new ArrayList<>(others);
         votes.add(new TimeVote(ownOffsetMillis, 1));
         votes.sort(Comparator.comparingLong(TimeVote::offsetMillis));
         int voters = votes.stream().mapToInt(TimeVote::voters).sum();
-        int passed = 0;
+        int cumulativeVoters = 0;
         for (TimeVote vote : votes) {
-            passed += vote.voters();
-            if (2 * passed > voters) {
-                return new TimeVote(vote.offsetMillis(), Math.min(voters, TimeVote.MOST_VOTERS));
+            cumulativeVoters += vote.voters();
+            if (2 * cumulativeVoters > voters) {
+                return new TimeVote(vote.offsetMillis(), Math.min(voters, TimeVote.MAX_VOTERS));
             }
         }
         throw new IllegalStateException("no median of " + votes);
--- a/trailladder-core/src/main/java/io/trailladder/core/time/TimeVote.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/time/TimeVote.java
@@ -18,21 +18,24 @@
 /**
  * The time of day as some processes see it.
  *
- * @param offsetMillis what is added to the steady clock of the process that holds the vote to get
- *     the time of day, in milliseconds
- * @param voters how many processes it speaks for
+ * @param offsetMillis the offset of the time of day from the steady clock of the process that
+ *     stores the vote, in milliseconds
+ * @param voters the number of processes that the vote represents
  * @since 0.3
  */
 public record TimeVote(long offsetMillis, int voters) {
-    /** Most processes that one vote is believed to speak for: some times the largest deployment. */
-    public static final int MOST_VOTERS = 10_000;
+    /**
+     * Maximum number of processes that one vote may represent, which is several times the largest
+     * deployment.
+     */
+    public static final int MAX_VOTERS = 10_000;
 
     /**
-     * Tells whether the figures can be true.
+     * Returns whether the number of voters is valid.
      *
-     * @return false for a vote of nobody, or of absurdly many
+     * @return false for a vote that represents no process, or more than {@link #MAX_VOTERS}
      */
-    public boolean isSound() {
-        return voters > 0 && voters <= MOST_VOTERS;
+    public boolean isValid() {
+        return voters > 0 && voters <= MAX_VOTERS;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/time/package-info.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/time/package-info.java
@@ -1,2 +1,2 @@
-/** The time of day that processes agree on, whatever the clocks of single machines say. */
+/** The time of day on which processes agree, independent of the clocks of single instances. */
 package io.trailladder.core.time;
--- a/trailladder-core/src/main/java/io/trailladder/core/topology/Distance.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/topology/Distance.java
@@ -16,7 +16,8 @@
 package io.trailladder.core.topology;
 
 /**
- * How far a data centre is, in classes that differ in time, in bandwidth and in the price of bytes.
+ * Classes of distance to a data centre, which differ in latency, in bandwidth and in the price of
+ * traffic.
  *
  * @since 0.4
  */
@@ -37,18 +38,19 @@
     }
 
     /**
-     * Returns how long a message is usually under way.
+     * Returns the usual one-way latency of a message.
      *
-     * @return a prior, in milliseconds: cities some 1,000 km apart for another region
+     * @return an initial estimate, in milliseconds; for another region it assumes cities about
+     *     1,000 km apart
      */
     public double oneWayMillis() {
         return oneWayMillis;
     }
 
     /**
-     * Returns how dear a byte is.
+     * Returns the relative price of a byte.
      *
-     * @return a multiple of what one between two data centres of a region costs: public clouds ask
+     * @return a multiple of the price between two data centres of a region; public clouds charge
      *     two to ten times as much between regions
      */
     public double bytePrice() {
--- a/trailladder-core/src/main/java/io/trailladder/core/topology/Topology.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/topology/Topology.java
@@ -19,10 +19,10 @@
 import java.util.Map;
 
 /**
- * Where a process stands, and how far everything else is from it.
+ * The location of a process, and the distances from it.
  *
- * <p>A data centre that the table of regions does not name counts as one of the own region: work
- * for it is done as if there were no regions.
+ * <p>A data centre that the table of regions does not contain counts as one of the own region, so
+ * that it is treated as if there were no regions.
  *
  * <pre>{@code
  * Topology here = Topology.of("a1", Map.of("a1", "a", "a2", "a", "b1", "b"));
@@ -50,22 +50,22 @@
     }
 
     /**
-     * Creates the view from a data centre where all others are of its region.
+     * Creates the topology of a data centre where all others are in its region.
      *
      * @param dataCentre the own data centre
-     * @return the view
+     * @return the topology
      */
     public static Topology oneRegion(String dataCentre) {
         return new Topology(dataCentre, Map.of());
     }
 
     /**
-     * Creates the view from a data centre.
+     * Creates the topology of a data centre.
      *
      * @param dataCentre the own data centre
-     * @param regions the region of each data centre by its name; if it lacks the own one, all is
-     *     one region
-     * @return the view
+     * @param regions the region of each data centre by the name of the data centre; if it lacks the
+     *     own one, all data centres are in one region
+     * @return the topology
      */
     public static Topology of(String dataCentre, Map<String, String> regions) {
         return regions.containsKey(dataCentre)
@@ -85,7 +85,7 @@
     /**
      * Returns the own region.
      *
-     * @return its name; empty if all is one region
+     * @return its name; empty if all data centres are in one region
      */
     public String region() {
         return region;
@@ -95,34 +95,34 @@
      * Returns the region of a data centre.
      *
      * @param other the data centre
-     * @return its region's name, the own region's if the data centre is unknown
+     * @return the name of its region; that of the own region if the data centre is unknown
      */
     public String region(String other) {
         return otherRegions.isEmpty() ? region : regions.getOrDefault(other, region);
     }
 
     /**
-     * Returns the regions beside the own one.
+     * Returns the other regions.
      *
-     * @return their names in a fixed order; none if all is one region
+     * @return their names in sorted order; empty if all data centres are in one region
      */
     public List<String> otherRegions() {
         return otherRegions;
     }
 
     /**
-     * Tells whether there is no region beside the own one.
+     * Returns whether there is only the own region.
      *
-     * @return true if all is one region
+     * @return true if all data centres are in one region
      */
     public boolean isOneRegion() {
         return otherRegions.isEmpty();
     }
 
     /**
-     * Tells whether something stands in the own data centre.
+     * Returns whether a data centre is the own one.
      *
-     * @param other its data centre
+     * @param other the data centre
      * @return true if it is the own one
      */
     public boolean isLocal(String other) {
@@ -130,17 +130,17 @@
     }
 
     /**
-     * Tells whether something stands in the own region.
+     * Returns whether a data centre is in the own region.
      *
-     * @param other its data centre
-     * @return true for the own data centre too
+     * @param other the data centre
+     * @return true if it is, also for the own data centre
      */
     public boolean isOwnRegion(String other) {
         return otherRegions.isEmpty() || region(other).equals(region);
     }
 
     /**
-     * Returns how far a data centre is.
+     * Returns the distance to a data centre.
      *
      * @param other the data centre
      * @return its class of distance
--- a/trailladder-core/src/main/java/io/trailladder/core/topology/package-info.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/topology/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Where processes and upstreams stand to each other: data centres, and regions of these.
+ * Data centres and regions, and the distances between them.
  *
  * @since 0.4
  */
--- a/trailladder-core/src/test/java/io/trailladder/core/duty/FleetPlannerTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/duty/FleetPlannerTest.java
@@ -29,14 +29,17 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** Reclaimable upstreams carry the load; full-price ones only make up for those that are gone. */
+/**
+ * Guards against wrong fleet sizes: reclaimable upstreams serve the load, and full-price ones only
+ * replace missing ones.
+ */
 class FleetPlannerTest {
     private static final ScalingSpec SCALING =
             new ScalingSpec(1, 6, 4_000, 0.2, Map.of("a", 0.85, "b", 1.2, "c", 1.0));
     private static final Set<String> NONE = Set.of();
     private static final Optional<FleetNeed> UNKNOWN = Optional.empty();
 
-    /** A load that wants its upstreams at most 0.35 busy, and 0.7 when they are short. */
+    /** Returns a need at which upstreams are at most 0.35 busy, and 0.7 when they are scarce. */
     private static Optional<FleetNeed> busy(double upstreams) {
         return Optional.of(new FleetNeed(upstreams / 0.35, upstreams / 0.7));
     }
@@ -92,7 +95,10 @@
         assertEquals(9, ordered(planner.plan(SCALING, fleet(2, 3), UNKNOWN, NONE, 60_000), true));
     }
 
-    /** What is left after a reclaim: two in one data centre, one that leaves, none in the third. */
+    /**
+     * The upstreams left after a reclaim: two in one data centre, a leaving one in the second, none
+     * in the third.
+     */
     private static List<Upstream> afterLoss() {
         List<Upstream> left = new ArrayList<>();
         add(left, "a", 2, true);
@@ -119,7 +125,7 @@
     }
 
     @Example
-    void lossIsBridgedAtTheFullPriceIfReclaimableOnesDoNotCome() {
+    void lossIsBridgedAtTheFullPriceIfReclaimableOnesDoNotStart() {
         FleetPlanner planner = new FleetPlanner("s", false);
         planner.plan(SCALING, fleet(0, 2), busy(2.6), NONE, 0);
         planner.plan(SCALING, afterLoss(), busy(2.6), NONE, 1_000);
@@ -128,7 +134,7 @@
     }
 
     @Example
-    void whatOneDataCentreDeclinesIsOrderedInTheOthersInTheSameStep() {
+    void declinedUpstreamsAreOrderedInOtherDataCentresInTheSameStep() {
         FleetPlanner planner = new FleetPlanner("s", false);
         int before = ordered(planner.plan(SCALING, fleet(0, 2), busy(4), NONE, 0), true);
         List<UpstreamOrder> orders =
@@ -137,18 +143,21 @@
     }
 
     @Example
-    void fullPriceIsBoughtWhereItCostsLeast() {
+    void fullPriceUpstreamsAreOrderedInTheLeastExpensiveDataCentre() {
         FleetPlanner planner = new FleetPlanner("s", false);
         Set<String> all = Set.of("a", "b", "c");
         List<UpstreamOrder> orders = planner.plan(SCALING, afterLoss(), busy(1.6), all, 0);
         assertTrue(ordered(orders, false) > 0, orders.toString());
         for (UpstreamOrder order : orders) {
-            boolean dearer = !order.reclaimable() && !order.dataCentre().equals("a");
-            assertTrue(!dearer || order.count() == 0, orders.toString());
+            boolean moreExpensive = !order.reclaimable() && !order.dataCentre().equals("a");
+            assertTrue(!moreExpensive || order.count() == 0, orders.toString());
         }
     }
 
-    /** One that was ordered and still boots is not moved when a cheaper data centre gets room. */
+    /**
+     * An ordered upstream that still boots is not moved when a less expensive data centre gets
+     * capacity, since it would have to boot again.
+     */
     @Example
     void fullPriceStaysWhereItWasPlaced() {
         FullPricePlacement placement = new FullPricePlacement();
@@ -163,9 +172,12 @@
                 placement.place(3, SCALING, Map.of("a", 5, "b", 5, "c", 0)));
     }
 
-    /** Both kinds count towards the most of a data centre, but what was declined is not there. */
+    /**
+     * Both kinds count towards the maximum of a data centre, but declined upstreams do not exist
+     * and must not count.
+     */
     @Example
-    void declinedOnesTakeNoRoomFromTheFullPrice() {
+    void declinedOrdersDoNotReduceFullPriceCapacity() {
         FleetPlanner planner = new FleetPlanner("s", false);
         Set<String> all = Set.of("a", "b", "c");
         planner.plan(SCALING, fleet(0, 6), busy(6), NONE, 0);
@@ -173,7 +185,10 @@
         assertTrue(ordered(orders, false) >= 8, orders.toString());
     }
 
-    /** The pattern of a first start: 42 upstreams register over some 3 s, by data centre. */
+    /**
+     * At a first start 42 upstreams register over about 3 s, by data centre. The gaps between them
+     * must not be taken for the end of the list.
+     */
     @Example
     void listThatStillGrowsIsNotComplete() {
         RegistrationWatch watch = new RegistrationWatch();
@@ -189,14 +204,14 @@
     }
 
     @Example
-    void listThatNeverRestsIsTakenAsItIsInTheEnd() {
+    void listThatKeepsGrowingIsAcceptedAfterTheMaxWait() {
         RegistrationWatch watch = new RegistrationWatch();
         List<Upstream> upstreams = new ArrayList<>();
-        for (long now = 0; now < RegistrationWatch.MOST_WAIT_MILLIS; now += 250) {
+        for (long now = 0; now < RegistrationWatch.MAX_WAIT_MILLIS; now += 250) {
             upstreams.add(new Upstream("w" + now, "s", "a", "h:1", 8, false, false, 0));
             assertTrue(!watch.isSettled(upstreams, now), "complete at " + now);
         }
-        assertTrue(watch.isSettled(upstreams, RegistrationWatch.MOST_WAIT_MILLIS));
+        assertTrue(watch.isSettled(upstreams, RegistrationWatch.MAX_WAIT_MILLIS));
     }
 
     @Example
@@ -206,32 +221,38 @@
         assertTrue(!watch.isSettled(List.of(), 60_000));
     }
 
-    /** A swing of 0.42 round the mean with a period of 40 s, as the traffic of one user has it. */
+    /**
+     * A load that oscillates by 0.42 around its mean with a period of 40 s must not shrink the
+     * fleet at its lowest.
+     */
     @Example
-    void swingOfTheLoadIsNotFollowedDown() {
+    void loadSwingDoesNotShrinkTheFleet() {
         FleetPlanner planner = new FleetPlanner("s", true);
         ScalingSpec large = new ScalingSpec(1, 28, 4_000, 0.22, Map.of());
         List<Upstream> upstreams = fleet(0, 20);
-        int least = Integer.MAX_VALUE;
+        int min = Integer.MAX_VALUE;
         for (long now = 0; now <= 160_000; now += 250) {
             double load = 20 * (1 + 0.42 * Math.sin(now * 2 * Math.PI / 40_000));
             List<UpstreamOrder> orders = planner.plan(large, upstreams, busy(load), NONE, now);
             assertEquals(0, ordered(orders, false), "full price at " + now);
-            least = Math.min(least, ordered(orders, true));
+            min = Math.min(min, ordered(orders, true));
             upstreams = fleet(0, ordered(orders, true) / 3);
         }
-        // need in comfort at the mean is 57, at the peak 81; the trough of 33 lasts under 20 s
-        assertTrue(least >= 57, "reclaimable ones fell to " + least);
+        // the comfortable need is 57 at the mean and 81 at the peak; the low of 33 lasts under 20 s
+        assertTrue(min >= 57, "reclaimable ones fell to " + min);
     }
 
-    /** The provision tells little of the load: 42 are provided where 12 are needed, or 70. */
+    /**
+     * The provision says little about the load: 42 upstreams are provided whether 12 or 70 are
+     * needed. The guess must not outlast the measurement.
+     */
     @Example
     void guessIsReplacedOnceTheLoadIsMeasured() {
         FleetPlanner planner = new FleetPlanner("s", false);
         ScalingSpec large = new ScalingSpec(1, 28, 4_000, 0.22, Map.of());
         assertEquals(63, ordered(planner.plan(large, fleet(14, 0), UNKNOWN, NONE, 0), true));
         int ordered = 0;
-        for (long now = 20_000; now <= 20_000 + FleetPlanner.MEASURED_MILLIS; now += 250) {
+        for (long now = 20_000; now <= 20_000 + FleetPlanner.LOAD_MEASUREMENT_MILLIS; now += 250) {
             ordered = ordered(planner.plan(large, fleet(0, 21), busy(4), NONE, now), true);
         }
         assertEquals(33, ordered, "half of the guess, though 11.4 are needed in comfort");
@@ -241,7 +262,9 @@
         assertEquals(15, ordered, "8.1 without one of three data centres");
     }
 
-    /** Few upstreams keep a whole need after a loss, many only a margin over the least. */
+    /**
+     * A small fleet keeps the whole need after a loss, a large one only a margin over the minimum.
+     */
     @Example
     void marginAfterALossShrinksWithTheSizeOfTheFleet() {
         assertEquals(1.9, new FleetNeed(1.9, 1).staffed(), 1e-9);
@@ -249,9 +272,9 @@
         assertEquals(42, new FleetNeed(72, 36).staffed(), 1e-9);
     }
 
-    /** A step of three times is met by reclaimable ones in one order, not one by one. */
+    /** A load that triples is met by reclaimable upstreams in one order, not one by one. */
     @Example
-    void stepOfTheLoadIsMetAtOnceByReclaimableOnes() {
+    void loadStepIsMetByReclaimableUpstreamsInOneOrder() {
         FleetPlanner planner = new FleetPlanner("s", false);
         ScalingSpec large = new ScalingSpec(1, 28, 4_000, 0.22, Map.of());
         planner.plan(large, fleet(0, 6), busy(6), NONE, 0);
@@ -262,9 +285,12 @@
         assertTrue(ordered >= 51, "ordered " + ordered);
     }
 
-    /** Requests beyond all places are a backlog: they do not each want a place from now on. */
+    /**
+     * Requests beyond all slots are a backlog and must not each count as a slot that is needed from
+     * now on.
+     */
     @Example
-    void queueIsNotTakenForAFleetThatIsNeeded() {
+    void queuedRequestsDoNotCountAsNeededUpstreams() {
         ServiceLoad queued = new ServiceLoad(10, 10_000, 900);
         ServiceLoad load = queued.withBacklog(400, 800);
         assertEquals(400 + 500 * 0.2, load.running(), 1e-9);
@@ -281,10 +307,10 @@
     }
 
     @Example
-    void takingOverDoesNotShrinkWhatServes() {
+    void takeOverDoesNotShrinkTheServingFleet() {
         FleetPlanner planner = new FleetPlanner("s", true);
         List<Upstream> serving = fleet(1, 5);
-        for (long now = 0; now <= FleetPlanner.MEASURED_MILLIS; now += 250) {
+        for (long now = 0; now <= FleetPlanner.LOAD_MEASUREMENT_MILLIS; now += 250) {
             Optional<FleetNeed> load = now < 500 ? UNKNOWN : busy(now / 10_000.0);
             List<UpstreamOrder> orders = planner.plan(SCALING, serving, load, NONE, now);
             assertTrue(ordered(orders, true) >= 15, "reclaimable at " + now);
@@ -293,7 +319,7 @@
     }
 
     @Example
-    void entriesThatComeBackLateAfterTakingOverAreKeptToo() {
+    void upstreamsListedLateAfterATakeOverAreKept() {
         FleetPlanner planner = new FleetPlanner("s", true);
         planner.plan(SCALING, fleet(0, 5).subList(0, 2), UNKNOWN, NONE, 0);
         assertEquals(15, ordered(planner.plan(SCALING, fleet(0, 5), busy(0.4), NONE, 1_000), true));
@@ -312,7 +338,7 @@
     @Example
     void aPeakRightAfterTakingOverIsNotBridgedAtTheFullPrice() {
         FleetPlanner planner = new FleetPlanner("s", true);
-        for (long now = 0; now < FleetPlanner.MEASURED_MILLIS; now += 250) {
+        for (long now = 0; now < FleetPlanner.LOAD_MEASUREMENT_MILLIS; now += 250) {
             assertEquals(0, ordered(planner.plan(SCALING, fleet(0, 5), busy(9), NONE, now), false));
         }
     }
--- a/trailladder-core/src/test/java/io/trailladder/core/duty/LeaderElectionProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/duty/LeaderElectionProperties.java
@@ -27,9 +27,9 @@
 import net.jqwik.api.Property;
 
 /**
- * No two entries lead at the same time and every later leader has a higher token, whatever calls
- * are lost, late or refused, and however long an entry is paused. Faults and time are drawn from
- * the seed.
+ * Guards against two leaders at a time and against tokens that do not rise, whatever calls are
+ * lost, late or refused, and however long an entry is paused. Faults and time are drawn from the
+ * seed.
  */
 class LeaderElectionProperties {
     private static final long TTL = 3_000;
@@ -37,12 +37,12 @@
     private static final int STEPS = 4_000;
     private static final long STEP_MILLIS = 50;
 
-    /** The store's side: one key under one lease, and a revision that only grows. */
+    /** The store: one key under one lease, and a revision that only grows. */
     private static final class Store {
         final List<Long> leaseEnds = new ArrayList<>();
         long revision = 10;
         long keyLease = -1;
-        long keyMade;
+        long keyCreatedRevision;
 
         long grant(long now) {
             leaseEnds.add(now + TTL);
@@ -61,7 +61,7 @@
                 return false;
             }
             keyLease = lease;
-            keyMade = ++revision;
+            keyCreatedRevision = ++revision;
             return true;
         }
 
@@ -75,10 +75,10 @@
     }
 
     private static void act(
-            LeaderElection entry, Store store, Random random, long now, double lost) {
+            LeaderElection entry, Store store, Random random, long now, double lossProbability) {
         Step step = entry.next(now);
-        boolean requestLost = random.nextDouble() < lost;
-        boolean answerLost = random.nextDouble() < lost;
+        boolean requestLost = random.nextDouble() < lossProbability;
+        boolean answerLost = random.nextDouble() < lossProbability;
         if (step == Step.GRANT) {
             long lease = requestLost ? -1 : store.grant(now);
             if (lease < 0 || answerLost) {
@@ -89,14 +89,14 @@
         } else if (step == Step.CLAIM) {
             boolean done = !requestLost && store.claim(entry.lease(), now);
             if (done && !answerLost) {
-                entry.claimed(store.keyMade);
+                entry.claimed(store.keyCreatedRevision);
             } else {
                 entry.notClaimed(now);
             }
         } else if (step == Step.RENEW && !requestLost) {
             boolean done = store.renew(entry.lease(), now);
             if (!done) {
-                entry.lost(now);
+                entry.leadershipLost(now);
             } else if (!answerLost) {
                 entry.renewed(now);
             }
@@ -127,9 +127,9 @@
                     continue;
                 }
                 if (store.keyLease < 0) {
-                    entry.keyGone(now);
+                    entry.keyRemoved(now);
                 } else {
-                    entry.keySeen(store.keyMade);
+                    entry.keySeen(store.keyCreatedRevision);
                 }
                 act(entry, store, random, now, 0.1);
                 if (entry.leads(now) && entry.token() != highest) {
@@ -146,7 +146,7 @@
     @Example
     void stoppingLeaderGivesItsLeaseUp() {
         LeaderElection entry = new LeaderElection(TTL, 0, TTL);
-        entry.keyGone(0);
+        entry.keyRemoved(0);
         assertEquals(Step.GRANT, entry.next(0));
         entry.granted(7);
         assertEquals(Step.CLAIM, entry.next(1));
@@ -159,9 +159,9 @@
     }
 
     @Example
-    void claimWithoutAnswerIsNeverBelieved() {
+    void unansweredClaimNeverMakesALeader() {
         LeaderElection entry = new LeaderElection(TTL, 0, TTL);
-        entry.keyGone(0);
+        entry.keyRemoved(0);
         entry.next(0);
         entry.granted(7);
         entry.next(1);
--- a/trailladder-core/src/test/java/io/trailladder/core/duty/LeaderElectionReturnsProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/duty/LeaderElectionRestoredStoreProperties.java
@@ -29,29 +29,31 @@
 import net.jqwik.api.Property;
 
 /**
- * A store that comes back from copies, again and again, beside lost calls, pauses and losses of all
- * entries at once: the platform never accepts the calls of two leaders turn about, no token is used
- * by two, and calls are accepted again. Faults and time are drawn from the seed.
+ * Guards against faults after a store is repeatedly restored from copies, combined with lost calls,
+ * pauses, restarts and the loss of all entries at once: the platform must not accept the calls of
+ * two leaders alternately, no two entries may use the same token, and calls must be accepted again.
+ * Faults and time are drawn from the seed.
  */
-class LeaderElectionReturnsProperties {
+class LeaderElectionRestoredStoreProperties {
     private static final long TTL = 3_000;
     private static final int ENTRIES = 5;
     private static final long STEP_MILLIS = 50;
     private static final long LENGTH_MILLIS = 120_000;
     private static final long CALL_MILLIS = 200;
 
-    /** Within which time every entry hears of a change from its peers. */
-    private static final long TOLD_MILLIS = 1_000;
+    /** Time within which every entry receives a change from its peers. */
+    private static final long EPOCH_REPORT_MILLIS = 1_000;
 
     private static final long DIGEST_MILLIS = 200;
     private static final long FIRST_RAISE = 1_000;
 
-    /** The leader's key; lease 0 if there is none. */
-    private record Key(String holder, long made, long revision, long lease, long above) {
+    /** The leader's key; the lease is 0 if there is none. */
+    private record Key(
+            String holder, long createdRevision, long revision, long lease, long knownToken) {
         static final Key NONE = new Key("", 0, 0, 0, 0);
 
         long token() {
-            return lease == 0 ? 0 : Math.max(made, above + 1);
+            return lease == 0 ? 0 : Math.max(createdRevision, knownToken + 1);
         }
     }
 
@@ -79,7 +81,7 @@
             copiedLeases = leases;
         }
 
-        void comeBack(long now) {
+        void restore(long now) {
             leaseEnds = new HashMap<>(copiedEnds);
             key = copiedKey;
             revision = copiedRevision;
@@ -97,14 +99,14 @@
             }
         }
 
-        boolean claim(String holder, long lease, long expected, long above) {
+        boolean claim(String holder, long lease, long expected, long knownToken) {
             long present = key.lease() == 0 ? 0 : key.revision();
             if (present != expected || !leaseEnds.containsKey(lease)) {
                 return false;
             }
             revision++;
-            long made = key.lease() == 0 ? revision : key.made();
-            key = new Key(holder, made, revision, lease, above);
+            long createdRevision = key.lease() == 0 ? revision : key.createdRevision();
+            key = new Key(holder, createdRevision, revision, lease, knownToken);
             return true;
         }
 
@@ -120,8 +122,8 @@
             return true;
         }
 
-        /** No two holders' calls may be accepted in turns within a lease. */
-        void assertNoTurns() {
+        /** Fails if the calls of two holders were accepted alternately within a lease. */
+        void assertNoAlternation() {
             for (int i = 2; i < accepted.size(); i++) {
                 String last = accepted.get(i);
                 for (int j = i - 1; j > 0; j--) {
@@ -137,7 +139,7 @@
         }
     }
 
-    /** One entry: a life of its election and what it knows of the store's epoch. */
+    /** One entry: an incarnation of its election, and the epoch of the store that it knows. */
     private static final class Entry {
         final String name;
         final Random random;
@@ -145,7 +147,7 @@
         long epoch;
         long pausedUntil;
         long calledMillis;
-        int raises;
+        int raiseCount;
 
         Entry(String name, Random random) {
             this.name = name;
@@ -153,42 +155,42 @@
             start(-TTL, 1);
         }
 
-        /** Starts anew; the first calls to the store tell its epoch. */
-        void start(long now, long named) {
+        /** Restarts the entry; its first calls to the store report the epoch. */
+        void start(long now, long reportedEpoch) {
             election = new LeaderElection(TTL, 100 + random.nextInt(500), 2 * TTL);
             election.started(now);
-            election.epoch(named);
-            epoch = named;
-            raises = 0;
+            election.epoch(reportedEpoch);
+            epoch = reportedEpoch;
+            raiseCount = 0;
         }
 
-        /** Learns the epoch; returns false if it is another one than before. */
-        boolean learns(long named, long now) {
-            if (epoch == named) {
+        /** Records the epoch. Returns false if it replaces a known other one. */
+        boolean observeEpoch(long reportedEpoch, long now) {
+            if (epoch == reportedEpoch) {
                 return true;
             }
             boolean first = epoch == 0;
-            epoch = named;
-            election.epoch(named);
+            epoch = reportedEpoch;
+            election.epoch(reportedEpoch);
             if (!first) {
                 election.historyReplaced(now);
             }
             return first;
         }
 
-        void act(Store store, long now, double lost) {
-            boolean told = now - store.replacedMillis >= TOLD_MILLIS;
-            if (told && !learns(store.epoch, now)) {
+        void act(Store store, long now, double lossProbability) {
+            boolean reported = now - store.replacedMillis >= EPOCH_REPORT_MILLIS;
+            if (reported && !observeEpoch(store.epoch, now)) {
                 return;
             }
             if (epoch == store.epoch || epoch == 0) {
                 watch(store, now);
             }
             Step step = election.next(now);
-            boolean requestLost = random.nextDouble() < lost;
-            boolean answerLost = random.nextDouble() < lost;
+            boolean requestLost = random.nextDouble() < lossProbability;
+            boolean answerLost = random.nextDouble() < lossProbability;
             if (step != Step.NONE) {
-                ask(step, store, now, requestLost, answerLost);
+                request(step, store, now, requestLost, answerLost);
             }
             if (election.leads(now) && now - calledMillis >= CALL_MILLIS) {
                 calledMillis = now;
@@ -198,16 +200,16 @@
 
         private void watch(Store store, long now) {
             if (store.key.lease() == 0) {
-                election.keyGone(now);
+                election.keyRemoved(now);
             } else {
                 election.keySeen(store.key.token());
             }
         }
 
-        private void ask(
+        private void request(
                 Step step, Store store, long now, boolean requestLost, boolean answerLost) {
-            boolean done = !requestLost && does(step, store, now);
-            boolean counts = !requestLost && !answerLost && learns(store.epoch, now);
+            boolean done = !requestLost && perform(step, store, now);
+            boolean counts = !requestLost && !answerLost && observeEpoch(store.epoch, now);
             switch (step) {
                 case GRANT -> {
                     if (counts) {
@@ -218,8 +220,8 @@
                 }
                 case CLAIM -> {
                     if (counts && done) {
-                        election.claimed(store.key.made());
-                        raises = 0;
+                        election.claimed(store.key.createdRevision());
+                        raiseCount = 0;
                     } else {
                         election.notClaimed(now);
                     }
@@ -228,7 +230,7 @@
                     if (counts && done) {
                         election.renewed(now);
                     } else if (counts) {
-                        election.lost(now);
+                        election.leadershipLost(now);
                     }
                 }
                 case CONFIRM -> confirm(store, now, counts);
@@ -236,7 +238,7 @@
             }
         }
 
-        private boolean does(Step step, Store store, long now) {
+        private boolean perform(Step step, Store store, long now) {
             return switch (step) {
                 case GRANT -> {
                     store.leaseEnds.put(++store.leases, now + TTL);
@@ -269,11 +271,11 @@
             if (store.call(name, election.token(), now)) {
                 return;
             }
-            if (store.key.holder().equals(name) && learns(store.epoch, now)) {
-                long step = FIRST_RAISE << Math.min(10, raises++);
-                election.raise(election.token() + step + random.nextLong(step));
+            if (store.key.holder().equals(name) && observeEpoch(store.epoch, now)) {
+                long step = FIRST_RAISE << Math.min(10, raiseCount++);
+                election.raiseToken(election.token() + step + random.nextLong(step));
             } else {
-                election.lost(now);
+                election.leadershipLost(now);
             }
         }
     }
@@ -286,22 +288,26 @@
         return entries;
     }
 
-    private static void pass(
-            Store store, List<Entry> entries, long fromMillis, long untilMillis, double lost) {
+    private static void run(
+            Store store,
+            List<Entry> entries,
+            long fromMillis,
+            long untilMillis,
+            double lossProbability) {
         for (long now = fromMillis; now < untilMillis; now += STEP_MILLIS) {
             store.expire(now);
             for (Entry entry : entries) {
                 if (now >= entry.pausedUntil) {
-                    entry.act(store, now, lost);
+                    entry.act(store, now, lossProbability);
                 }
             }
             if (now % DIGEST_MILLIS == 0) {
-                tell(entries, now);
+                exchangeTokens(entries, now);
             }
         }
     }
 
-    private static void tell(List<Entry> entries, long now) {
+    private static void exchangeTokens(List<Entry> entries, long now) {
         long highest = 0;
         for (Entry entry : entries) {
             if (now >= entry.pausedUntil) {
@@ -316,7 +322,7 @@
     }
 
     @Property(tries = 300)
-    void neverTurnAboutAndNeverTheSameToken(@ForAll long seed) {
+    void leadersNeverAlternateAndNeverShareAToken(@ForAll long seed) {
         Random random = new Random(seed);
         Store store = new Store();
         List<Entry> entries = entries(random);
@@ -325,7 +331,7 @@
                 store.copy();
             }
             if (random.nextInt(200) == 0) {
-                store.comeBack(now);
+                store.restore(now);
             }
             if (random.nextInt(20) == 0) {
                 store.revision += random.nextInt(60);
@@ -336,26 +342,26 @@
             if (random.nextInt(300) == 0) {
                 entries.get(random.nextInt(ENTRIES)).start(now, store.epoch);
             }
-            pass(store, entries, now, now + STEP_MILLIS, 0.05);
+            run(store, entries, now, now + STEP_MILLIS, 0.05);
         }
         int before = store.accepted.size();
-        pass(store, entries, LENGTH_MILLIS, LENGTH_MILLIS + 8 * TTL, 0);
+        run(store, entries, LENGTH_MILLIS, LENGTH_MILLIS + 8 * TTL, 0);
         assertTrue(store.accepted.size() > before, "no call is accepted at the end");
-        store.assertNoTurns();
+        store.assertNoAlternation();
     }
 
     @Example
-    void leaderThatLivesIsAcceptedAgainWithinALease() {
+    void runningLeaderIsAcceptedAgainWithinALease() {
         Random random = new Random(1);
         Store store = new Store();
         List<Entry> entries = entries(random);
         store.copy();
-        pass(store, entries, 0, 5_000, 0);
+        run(store, entries, 0, 5_000, 0);
         assertTrue(!store.accepted.isEmpty(), "somebody leads");
         String leader = store.accepted.get(store.accepted.size() - 1);
-        store.comeBack(5_000);
+        store.restore(5_000);
         int before = store.accepted.size();
-        pass(store, entries, 5_000, 5_000 + TTL, 0);
+        run(store, entries, 5_000, 5_000 + TTL, 0);
         assertTrue(store.accepted.size() > before, "calls within a lease");
         assertEquals(leader, store.accepted.get(before), "the same leads on");
     }
@@ -367,12 +373,12 @@
         List<Entry> entries = entries(random);
         store.copy();
         store.revision += 5_000;
-        pass(store, entries, 0, 5_000, 0);
-        store.comeBack(5_000);
+        run(store, entries, 0, 5_000, 0);
+        store.restore(5_000);
         entries.forEach(entry -> entry.start(5_000, store.epoch));
         int before = store.accepted.size();
-        pass(store, entries, 5_000, 5_000 + 2 * TTL, 0);
+        run(store, entries, 5_000, 5_000 + 2 * TTL, 0);
         assertTrue(store.accepted.size() > before, "calls are accepted");
-        store.assertNoTurns();
+        store.assertNoAlternation();
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/duty/UsageLedgerTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/duty/UsageLedgerTest.java
@@ -21,7 +21,10 @@
 import java.util.Map;
 import net.jqwik.api.Example;
 
-/** Counts of all entries add up, and those of a lost entry survive at the others. */
+/**
+ * Guards against wrong totals: the counts of all entries add up, and those of a lost entry are kept
+ * by the others.
+ */
 class UsageLedgerTest {
     private static final long WINDOW = 5_000;
 
@@ -44,7 +47,7 @@
     }
 
     @Example
-    void restartedEntryCountsBesideItsEarlierLife() {
+    void restartedEntryCountsBesideItsEarlierIncarnation() {
         UsageLedger ledger = new UsageLedger("a/1", WINDOW);
         ledger.merge("b/1", List.of(new UsageCount(1, "t", 5)), false);
         ledger.merge("b/2", List.of(new UsageCount(1, "t", 2)), false);
@@ -52,29 +55,30 @@
     }
 
     @Example
-    void onlyWhatIsToBePassedOnIsNews() {
+    void onlyCountsToBePassedOnAreReportedAsChanges() {
         UsageLedger ledger = new UsageLedger("hub/1", WINDOW);
         ledger.started("t", 5_000);
         ledger.merge("leaf/1", List.of(new UsageCount(1, "t", 5)), true);
         ledger.merge("other-hub/1", List.of(new UsageCount(1, "t", 9)), false);
-        long told = ledger.sequence();
+        long reportedNumber = ledger.sequence();
         assertEquals(
                 Map.of(
                         "hub/1", List.of(new UsageCount(1, "t", 1)),
                         "leaf/1", List.of(new UsageCount(1, "t", 5))),
                 ledger.changesAfter(0));
         ledger.merge("leaf/1", List.of(new UsageCount(1, "t", 5)), true);
-        assertEquals(Map.of(), ledger.changesAfter(told));
+        assertEquals(Map.of(), ledger.changesAfter(reportedNumber));
         ledger.merge("leaf/1", List.of(new UsageCount(1, "t", 7)), true);
         assertEquals(
-                Map.of("leaf/1", List.of(new UsageCount(1, "t", 7))), ledger.changesAfter(told));
+                Map.of("leaf/1", List.of(new UsageCount(1, "t", 7))),
+                ledger.changesAfter(reportedNumber));
     }
 
     @Example
-    void whoeverKeepsAllIsToldAllThatHasChanged() {
+    void usageReplicaReceivesAllChanges() {
         UsageLedger ledger = new UsageLedger("hub/1", WINDOW);
         ledger.merge("other-hub/1", List.of(new UsageCount(1, "t", 9)), false);
-        long told = ledger.sequence();
+        long reportedNumber = ledger.sequence();
         ledger.started("t", 5_000);
         ledger.started("t", 5_000);
         ledger.merge("other-hub/1", List.of(new UsageCount(1, "t", 9)), false);
@@ -84,16 +88,17 @@
                         "other-hub/1", List.of(new UsageCount(1, "t", 9))),
                 ledger.allChangesAfter(0));
         assertEquals(
-                Map.of("hub/1", List.of(new UsageCount(1, "t", 2))), ledger.allChangesAfter(told));
+                Map.of("hub/1", List.of(new UsageCount(1, "t", 2))),
+                ledger.allChangesAfter(reportedNumber));
     }
 
     @Example
-    void changesOfOldWindowsAreForgottenWithTheirCounts() {
+    void changesOfOldWindowsAreRemovedWithTheirCounts() {
         UsageLedger ledger = new UsageLedger("a/1", WINDOW);
         ledger.started("t", 0);
         ledger.merge("b/1", List.of(new UsageCount(0, "t", 9)), false);
         ledger.started("t", 20 * WINDOW);
-        ledger.forgetOld(20 * WINDOW);
+        ledger.removeOldWindows(20 * WINDOW);
         assertEquals(Map.of("a/1", List.of(new UsageCount(20, "t", 1))), ledger.allChangesAfter(0));
         assertEquals(List.of("a/1"), ledger.entries());
     }
--- a/trailladder-core/src/test/java/io/trailladder/core/limit/QuotaBucketTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/limit/QuotaBucketTest.java
@@ -27,7 +27,8 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * An organisation's limit holds over all entries that hear one another, and over those that do not.
+ * Guards against use beyond an organisation's limit, over all entries that reach one another and
+ * over partitioned ones, and against a part that stays unused.
  */
 class QuotaBucketTest {
     private static final RateSpec LIMIT = new RateSpec(1_000, 1_000, true, 1);
@@ -43,21 +44,21 @@
     }
 
     @Example
-    void whatPeersTakeIsNotThereAnyMore() {
+    void unitsTakenByPeersAreNotAvailable() {
         QuotaBucket bucket = new QuotaBucket(LIMIT, LIMIT.burst(), 0);
         bucket.takenByPeers(1_000, 0);
         assertTrue(bucket.tryTake(100, 0) > 0);
     }
 
     @Example
-    void unheardPeersKeepTheirPart() {
+    void unreachablePeersKeepTheirPart() {
         QuotaBucket bucket = new QuotaBucket(LIMIT, 0, 0);
         bucket.sharedPart(0.5, 0);
         assertEquals(500, bucket.level(SECOND), 0.001);
     }
 
-    /** Has a bucket hear others that take some units every 100 ms for ten seconds. */
-    private static QuotaBucket hearing(double unitsOfOthers) {
+    /** Returns a bucket for which others have taken some units every 100 ms for ten seconds. */
+    private static QuotaBucket bucketWithActiveOthers(double unitsOfOthers) {
         QuotaBucket bucket = new QuotaBucket(LIMIT, LIMIT.burst(), 0);
         for (long now = 0; now <= 10 * SECOND; now += 100) {
             bucket.takenByPeers(unitsOfOthers, now);
@@ -67,22 +68,22 @@
     }
 
     @Example
-    void entryThatHearsNobodyForAMomentUsesWhatTheOthersLeave() {
-        QuotaBucket bucket = hearing(40);
+    void entryIsolatedBrieflyUsesWhatTheOthersLeave() {
+        QuotaBucket bucket = bucketWithActiveOthers(40);
         bucket.tryTake(bucket.level(10 * SECOND), 10 * SECOND);
-        bucket.othersGoOn(0.01, 10 * SECOND);
+        bucket.assumeOthersActive(0.01, 10 * SECOND);
         assertEquals(600, bucket.level(11 * SECOND), 60);
     }
 
     @Example
-    void entryThatHearsNobodyTakesNothingThatTheOthersUse() {
-        QuotaBucket bucket = hearing(100);
+    void isolatedEntryTakesNothingThatTheOthersUse() {
+        QuotaBucket bucket = bucketWithActiveOthers(100);
         double before = bucket.level(10 * SECOND);
-        bucket.othersGoOn(0.01, 10 * SECOND);
+        bucket.assumeOthersActive(0.01, 10 * SECOND);
         assertEquals(before + 10, bucket.level(11 * SECOND), 60);
     }
 
-    /** Takes all that a bucket lets pass at a time, in small requests. */
+    /** Takes all units that a bucket lets pass at a time, in small requests. */
     private static double takeAll(QuotaBucket bucket, long now) {
         double passed = 0;
         while (bucket.tryTake(10, now) == 0) {
@@ -92,7 +93,7 @@
     }
 
     @Example
-    void entryThatIsCutOffSpendsItsPartOfWhatIsLeft() {
+    void isolatedEntrySpendsItsPartOfTheLevel() {
         QuotaBucket bucket = new QuotaBucket(LIMIT, 800, 0);
         bucket.sharedPart(0.1, 0);
         assertEquals(80, takeAll(bucket, 0), 10);
@@ -100,32 +101,32 @@
     }
 
     @Example
-    void entryThatStaysCutOffHasTakenFromItsPartWhatOthersWereThoughtToLeave() {
-        QuotaBucket bucket = hearing(40);
+    void entryThatStaysIsolatedIsChargedWhatOthersWereAssumedToLeave() {
+        QuotaBucket bucket = bucketWithActiveOthers(40);
         double left = bucket.level(10 * SECOND);
-        bucket.othersGoOn(0.1, 10 * SECOND);
+        bucket.assumeOthersActive(0.1, 10 * SECOND);
         assertEquals(left, takeAll(bucket, 10 * SECOND), 10);
         bucket.sharedPart(0.1, 10 * SECOND);
         assertEquals(0, takeAll(bucket, 12 * SECOND));
     }
 
     @Example
-    void entryThatHearsOthersAgainIsChargedNothingThatTheyLeft() {
-        QuotaBucket bucket = hearing(40);
-        bucket.othersGoOn(0.1, 10 * SECOND);
+    void reconnectedEntryIsNotChargedWhatTheOthersLeft() {
+        QuotaBucket bucket = bucketWithActiveOthers(40);
+        bucket.assumeOthersActive(0.1, 10 * SECOND);
         takeAll(bucket, 10 * SECOND);
-        bucket.othersWentOn(11 * SECOND);
+        bucket.othersWereActive(11 * SECOND);
         bucket.sharedPart(1, 11 * SECOND);
         assertEquals(600, bucket.level(11 * SECOND), 60);
     }
 
     @Example
-    void entryThatIsHeardAgainHasWhatItLeftToTheOthers() {
+    void reconnectedEntryRegainsThePartOfUnreachableProcesses() {
         QuotaBucket bucket = new QuotaBucket(LIMIT, LIMIT.burst(), 0);
         bucket.sharedPart(0.25, 0);
         bucket.tryTake(200, 0);
         bucket.sharedPart(0.5, 0);
-        assertEquals(800, bucket.levelOfAll(0), 0.001);
+        assertEquals(800, bucket.totalLevel(0), 0.001);
         assertEquals(300, bucket.level(0), 0.001);
         bucket.sharedPart(1, 0);
         assertEquals(800, bucket.level(0), 0.001);
@@ -143,9 +144,12 @@
         assertTrue(bucket.tryTake(100, 60 * SECOND) > 0);
     }
 
-    /** However the processes are cut apart, and again, all together pass what one bucket holds. */
+    /**
+     * However often and in whatever groups the processes are partitioned, all of them together pass
+     * no more than one bucket contains.
+     */
     @Property
-    void partsOfACutPassTogetherNoMoreThanRateAndBurst(
+    void partitionsTogetherPassNoMoreThanRateAndBurst(
             @ForAll @Size(min = 1, max = 6) List<@IntRange(min = 1, max = 5) Integer> groups,
             @ForAll @IntRange(min = 100, max = 2_000) int stepMillis) {
         int processes = groups.stream().mapToInt(size -> size).sum();
@@ -166,7 +170,7 @@
     @Example
     void restartedEntryTakesOverALowerLevel() {
         QuotaBucket bucket = new QuotaBucket(LIMIT, LIMIT.burst(), 0);
-        bucket.atMost(-300, 0);
+        bucket.capLevel(-300, 0);
         assertEquals(-300, bucket.level(0), 0.001);
     }
 
--- a/trailladder-core/src/test/java/io/trailladder/core/limit/WindowedRetryBudgetTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/limit/WindowedRetryBudgetTest.java
@@ -23,7 +23,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Second attempts stay within the ratio and the shared allowance in every window. */
+/** Guards against more retries in a window than the ratio and the shared allowance permit. */
 class WindowedRetryBudgetTest {
     private static final double RATIO = 0.2;
     private static final double ALLOWANCE = 52;
--- a/trailladder-core/src/test/java/io/trailladder/core/membership/LinkPlannerProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/membership/LinkPlannerProperties.java
@@ -30,7 +30,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Who links to whom among gateway processes, in a calm hour and when hubs are lost. */
+/**
+ * Guards against missing, duplicate or too many links among gateway processes, without faults and
+ * when hubs are lost.
+ */
 class LinkPlannerProperties {
     private static final List<String> DATA_CENTRES = List.of("a", "b", "c");
     private static final double WEAK_MBPS = 10;
@@ -42,7 +45,7 @@
         return new GatewayMember(name, dataCentre, "10.0.0." + number + ":1", linkMbps, 1);
     }
 
-    /** The last processes are the strong ones. */
+    /** Returns members of which the last are the strong ones. */
     private static List<GatewayMember> members(int count, int strong) {
         List<GatewayMember> members = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -59,7 +62,7 @@
 
     @Example
     void fewProcessesAllLinkToEachOtherOnce() {
-        List<GatewayMember> members = members(HubTopology.FULL_MESH_MOST, 0);
+        List<GatewayMember> members = members(HubTopology.FULL_MESH_MAX_PROCESSES, 0);
         int links = 0;
         for (GatewayMember self : members) {
             LinkPlan plan = planner(self, members).plan(false, 0);
@@ -108,12 +111,12 @@
         assertEquals(leaf.dataCentre(), acting.dataCentre());
         planner.reached(third);
         assertEquals(Set.of(third), planner.plan(false, 3_900).dial());
-        String back = planner.plan(false, 4_200).dial().iterator().next();
-        assertTrue(Set.of(first, second).contains(back), back + " is a hub again");
+        String returned = planner.plan(false, 4_200).dial().iterator().next();
+        assertTrue(Set.of(first, second).contains(returned), returned + " is a hub again");
     }
 
     @Example
-    void hubThatStaysOutOfReachIsTriedLessAndLessOften() {
+    void unreachableHubIsTriedAtGrowingIntervals() {
         List<GatewayMember> members = members(30, 6);
         GatewayMember leaf = members.get(0);
         LinkPlanner planner = planner(leaf, members);
@@ -150,7 +153,7 @@
     }
 
     @Example
-    void leafThatOthersRelyOnLinksToAllHubs() {
+    void leafThatActsAsAHubLinksToAllHubs() {
         List<GatewayMember> members = members(30, 6);
         LinkPlanner planner = planner(members.get(0), members);
         assertFalse(planner.plan(false, 0).hub());
--- a/trailladder-core/src/test/java/io/trailladder/core/membership/RegionPlanTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/membership/RegionPlanTest.java
@@ -30,7 +30,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Who links to whom where there are two regions of three data centres each. */
+/**
+ * Guards against missing or too many links across regions, with two regions of three data centres
+ * each.
+ */
 class RegionPlanTest {
     private static final List<String> DATA_CENTRES = List.of("a1", "b1", "a2", "b2", "a3", "b3");
     private static final Map<String, String> REGIONS =
@@ -56,12 +59,12 @@
         return members.stream().filter(m -> m.address().equals(address)).findFirst().orElseThrow();
     }
 
-    private static Set<String> linksAcross(List<GatewayMember> members) {
+    private static Set<String> linksBetweenRegions(List<GatewayMember> members) {
         Set<String> across = new TreeSet<>();
         for (GatewayMember self : members) {
             for (String address : planner(self, members).plan(false, 0).dial()) {
-                String there = REGIONS.get(at(address, members).dataCentre());
-                if (!there.equals(REGIONS.get(self.dataCentre()))) {
+                String otherRegion = REGIONS.get(at(address, members).dataCentre());
+                if (!otherRegion.equals(REGIONS.get(self.dataCentre()))) {
                     across.add(self.address() + ' ' + address);
                 }
             }
@@ -70,60 +73,66 @@
     }
 
     @Property(tries = 60, seed = "20261203")
-    void fourLinksCrossHoweverManyProcessesThereAre(@ForAll @IntRange(min = 4, max = 340) int n) {
+    void fourLinksBetweenRegionsForAnyNumberOfProcesses(
+            @ForAll @IntRange(min = 4, max = 340) int n) {
         List<GatewayMember> members = members(n);
-        assertEquals(4, linksAcross(members).size());
+        assertEquals(4, linksBetweenRegions(members).size());
     }
 
     @Property(tries = 60, seed = "20261203")
-    void carriersOfARegionStandInTwoDataCentres(@ForAll @IntRange(min = 6, max = 340) int n) {
+    void bridgesOfARegionAreInTwoDataCentres(@ForAll @IntRange(min = 6, max = 340) int n) {
         List<GatewayMember> members = members(n);
         Topology topology = Topology.of("a1", REGIONS);
         for (String region : List.of("a", "b")) {
             List<GatewayMember> order =
-                    HubTopology.carriers(HubTopology.hubs(members), topology, region);
+                    HubTopology.bridgeOrder(HubTopology.hubs(members), topology, region);
             assertNotEquals(order.get(0).dataCentre(), order.get(1).dataCentre());
         }
     }
 
     @Example
-    void theNextHubCarriesOnceACarrierCannotBeReached() {
+    void nextHubBecomesABridgeWhenABridgeIsUnreachable() {
         List<GatewayMember> members = members(72);
         List<GatewayMember> order =
-                HubTopology.carriers(HubTopology.hubs(members), Topology.of("a1", REGIONS), "a");
+                HubTopology.bridgeOrder(HubTopology.hubs(members), Topology.of("a1", REGIONS), "a");
         LinkPlanner third = planner(order.get(2), members);
-        assertTrue(across(third, members).isEmpty(), "two others carry");
+        assertTrue(addressesInOtherRegion(third, members).isEmpty(), "two other hubs are bridges");
         third.unreachable(order.get(0).address(), 0);
-        assertEquals(2, across(third, members).size());
+        assertEquals(2, addressesInOtherRegion(third, members).size());
         third.reached(order.get(0).address());
-        assertTrue(across(third, members).isEmpty(), "two others carry again");
+        assertTrue(
+                addressesInOtherRegion(third, members).isEmpty(),
+                "two other hubs are bridges again");
     }
 
     @Example
-    void lostCarriersOfTheOtherRegionAreStoodInForAndTriedFurther() {
+    void unreachableBridgesOfTheOtherRegionAreReplacedAndTriedAgain() {
         List<GatewayMember> members = members(72);
         Topology topology = Topology.of("a1", REGIONS);
         List<GatewayMember> hubs = HubTopology.hubs(members);
-        GatewayMember self = HubTopology.carriers(hubs, topology, "a").get(0);
-        List<GatewayMember> there = HubTopology.carriers(hubs, topology, "b");
+        GatewayMember self = HubTopology.bridgeOrder(hubs, topology, "a").get(0);
+        List<GatewayMember> otherBridges = HubTopology.bridgeOrder(hubs, topology, "b");
         LinkPlanner planner = planner(self, members);
-        planner.unreachable(there.get(0).address(), 0);
-        planner.unreachable(there.get(1).address(), 0);
-        Set<String> across = across(planner, members);
-        assertTrue(across.contains(there.get(2).address()), "the third is dialled");
-        assertTrue(across.contains(there.get(3).address()), "the fourth is dialled");
-        planner.reached(there.get(0).address());
-        planner.reached(there.get(1).address());
-        assertTrue(across(planner, members).size() <= 2, "the first two are enough again");
+        planner.unreachable(otherBridges.get(0).address(), 0);
+        planner.unreachable(otherBridges.get(1).address(), 0);
+        Set<String> across = addressesInOtherRegion(planner, members);
+        assertTrue(across.contains(otherBridges.get(2).address()), "the third is dialled");
+        assertTrue(across.contains(otherBridges.get(3).address()), "the fourth is dialled");
+        planner.reached(otherBridges.get(0).address());
+        planner.reached(otherBridges.get(1).address());
+        assertTrue(
+                addressesInOtherRegion(planner, members).size() <= 2,
+                "the first two are enough again");
     }
 
-    private static Set<String> across(LinkPlanner planner, List<GatewayMember> members) {
-        Set<String> across = new TreeSet<>();
+    private static Set<String> addressesInOtherRegion(
+            LinkPlanner planner, List<GatewayMember> members) {
+        Set<String> addresses = new TreeSet<>();
         for (String address : planner.plan(false, 100_000).dial()) {
             if (REGIONS.get(at(address, members).dataCentre()).equals("b")) {
-                across.add(address);
+                addresses.add(address);
             }
         }
-        return across;
+        return addresses;
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/topology/TopologyTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/topology/TopologyTest.java
@@ -22,13 +22,15 @@
 import java.util.Map;
 import net.jqwik.api.Example;
 
-/** Classes of distance, and what is not in the table of regions. */
+/**
+ * Guards against wrong classes of distance, also for data centres that the table of regions lacks.
+ */
 class TopologyTest {
     private static final Map<String, String> TABLE =
             Map.of("a1", "a", "a2", "a", "b1", "b", "c1", "c");
 
     @Example
-    void tellsDistances() {
+    void returnsDistances() {
         Topology topology = Topology.of("a1", TABLE);
         assertEquals(Distance.SAME_DATA_CENTRE, topology.distance("a1"));
         assertEquals(Distance.SAME_REGION, topology.distance("a2"));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
@@ -16,8 +16,8 @@
 package io.trailladder.entry.gateway;
 
 import io.prometheus.metrics.expositionformats.PrometheusTextFormatWriter;
+import io.trailladder.core.duty.ElectionDelay;
 import io.trailladder.core.duty.LeaderElection;
-import io.trailladder.core.duty.StorePatience;
 import io.trailladder.core.duty.UsageLedger;
 import io.trailladder.core.engine.EngineModel;
 import io.trailladder.core.membership.GatewayMember;
@@ -106,7 +106,7 @@
     private final EngineModel engines = new EngineModel();
     private final Topology topology;
     private final Optional<RegionMetrics> regionMetrics;
-    private final StorePatience storePatience = new StorePatience();
+    private final ElectionDelay storePatience = new ElectionDelay();
     private final StoreHealth storeHealth = new StoreHealth(metrics);
     private final PolicyKeeper policies;
     private final DirectoryKeeper directoryKeeper;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Quotas.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Quotas.java
@@ -129,7 +129,7 @@
             return 0;
         }
         long wait = bucket.tryTake(units, nowMillis);
-        if (wait == 0 && bucket.isMuch(untold(organisation, bucket), MUCH_PART)) {
+        if (wait == 0 && bucket.isLargePart(untold(organisation, bucket), MUCH_PART)) {
             onMuchUsed.run();
         }
         return wait;
@@ -157,7 +157,7 @@
     public void giveBack(String organisation, double units) {
         QuotaBucket bucket = buckets.get(organisation);
         if (bucket != null) {
-            bucket.giveBack(units);
+            bucket.returnUnits(units);
         }
     }
 
@@ -212,7 +212,7 @@
             if (isFirstUse(life, use, bucket)) {
                 seen.put(key(life, use), 0.0);
             } else {
-                bucket.atMost(use.level(), nowMillis);
+                bucket.capLevel(use.level(), nowMillis);
             }
         }
         double units = increase(life, use);
@@ -224,7 +224,7 @@
      * More than the limit gives at once was used for longer, and its figure has fallen out here.
      */
     private boolean isFirstUse(String life, OrganisationUse use, QuotaBucket bucket) {
-        return heard.contains(life) && !bucket.isMuch(use.used(), MOST_AT_ONCE);
+        return heard.contains(life) && !bucket.isLargePart(use.used(), MOST_AT_ONCE);
     }
 
     /**
@@ -262,7 +262,7 @@
      * @param nowMillis the time
      */
     public void othersGoOn(double part, long nowMillis) {
-        buckets.values().forEach(bucket -> bucket.othersGoOn(part, nowMillis));
+        buckets.values().forEach(bucket -> bucket.assumeOthersActive(part, nowMillis));
     }
 
     /**
@@ -271,7 +271,7 @@
      * @param nowMillis the time
      */
     public void othersWentOn(long nowMillis) {
-        buckets.values().forEach(bucket -> bucket.othersWentOn(nowMillis));
+        buckets.values().forEach(bucket -> bucket.othersWereActive(nowMillis));
     }
 
     /**
@@ -368,7 +368,7 @@
                                     name,
                                     figure.used(),
                                     figure.before(),
-                                    bucket.levelOfAll(nowMillis)));
+                                    bucket.totalLevel(nowMillis)));
                 });
         return uses;
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
@@ -246,7 +246,7 @@
     private void take(
             RegionView view, String region, Peer peer, NodeDigest digest, long nowMillis) {
         LeavingLives.of(digest).forEach(told -> directory.leavingSeenBy(told, peer.name()));
-        digest.usage().forEach(news -> usage.mergeElsewhere(news.life(), news.usage()));
+        digest.usage().forEach(news -> usage.mergeFromOtherRegion(news.life(), news.usage()));
         loads.peerUses(
                 peer.name(),
                 RegionUse.spread(digest.uses(), region, directory.all(), view::regionOf));
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
@@ -303,7 +303,8 @@
         if (planned) {
             plan = planner.plan(view.isNeeded(), now);
         }
-        boolean few = planner.size() <= HubTopology.FULL_MESH_MOST && topology.isOneRegion();
+        boolean few =
+                planner.size() <= HubTopology.FULL_MESH_MAX_PROCESSES && topology.isOneRegion();
         if (planned && !few) {
             cluster.closeUnwanted(member.name(), plan.dial());
         }
