--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/Rollout.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/Rollout.java
@@ -331,7 +331,7 @@
      */
     public AnswerSort answered(Upstream upstream, AnswerSeen answer) {
         boolean isTarget = isTarget(upstream);
-        boolean warm = upstream.coldLeftMillis() <= 0;
+        boolean warm = upstream.coldRemainingMillis() <= 0;
         boolean late = warm && PaceBaseline.isLate(times(answer));
         if (!answer.whole() && !late && !answer.failed()) {
             return AnswerSort.NOT_COUNTED;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
@@ -160,7 +160,7 @@
      * upstream that does not tell when it started may be a later life under the same name.
      */
     void answered(Upstream upstream, long sentMillis) {
-        if (ledger.hasSuspects() && upstream.bornMillis() > 0) {
+        if (ledger.hasSuspects() && upstream.startedMillis() > 0) {
             ledger.livedAt(lifeOf(upstream), sentMillis);
         }
     }
@@ -177,7 +177,7 @@
     }
 
     private static long lifeOf(Upstream upstream) {
-        return UpstreamEnd.nameOf(upstream.id(), upstream.bornMillis());
+        return UpstreamEnd.nameOf(upstream.id(), upstream.startedMillis());
     }
 
     /**
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
@@ -247,7 +247,7 @@
             RegionView view, String region, Peer peer, NodeDigest digest, long nowMillis) {
         LeavingLives.of(digest).forEach(told -> directory.leavingSeenBy(told, peer.name()));
         digest.usage().forEach(news -> usage.mergeFromOtherRegion(news.life(), news.usage()));
-        loads.peerUses(
+        loads.setPeerUses(
                 peer.name(),
                 RegionUse.spread(digest.uses(), region, directory.all(), view::regionOf));
         limits.toldByRegion(peer, digest.quotas(), nowMillis);
