--- a/trailladder-core/src/main/java/io/trailladder/core/crash/Bystanders.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/CrashAttribution.java
@@ -19,52 +19,57 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Tells requests that stood beside others when upstreams ended from those that end them. */
-final class Bystanders {
-    private Bystanders() {}
+/**
+ * Distinguishes requests that were only in progress at upstreams that ended from those that ended
+ * them.
+ */
+final class CrashAttribution {
+    private CrashAttribution() {}
 
     /**
-     * Tells whether others that are likelier to be the cause explain the ends of a request.
+     * Returns whether the ends of a request are explained by other requests that are likelier to be
+     * the cause.
      *
      * @param request the request
-     * @param histories what is known of all requests, this one included
-     * @param fewest how many ends have a request refused
-     * @return true if fewer than so many of its ends are without a likelier cause
+     * @param histories the histories of all requests, this one included
+     * @param minEnds the number of ends from which a request is refused
+     * @return true if fewer of its ends than that are without a likelier cause
      */
-    static boolean isOne(
+    static boolean isExplainedByOthers(
             RequestFingerprint request,
             Map<RequestFingerprint, CrashHistory> histories,
-            int fewest) {
+            int minEnds) {
         CrashHistory history = histories.get(request);
         Set<Long> explained = new HashSet<>();
         for (Map.Entry<RequestFingerprint, CrashHistory> other : histories.entrySet()) {
             CrashHistory suspect = other.getValue();
             if (suspect != history
-                    && suspect.ends() >= fewest
+                    && suspect.endCount() >= minEnds
                     && isLikelier(other.getKey(), suspect, request, history)) {
-                suspect.known().forEach(known -> explained.add(known.end().upstream()));
+                suspect.countedEnds().forEach(known -> explained.add(known.end().incarnation()));
             }
         }
         long unexplained =
-                history.known().stream()
-                        .filter(known -> !explained.contains(known.end().upstream()))
+                history.countedEnds().stream()
+                        .filter(known -> !explained.contains(known.end().incarnation()))
                         .count();
-        return unexplained < fewest;
+        return unexplained < minEnds;
     }
 
     /**
-     * More ends are likelier the cause; of as many, those after a shorter time at the upstreams.
+     * Returns whether one request is likelier to be the cause than another. More ends make it
+     * likelier; with as many ends, a shorter time at the upstreams does.
      */
     private static boolean isLikelier(
             RequestFingerprint one,
             CrashHistory history,
             RequestFingerprint other,
             CrashHistory otherHistory) {
-        int byEnds = Integer.compare(history.ends(), otherHistory.ends());
-        if (byEnds != 0) {
-            return byEnds > 0;
+        int endComparison = Integer.compare(history.endCount(), otherHistory.endCount());
+        if (endComparison != 0) {
+            return endComparison > 0;
         }
-        int byTime = Long.compare(history.ranMillis(), otherHistory.ranMillis());
-        return byTime == 0 ? one.value() < other.value() : byTime < 0;
+        int timeComparison = Long.compare(history.ranMillis(), otherHistory.ranMillis());
+        return timeComparison == 0 ? one.value() < other.value() : timeComparison < 0;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/crash/CrashHistory.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/CrashHistory.java
@@ -22,76 +22,88 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** What is known of the upstreams that ended under one request. */
+/** The ends of upstreams that one request was in progress at. */
 public final class CrashHistory {
-    /** Most ends that are kept of one request: twice as many as have it refused for good. */
-    public static final int MOST_ENDS = 8;
+    /**
+     * Highest number of ends recorded of one request: twice as many as have it refused
+     * unconditionally.
+     */
+    public static final int MAX_ENDS = 8;
 
-    /** The source of what this process saw itself. */
-    public static final String OWN = "";
+    /** Source of what this process observed itself. */
+    public static final String OWN_SOURCE = "";
 
-    private final Map<UpstreamEnd.Key, Sight> sights = new LinkedHashMap<>();
+    private final Map<UpstreamEnd.Key, RecordedEnd> recordedEnds = new LinkedHashMap<>();
     private long clearedMillis = CrashReport.NEVER;
-    private String clearedBy = OWN;
-    private long clearHeardMillis;
-    private boolean triedAgain;
+    private String clearedBy = OWN_SOURCE;
+    private long clearReceivedMillis;
+    private boolean retried;
 
-    /** One end, and how this process knows of it. */
-    private static final class Sight {
+    /** One end with its source. */
+    private static final class RecordedEnd {
         UpstreamEnd end;
         final String source;
-        final long heardMillis;
+        final long receivedMillis;
         boolean dismissed;
 
-        Sight(UpstreamEnd end, String source, long heardMillis) {
+        RecordedEnd(UpstreamEnd end, String source, long heardMillis) {
             this.end = end;
             this.source = source;
-            this.heardMillis = heardMillis;
+            this.receivedMillis = heardMillis;
         }
     }
 
     /**
-     * One end that counts, for those who ask why a request is refused.
+     * One end that counts, to explain why a request is refused.
      *
      * @param end the end
-     * @param source the process that told it; empty if this one saw it
+     * @param source the process that reported it; empty if this process observed it
      */
-    public record Known(UpstreamEnd end, String source) {}
+    public record CountedEnd(UpstreamEnd end, String source) {}
 
-    /** Records an end; returns false if it was known, or so many are kept that count. */
+    /**
+     * Records an end.
+     *
+     * @return false if it was known, or if {@link #MAX_ENDS} ends that count are already recorded
+     */
     boolean add(UpstreamEnd end, String source, long nowMillis) {
-        Sight known = sights.get(end.key());
-        if (known != null) {
-            // the earliest of several sights is the end itself, wherever it was seen
-            known.end = known.end.atMillis() <= end.atMillis() ? known.end : end;
+        RecordedEnd recorded = recordedEnds.get(end.key());
+        if (recorded != null) {
+            // the earliest of several observations is closest to the end itself
+            recorded.end = recorded.end.atMillis() <= end.atMillis() ? recorded.end : end;
             return false;
         }
-        if (ends() >= MOST_ENDS) {
+        if (endCount() >= MAX_ENDS) {
             return false;
         }
-        if (sights.size() >= MOST_ENDS) {
-            sights.values().stream()
-                    .filter(sight -> !counts(sight))
+        if (recordedEnds.size() >= MAX_ENDS) {
+            recordedEnds.values().stream()
+                    .filter(recordedEnd -> !counts(recordedEnd))
                     .findFirst()
-                    .ifPresent(sight -> sights.remove(sight.end.key()));
+                    .ifPresent(recordedEnd -> recordedEnds.remove(recordedEnd.end.key()));
         }
-        sights.put(end.key(), new Sight(end, source, nowMillis));
+        recordedEnds.put(end.key(), new RecordedEnd(end, source, nowMillis));
         return true;
     }
 
-    /** Returns how many ends of an upstream's life were seen up to a time, counting or not. */
-    int endsOf(long upstream, long untilMillis) {
+    /**
+     * Returns how many ends of an incarnation were observed up to a time, including those that do
+     * not count.
+     */
+    int endCountOf(long upstream, long untilMillis) {
         int count = 0;
-        for (Sight sight : sights.values()) {
-            UpstreamEnd end = sight.end;
-            count += end.upstream() == upstream && end.atMillis() <= untilMillis ? 1 : 0;
+        for (RecordedEnd recordedEnd : recordedEnds.values()) {
+            UpstreamEnd end = recordedEnd.end;
+            count += end.incarnation() == upstream && end.atMillis() <= untilMillis ? 1 : 0;
         }
         return count;
     }
 
     /**
-     * Has the ends up to a time not count; returns false if that was known. Their names are kept: a
-     * peer that tells one of them again, by its own clock, does not bring it back.
+     * Stops counting the ends up to a time. They stay recorded: a peer that reports one of them
+     * again, with the time of its own clock, does not make it count again.
+     *
+     * @return false if this time or a later one was known
      */
     boolean clear(long atMillis, String source, long nowMillis) {
         if (atMillis <= clearedMillis) {
@@ -99,97 +111,106 @@
         }
         clearedMillis = atMillis;
         clearedBy = source;
-        clearHeardMillis = nowMillis;
-        triedAgain = false;
+        clearReceivedMillis = nowMillis;
+        retried = false;
         return true;
     }
 
-    /** Has ends not count whose upstreams turn out to live on. */
-    void dismiss(Set<Long> living, long endedBeforeMillis) {
-        for (Sight sight : sights.values()) {
-            if (sight.end.atMillis() <= endedBeforeMillis
-                    && living.contains(sight.end.upstream())) {
-                sight.dismissed = true;
+    /** Stops counting the ends of incarnations that are still running. */
+    void dismiss(Set<Long> running, long endedBeforeMillis) {
+        for (RecordedEnd recordedEnd : recordedEnds.values()) {
+            if (recordedEnd.end.atMillis() <= endedBeforeMillis
+                    && running.contains(recordedEnd.end.incarnation())) {
+                recordedEnd.dismissed = true;
             }
         }
     }
 
     /** Returns the ends that count. */
-    List<Known> known() {
-        List<Known> known = new ArrayList<>(sights.size());
-        for (Sight sight : sights.values()) {
-            if (counts(sight)) {
-                known.add(new Known(sight.end, sight.source));
+    List<CountedEnd> countedEnds() {
+        List<CountedEnd> counted = new ArrayList<>(recordedEnds.size());
+        for (RecordedEnd recordedEnd : recordedEnds.values()) {
+            if (counts(recordedEnd)) {
+                counted.add(new CountedEnd(recordedEnd.end, recordedEnd.source));
             }
         }
-        return known;
+        return counted;
     }
 
-    private boolean counts(Sight sight) {
-        return !sight.dismissed && sight.end.atMillis() > clearedMillis;
+    private boolean counts(RecordedEnd recordedEnd) {
+        return !recordedEnd.dismissed && recordedEnd.end.atMillis() > clearedMillis;
     }
 
     /** Returns how many ends count. */
-    int ends() {
+    int endCount() {
         int count = 0;
-        for (Sight sight : sights.values()) {
-            count += counts(sight) ? 1 : 0;
+        for (RecordedEnd recordedEnd : recordedEnds.values()) {
+            count += counts(recordedEnd) ? 1 : 0;
         }
         return count;
     }
 
-    /** Returns how long the request had run at all the upstreams that ended, in milliseconds. */
+    /** Returns the total time that the request ran at the upstreams that ended, in milliseconds. */
     long ranMillis() {
-        return known().stream().mapToLong(known -> known.end().ranMillis()).sum();
+        return countedEnds().stream().mapToLong(counted -> counted.end().ranMillis()).sum();
     }
 
-    /** Returns when the last thing became known, in milliseconds. */
+    /** Returns when the history last changed, in milliseconds. */
     long changedMillis() {
-        long last = clearHeardMillis;
-        for (Sight sight : sights.values()) {
-            last = Math.max(last, sight.heardMillis);
+        long last = clearReceivedMillis;
+        for (RecordedEnd recordedEnd : recordedEnds.values()) {
+            last = Math.max(last, recordedEnd.receivedMillis);
         }
         return last;
     }
 
     /**
-     * Tells whether this process, and no other, may find out if the request is harmless: the one
-     * that saw the end of the first upstream by name, which is one alone where all know the same.
+     * Returns whether this process may send the request once more to find out whether it is
+     * harmless. Only the process that observed the end with the lowest incarnation may, which is a
+     * single one where all processes know the same ends.
+     *
+     * @param noEndSinceMillis the time after which no end may lie
      */
-    boolean mayBeTriedHere(long restedSinceMillis) {
-        if (triedAgain) {
+    boolean mayBeRetriedHere(long noEndSinceMillis) {
+        if (retried) {
             return false;
         }
-        Known first = null;
-        for (Known known : known()) {
-            if (known.end().atMillis() > restedSinceMillis) {
+        CountedEnd first = null;
+        for (CountedEnd counted : countedEnds()) {
+            if (counted.end().atMillis() > noEndSinceMillis) {
                 return false;
             }
-            if (first == null || known.end().upstream() < first.end().upstream()) {
-                first = known;
+            if (first == null || counted.end().incarnation() < first.end().incarnation()) {
+                first = counted;
             }
         }
-        return first != null && first.source().equals(OWN);
+        return first != null && first.source().equals(OWN_SOURCE);
     }
 
-    void triedAgain() {
-        triedAgain = true;
+    void retried() {
+        retried = true;
     }
 
-    /** Tells whether something of it became known since a time, from certain sources. */
-    boolean hasNews(long sinceMillis, Predicate<String> sources) {
-        if (clearHeardMillis >= sinceMillis
+    /** Returns whether the history changed since a time through one of certain sources. */
+    boolean hasChanged(long sinceMillis, Predicate<String> sources) {
+        if (clearReceivedMillis >= sinceMillis
                 && clearedMillis != CrashReport.NEVER
                 && sources.test(clearedBy)) {
             return true;
         }
-        return sights.values().stream()
-                .anyMatch(s -> s.heardMillis >= sinceMillis && sources.test(s.source));
+        return recordedEnds.values().stream()
+                .anyMatch(
+                        recordedEnd ->
+                                recordedEnd.receivedMillis >= sinceMillis
+                                        && sources.test(recordedEnd.source));
     }
 
     CrashReport report(RequestFingerprint request) {
         List<UpstreamEnd> ends =
-                sights.values().stream().filter(s -> !s.dismissed).map(s -> s.end).toList();
+                recordedEnds.values().stream()
+                        .filter(recordedEnd -> !recordedEnd.dismissed)
+                        .map(recordedEnd -> recordedEnd.end)
+                        .toList();
         return new CrashReport(request, clearedMillis, ends);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/crash/CrashLedger.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/CrashLedger.java
@@ -25,27 +25,29 @@
 import java.util.function.Predicate;
 
 /**
- * Remembers, beyond their exchanges, under which requests upstreams ended, so that one that ends
- * whatever runs it is refused.
+ * Records, beyond the end of exchanges, under which requests upstreams ended, so that a request
+ * that ends every upstream that runs it is refused.
  *
- * <p>What is known is a set of ends, each named by its upstream's life, and a time up to which they
- * do not count. Processes merge what they hear by union and by the later time, so that order, ways
- * and repeats of what they tell each other do not matter. A request with {@value #REFUSED_FROM}
- * ends that count is refused, with two exceptions, each of which can cost it one more upstream:
+ * <p>The state of a request is a set of ends, each identified by the incarnation of its upstream,
+ * and a time up to which they do not count. Processes merge received reports by the union of the
+ * sets and by the later time, so that order, paths and repeats of the reports do not matter. A
+ * request with {@value #REFUSAL_MIN_ENDS} ends that count is refused, with two exceptions, each of
+ * which can cost one more upstream:
  *
  * <ul>
- *   <li>It only stood beside another one: each of its ends but two at most is also one of a request
- *       that has more of them, or as many and had run for a shorter time. If the wrong one of two
- *       alike was chosen, the next end sets them apart.
- *   <li>It has rested, and the one process that may do so sends it once more. If it is then served
- *       whole, no end before counts, at any process.
+ *   <li>The request was only in progress beside another one: each of its ends but two at most is
+ *       also an end of a request that has more of them, or as many and had run for a shorter time.
+ *       If the wrong one of two similar requests was chosen, the next end distinguishes them.
+ *   <li>{@link #RETRY_DELAY_MILLIS} have passed without an end, and the one process that may do so
+ *       sends it once more. If it is then served completely, no earlier end counts, at any process.
  * </ul>
  *
- * <p>From {@value #REFUSED_ANYWAY_FROM} ends on it is refused whatever stands beside it, so that no
- * request ends more upstreams than these, and those where it runs before the news is round.
+ * <p>From {@value #UNCONDITIONAL_REFUSAL_MIN_ENDS} ends on it is refused whatever the other
+ * requests were, so that no request ends more upstreams than these and those where it runs before
+ * all processes have received the reports.
  *
  * <pre>{@code
- * ledger.ended(request, UpstreamEnd.nameOf("w-1", born), sentMillis, now);
+ * ledger.ended(request, UpstreamEnd.incarnationOf("w-1", startedMillis), sentMillis, now);
  * if (ledger.verdict(request, now) == CrashVerdict.REFUSED) {
  *     // answer at once
  * }
@@ -54,149 +56,153 @@
  * @since 0.6
  */
 public final class CrashLedger {
-    /** Ends from which on a request is refused: the users' platform takes three for proof. */
-    public static final int REFUSED_FROM = 3;
+    /** Ends from which on a request is refused: the users' platform takes three as proof. */
+    public static final int REFUSAL_MIN_ENDS = 3;
 
-    /** Ends from which on it is refused although others stood beside it each time. */
-    public static final int REFUSED_ANYWAY_FROM = 4;
+    /** Ends from which on a request is refused although another one explains each end. */
+    public static final int UNCONDITIONAL_REFUSAL_MIN_ENDS = 4;
 
-    /** How long a refused request rests before it is sent once more, in milliseconds. */
-    public static final long REST_MILLIS = 30_000;
+    /** Time without an end after which a refused request is sent once more, in milliseconds. */
+    public static final long RETRY_DELAY_MILLIS = 30_000;
 
     /**
-     * How long the entry of an upstream that has ended may stand, in milliseconds: three heartbeats
-     * of 1.2 s without a write, the store's and the hubs' ways, and as much again.
+     * Time for which the entry of an upstream that has ended may still be listed, in milliseconds:
+     * three heartbeats of 1.2 s without a write, the delays of the store and of the hubs, and as
+     * much again.
      */
-    public static final long LISTED_MILLIS = 8_000;
+    public static final long MAX_LISTED_MILLIS = 8_000;
 
-    /** Most requests remembered: some 500 bytes each, so 1 MB. */
-    public static final int MOST_REQUESTS = 2_000;
+    /** Highest number of recorded requests: about 500 bytes each, so 1 MB. */
+    public static final int MAX_REQUESTS = 2_000;
 
-    /** How long a request is remembered that is not refused, in milliseconds. */
-    static final long KEPT_MILLIS = 600_000;
+    /** Time for which a request that is not refused stays recorded, in milliseconds. */
+    static final long RETENTION_MILLIS = 600_000;
 
-    /** How long a refused one is remembered, in milliseconds: a day. */
-    public static final long REFUSED_KEPT_MILLIS = 86_400_000;
+    /** Time for which a refused request stays recorded, in milliseconds: a day. */
+    public static final long REFUSED_RETENTION_MILLIS = 86_400_000;
 
-    private static final int SUSPECTED_FROM = REFUSED_FROM - 1;
+    private static final int SUSPECT_MIN_ENDS = REFUSAL_MIN_ENDS - 1;
 
-    private static final Comparator<CrashHistory> MOST_TELLING =
-            Comparator.comparingInt(CrashHistory::ends)
+    private static final Comparator<CrashHistory> MOST_ENDS_FIRST =
+            Comparator.comparingInt(CrashHistory::endCount)
                     .thenComparingLong(CrashHistory::changedMillis)
                     .reversed();
 
-    /** In the order in which something became known of them last. */
+    /** Ordered by the last change, oldest first. */
     private final Map<RequestFingerprint, CrashHistory> histories = new LinkedHashMap<>();
 
     private boolean suspects;
 
     /**
-     * Records that an upstream ended here just now while it had a request.
+     * Records that an upstream ended just now while it had a request of this process.
      *
      * @param request the request
-     * @param upstream the upstream's life, see {@link UpstreamEnd#nameOf}
+     * @param incarnation the upstream's incarnation, see {@link UpstreamEnd#incarnationOf}
      * @param sentMillis when the request was sent there, in milliseconds
-     * @param nowMillis the time, in milliseconds
-     * @return true if this was not known
+     * @param nowMillis the current time, in milliseconds
+     * @return true if this end was not known
      */
     public boolean ended(
-            RequestFingerprint request, long upstream, long sentMillis, long nowMillis) {
-        return ended(request, upstream, sentMillis, nowMillis, nowMillis);
+            RequestFingerprint request, long incarnation, long sentMillis, long nowMillis) {
+        return ended(request, incarnation, sentMillis, nowMillis, nowMillis);
     }
 
     /**
-     * Records that an upstream ended here while it had a request, perhaps a moment ago.
+     * Records that an upstream ended while it had a request of this process, possibly a moment ago.
      *
      * @param request the request
-     * @param upstream the upstream's life, see {@link UpstreamEnd#nameOf}
+     * @param incarnation the upstream's incarnation, see {@link UpstreamEnd#incarnationOf}
      * @param sentMillis when the request was sent there, in milliseconds
      * @param atMillis when the request was there last, in milliseconds
-     * @param nowMillis the time, in milliseconds
-     * @return true if this was not known
+     * @param nowMillis the current time, in milliseconds
+     * @return true if this end was not known
      */
     public boolean ended(
             RequestFingerprint request,
-            long upstream,
+            long incarnation,
             long sentMillis,
             long atMillis,
             long nowMillis) {
         CrashHistory history = history(request);
-        int before = history.endsOf(upstream, sentMillis);
-        UpstreamEnd end = new UpstreamEnd(upstream, before, atMillis, atMillis - sentMillis);
-        return added(history, end, CrashHistory.OWN, nowMillis);
+        int earlierEnds = history.endCountOf(incarnation, sentMillis);
+        UpstreamEnd end =
+                new UpstreamEnd(incarnation, earlierEnds, atMillis, atMillis - sentMillis);
+        return added(history, end, CrashHistory.OWN_SOURCE, nowMillis);
     }
 
     /**
-     * Records that a request ran whole, or that an operator vouches for it: ends before this do not
-     * count.
+     * Records that a request ran completely, or that an operator declares it harmless: earlier ends
+     * do not count.
      *
      * @param request the request
-     * @param nowMillis the time, in milliseconds
-     * @return false if nothing was held against it
+     * @param nowMillis the current time, in milliseconds
+     * @return false if no end of it counted
      */
     public boolean cleared(RequestFingerprint request, long nowMillis) {
         CrashHistory history = histories.get(request);
         return history != null
-                && history.ends() > 0
-                && history.clear(nowMillis, CrashHistory.OWN, nowMillis);
+                && history.endCount() > 0
+                && history.clear(nowMillis, CrashHistory.OWN_SOURCE, nowMillis);
     }
 
     /**
-     * Takes over what a peer tells.
+     * Merges the report of a peer.
      *
      * @param peer the peer's name
-     * @param report what it tells, in times of this process
-     * @param nowMillis the time, in milliseconds
-     * @return true if the request is refused for what this adds
+     * @param report the report, with times of this process's clock
+     * @param nowMillis the current time, in milliseconds
+     * @return true if the report causes the request to be refused
      */
-    public boolean told(String peer, CrashReport report, long nowMillis) {
+    public boolean received(String peer, CrashReport report, long nowMillis) {
         if (report.ends().isEmpty() && !histories.containsKey(report.request())) {
             return false;
         }
         CrashHistory history = history(report.request());
-        boolean refusedBefore = history.ends() >= REFUSED_FROM;
+        boolean refusedBefore = history.endCount() >= REFUSAL_MIN_ENDS;
         if (report.clearedMillis() != CrashReport.NEVER) {
             history.clear(report.clearedMillis(), peer, nowMillis);
         }
         for (UpstreamEnd end : report.ends()) {
             added(history, end, peer, nowMillis);
         }
-        return !refusedBefore && history.ends() >= REFUSED_FROM;
+        return !refusedBefore && history.endCount() >= REFUSAL_MIN_ENDS;
     }
 
     private boolean added(CrashHistory history, UpstreamEnd end, String source, long nowMillis) {
         boolean added = history.add(end, source, nowMillis);
-        suspects |= added && history.ends() >= SUSPECTED_FROM;
+        suspects |= added && history.endCount() >= SUSPECT_MIN_ENDS;
         return added;
     }
 
     /**
-     * Tells whether any request is near to being refused, so that requests need looking up.
+     * Returns whether any request has almost enough ends to be refused, so that requests need to be
+     * looked up.
      *
-     * @return false if {@link #verdict} lets all pass
+     * @return false if {@link #verdict} serves all requests
      */
     public boolean hasSuspects() {
         return suspects;
     }
 
     /**
-     * Tells what becomes of a request.
+     * Returns how a request is handled.
      *
      * @param request the request
-     * @param nowMillis the time, in milliseconds
-     * @return the verdict; one that is to be tried again must be told by {@link #triedAgain}
+     * @param nowMillis the current time, in milliseconds
+     * @return the verdict; for {@link CrashVerdict#TRIED_AGAIN} the caller must call {@link
+     *     #retried}
      */
     public CrashVerdict verdict(RequestFingerprint request, long nowMillis) {
         CrashHistory history = histories.get(request);
-        int ends = history == null ? 0 : history.ends();
-        if (ends < REFUSED_FROM) {
+        int ends = history == null ? 0 : history.endCount();
+        if (ends < REFUSAL_MIN_ENDS) {
             return CrashVerdict.SERVED;
         }
-        if (ends < REFUSED_ANYWAY_FROM) {
-            if (Bystanders.isOne(request, histories, REFUSED_FROM)) {
+        if (ends < UNCONDITIONAL_REFUSAL_MIN_ENDS) {
+            if (CrashAttribution.isExplainedByOthers(request, histories, REFUSAL_MIN_ENDS)) {
                 return CrashVerdict.SERVED;
             }
-            if (history.mayBeTriedHere(nowMillis - REST_MILLIS)) {
+            if (history.mayBeRetriedHere(nowMillis - RETRY_DELAY_MILLIS)) {
                 return CrashVerdict.TRIED_AGAIN;
             }
         }
@@ -204,139 +210,149 @@
     }
 
     /**
-     * Records that a request is sent once more after its rest.
+     * Records that a refused request is sent once more.
      *
      * @param request the request
      */
-    public void triedAgain(RequestFingerprint request) {
-        history(request).triedAgain();
+    public void retried(RequestFingerprint request) {
+        history(request).retried();
     }
 
     /**
-     * Looks through what is remembered: ends of upstreams that live on do not count, and what is
-     * old is forgotten. To be called about once a second.
+     * Stops counting the ends of upstreams that are still running, and removes old requests. To be
+     * called about once a second.
      *
-     * @param living the lives of upstreams that are listed now
-     * @param surelySinceMillis since when the list has been sound without a break, in milliseconds
-     * @param nowMillis the time, in milliseconds
+     * @param listed the incarnations of upstreams that are listed now
+     * @param validSinceMillis since when the list has been valid without interruption, in
+     *     milliseconds
+     * @param nowMillis the current time, in milliseconds
      */
-    public void look(Set<Long> living, long surelySinceMillis, long nowMillis) {
-        if (nowMillis - surelySinceMillis >= LISTED_MILLIS) {
-            long before = nowMillis - LISTED_MILLIS;
-            histories.values().forEach(history -> history.dismiss(living, before));
+    public void cleanUp(Set<Long> listed, long validSinceMillis, long nowMillis) {
+        if (nowMillis - validSinceMillis >= MAX_LISTED_MILLIS) {
+            long listedUntilMillis = nowMillis - MAX_LISTED_MILLIS;
+            histories.values().forEach(history -> history.dismiss(listed, listedUntilMillis));
         }
         histories.values().removeIf(history -> isOld(history, nowMillis));
-        lookForSuspects();
+        updateSuspects();
     }
 
     /**
-     * Takes over that an upstream lived at some time: what was seen of its end before was the end
-     * of a connection.
+     * Records that an upstream was running at some time: ends recorded before were only ends of a
+     * connection.
      *
-     * @param upstream the upstream's life
+     * @param incarnation the upstream's incarnation
      * @param atMillis the time, in milliseconds
      */
-    public void livedAt(long upstream, long atMillis) {
-        Set<Long> living = Set.of(upstream);
-        histories.values().forEach(history -> history.dismiss(living, atMillis));
-        lookForSuspects();
+    public void observedAlive(long incarnation, long atMillis) {
+        Set<Long> running = Set.of(incarnation);
+        histories.values().forEach(history -> history.dismiss(running, atMillis));
+        updateSuspects();
     }
 
-    private void lookForSuspects() {
-        suspects = histories.values().stream().anyMatch(h -> h.ends() >= SUSPECTED_FROM);
+    private void updateSuspects() {
+        suspects =
+                histories.values().stream()
+                        .anyMatch(history -> history.endCount() >= SUSPECT_MIN_ENDS);
     }
 
     private static boolean isOld(CrashHistory history, long nowMillis) {
-        boolean refused = history.ends() >= REFUSED_FROM;
-        long kept = refused ? REFUSED_KEPT_MILLIS : KEPT_MILLIS;
-        return nowMillis - history.changedMillis() > kept;
+        boolean refused = history.endCount() >= REFUSAL_MIN_ENDS;
+        long retentionMillis = refused ? REFUSED_RETENTION_MILLIS : RETENTION_MILLIS;
+        return nowMillis - history.changedMillis() > retentionMillis;
     }
 
     /**
-     * Returns what became known since a time.
+     * Returns the requests whose histories changed since a time.
      *
      * @param sinceMillis the time, in milliseconds
-     * @param sources whose news are wanted, {@link CrashHistory#OWN} for this process's own
-     * @return reports, the most telling first
+     * @param sources the sources of the changes; {@link CrashHistory#OWN_SOURCE} for this process
+     * @return reports, those with the most ends first
      */
-    public List<CrashReport> news(long sinceMillis, Predicate<String> sources) {
-        return reports(history -> history.hasNews(sinceMillis, sources));
+    public List<CrashReport> changedSince(long sinceMillis, Predicate<String> sources) {
+        return reports(history -> history.hasChanged(sinceMillis, sources));
     }
 
     /**
-     * Returns the requests that are refused, or nearly.
+     * Returns the requests that have enough ends to be refused, or one less.
      *
-     * @return reports, the most telling first
+     * @return reports, those with the most ends first
      */
     public List<CrashReport> suspected() {
-        return reports(history -> history.ends() >= SUSPECTED_FROM);
+        return reports(history -> history.endCount() >= SUSPECT_MIN_ENDS);
     }
 
     /**
-     * Returns the requests that have too many ends, whoever stood beside.
+     * Returns the requests that have enough ends to be refused, including those explained by
+     * others.
      *
-     * @return reports, the most telling first
+     * @return reports, those with the most ends first
      */
     public List<CrashReport> refused() {
-        return reports(history -> history.ends() >= REFUSED_FROM);
+        return reports(history -> history.endCount() >= REFUSAL_MIN_ENDS);
     }
 
-    private List<CrashReport> reports(Predicate<CrashHistory> wanted) {
-        List<Map.Entry<RequestFingerprint, CrashHistory>> some = new ArrayList<>();
+    private List<CrashReport> reports(Predicate<CrashHistory> filter) {
+        List<Map.Entry<RequestFingerprint, CrashHistory>> entries = new ArrayList<>();
         for (Map.Entry<RequestFingerprint, CrashHistory> entry : histories.entrySet()) {
-            if (wanted.test(entry.getValue())) {
-                some.add(entry);
+            if (filter.test(entry.getValue())) {
+                entries.add(entry);
             }
         }
-        some.sort(Map.Entry.comparingByValue(MOST_TELLING));
-        return some.stream().map(entry -> entry.getValue().report(entry.getKey())).toList();
+        entries.sort(Map.Entry.comparingByValue(MOST_ENDS_FIRST));
+        return entries.stream().map(entry -> entry.getValue().report(entry.getKey())).toList();
     }
 
     /**
      * Returns the ends of a request that count.
      *
      * @param request the request
-     * @return the ends and who told them; empty if there are none
+     * @return the ends with their sources; empty if there are none
      */
-    public List<CrashHistory.Known> known(RequestFingerprint request) {
+    public List<CrashHistory.CountedEnd> countedEnds(RequestFingerprint request) {
         CrashHistory history = histories.get(request);
-        return history == null ? List.of() : history.known();
+        return history == null ? List.of() : history.countedEnds();
     }
 
     /**
-     * Tells whether nothing is remembered.
+     * Returns whether no request is recorded.
      *
-     * @return true if there is nothing to tell or to look through
+     * @return true if there is nothing to report or to clean up
      */
     public boolean isEmpty() {
         return histories.isEmpty();
     }
 
     /**
-     * Returns how many requests are remembered.
+     * Returns how many requests are recorded.
      *
-     * @return a count of at most {@value #MOST_REQUESTS}
+     * @return a count of at most {@value #MAX_REQUESTS}
      */
     public int size() {
         return histories.size();
     }
 
-    /** Returns the history of a request of which something becomes known. */
+    /**
+     * Returns the history of a request that is about to change, and makes it the most recently
+     * changed one.
+     */
     private CrashHistory history(RequestFingerprint request) {
         CrashHistory known = histories.remove(request);
-        if (known == null && histories.size() >= MOST_REQUESTS) {
-            forgetOne();
+        if (known == null && histories.size() >= MAX_REQUESTS) {
+            evictOne();
         }
         CrashHistory history = known == null ? new CrashHistory() : known;
         histories.put(request, history);
         return history;
     }
 
-    /** Forgets what has not changed for longest; what is near to being refused goes last. */
-    private void forgetOne() {
+    /**
+     * Removes the request that has not changed for longest; those that are almost refused are
+     * removed last.
+     */
+    private void evictOne() {
         Iterator<CrashHistory> oldestFirst = histories.values().iterator();
         while (oldestFirst.hasNext()) {
-            if (oldestFirst.next().ends() < SUSPECTED_FROM) {
+            if (oldestFirst.next().endCount() < SUSPECT_MIN_ENDS) {
                 oldestFirst.remove();
                 return;
             }
--- a/trailladder-core/src/main/java/io/trailladder/core/crash/CrashReport.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/CrashReport.java
@@ -18,20 +18,20 @@
 import java.util.List;
 
 /**
- * What one process tells another of a request under which upstreams ended.
+ * What one process reports to another about a request under which upstreams ended.
  *
  * @param request the request
- * @param clearedMillis when it was last shown or said to be harmless, in milliseconds; ends before
- *     do not count; {@link #NEVER} if it was not
- * @param ends the ends that are known, those before that time too, at most {@link
- *     CrashHistory#MOST_ENDS}
+ * @param clearedMillis when it last turned out, or was declared, to be harmless, in milliseconds;
+ *     earlier ends do not count; {@link #NEVER} if it was not
+ * @param ends the recorded ends, including those before that time, at most {@link
+ *     CrashHistory#MAX_ENDS}
  * @since 0.6
  */
 public record CrashReport(RequestFingerprint request, long clearedMillis, List<UpstreamEnd> ends) {
-    /** Stands for no time at all. */
+    /** Value of {@link #clearedMillis} of a request that was never cleared. */
     public static final long NEVER = Long.MIN_VALUE;
 
-    /** Copies the ends. */
+    /** Copies the ends into an unmodifiable list. */
     public CrashReport {
         ends = List.copyOf(ends);
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/crash/CrashVerdict.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/CrashVerdict.java
@@ -16,15 +16,17 @@
 package io.trailladder.core.crash;
 
 /**
- * What becomes of a request, after what is known of upstreams that ended under it.
+ * How a request is handled, given the upstreams that ended under it.
  *
  * @since 0.6
  */
 public enum CrashVerdict {
-    /** It is served like any other. */
+    /** The request is served like any other. */
     SERVED,
-    /** It is sent once more after a rest, by one process, to find out whether it is harmless. */
+    /**
+     * One process sends the request once more after a delay, to find out whether it is harmless.
+     */
     TRIED_AGAIN,
-    /** It is not sent to any upstream. */
+    /** The request is not sent to any upstream. */
     REFUSED
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/crash/RequestFingerprint.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/RequestFingerprint.java
@@ -20,27 +20,27 @@
 import java.util.HexFormat;
 
 /**
- * Tells that a request is the same one as another that came before, at whatever process: same
- * caller, method, target and body.
+ * Identifies equal requests at all processes: those with the same caller, method, target and body.
  *
- * <p>The hash is keyed by the caller's own key, so that who reads it in a log or in a message, and
- * has no key, cannot find out a body by trying some.
+ * <p>The hash is keyed by the caller's own key, so that a reader of logs or messages who does not
+ * have the key cannot find out a body by trying candidates.
  *
  * <pre>{@code
  * RequestFingerprint.of("key", "POST", "/chat", body).toString() // "9c41d07be2a35f68"
  * }</pre>
  *
- * @param value 64 bits: among a million requests two are alike by chance once in 37 million times
+ * @param value the 64-bit hash; the probability that two of a million requests collide is one in 37
+ *     million
  * @since 0.6
  */
 public record RequestFingerprint(long value) {
     /**
-     * Makes the fingerprint of a request.
+     * Returns the fingerprint of a request.
      *
      * @param callerKey the caller's key; empty if it has none
-     * @param method its method
-     * @param target host, path and query that it asks for
-     * @param body its body
+     * @param method the method
+     * @param target the requested host, path and query
+     * @param body the body
      * @return the fingerprint
      */
     public static RequestFingerprint of(
--- a/trailladder-core/src/main/java/io/trailladder/core/crash/UpstreamEnd.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/UpstreamEnd.java
@@ -18,32 +18,32 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * The end of an upstream while a request ran there.
+ * The end of an upstream while a request was in progress there.
  *
- * @param upstream names the upstream's life, see {@link #nameOf}
- * @param repeat how many ends of the same name the request had seen before it was sent there: an
- *     upstream may be back before its new life is known
+ * @param incarnation the upstream's incarnation, see {@link #incarnationOf}
+ * @param earlierEnds how many ends of the same incarnation were recorded for the request before it
+ *     was sent there: an upstream may have restarted before its new incarnation is known
  * @param atMillis when it ended, in milliseconds
  * @param ranMillis how long the request had been there, in milliseconds
  * @since 0.6
  */
-public record UpstreamEnd(long upstream, int repeat, long atMillis, long ranMillis) {
-    /** Names one sight of one end; all processes that saw it tell the same. */
-    record Key(long upstream, int repeat) {}
+public record UpstreamEnd(long incarnation, int earlierEnds, long atMillis, long ranMillis) {
+    /** Identifies one end; equal at all processes that observed it. */
+    record Key(long incarnation, int earlierEnds) {}
 
     /**
-     * Names one life of an upstream.
+     * Returns an identifier of one incarnation of an upstream.
      *
      * @param id the upstream's name
-     * @param bornMillis when it started, as it says itself; 0 if it does not say
+     * @param startedMillis when it started, as it reports itself; 0 if it does not report it
      * @return 64 bits, the same at all processes
      */
-    public static long nameOf(String id, long bornMillis) {
+    public static long incarnationOf(String id, long startedMillis) {
         return Hashing.xxh3_64()
-                .hashLongLongToLong(Hashing.xxh3_64().hashCharsToLong(id), bornMillis);
+                .hashLongLongToLong(Hashing.xxh3_64().hashCharsToLong(id), startedMillis);
     }
 
     Key key() {
-        return new Key(upstream, repeat);
+        return new Key(incarnation, earlierEnds);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/crash/package-info.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests that end the upstreams that run them.
+ * Detection of requests that end the upstreams that run them.
  *
  * @since 0.6
  */
--- a/trailladder-core/src/main/java/io/trailladder/core/pipeline/AttemptFailure.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/pipeline/AttemptFailure.java
@@ -21,21 +21,21 @@
  * @since 0.2
  */
 public enum AttemptFailure {
-    /** No connection came about, so the request did not run. */
+    /** No connection could be made, so the request did not run. */
     UNREACHABLE(false),
     /** The attempt was stopped before any byte of the request had left. */
     NOT_SENT(false),
-    /** The upstream said that it did not run the request. */
+    /** The upstream answered that it did not run the request. */
     NOT_EXECUTED(false),
     /** Another upstream has the address and did not run the request. */
     MISDIRECTED(false),
-    /** The connection ended, or the bytes were no answer; the request may have run. */
+    /** The connection ended, or the answer was malformed; the request may have run. */
     BROKEN(true),
-    /** The upstream said that it failed; the request ran. */
+    /** The upstream answered that it failed; the request ran. */
     SERVER_ERROR(true),
-    /** The upstream leaves before it can finish; the attempt was stopped. */
+    /** The upstream is leaving before it can finish; the attempt was stopped. */
     LEAVING(true),
-    /** The upstream was silent for too long; the attempt was stopped. */
+    /** The upstream did not respond in time; the attempt was stopped. */
     SILENT(true);
 
     private final boolean mayHaveRun;
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Tells whether the upstream may have run the request.
+     * Returns whether the upstream may have run the request.
      *
      * @return false only if it certainly did not
      */
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Returns how an attempt failed of which no byte had left.
+     * Returns the failure of an attempt of which no byte was sent.
      *
-     * @return this failure if it certainly did not run the request, else {@link #NOT_SENT}
+     * @return this failure if the request certainly did not run, else {@link #NOT_SENT}
      */
     public AttemptFailure beforeSending() {
         return mayHaveRun ? NOT_SENT : this;
--- a/trailladder-core/src/main/java/io/trailladder/core/pipeline/AttemptHistory.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/pipeline/AttemptHistory.java
@@ -19,7 +19,7 @@
 import java.util.Set;
 
 /**
- * What became of a request's attempts so far.
+ * The attempts of a request so far and their results.
  *
  * @since 0.2
  */
@@ -28,7 +28,7 @@
     private int sent;
     private int connectFailures;
     private boolean mayHaveRun;
-    private boolean answerBegun;
+    private boolean answerStarted;
     private String lastEventId = "";
 
     /**
@@ -42,10 +42,10 @@
     }
 
     /**
-     * Records how an attempt failed.
+     * Records a failed attempt.
      *
      * @param upstream the upstream's name
-     * @param failure how
+     * @param failure how it failed
      */
     public void failed(String upstream, AttemptFailure failure) {
         tried.add(upstream);
@@ -58,17 +58,17 @@
         }
     }
 
-    /** Records that the caller was sent the head of the answer. */
-    public void answerBegun() {
-        answerBegun = true;
+    /** Records that the head of the answer was sent to the caller. */
+    public void answerStarted() {
+        answerStarted = true;
     }
 
     /**
-     * Records a whole event that the caller was sent.
+     * Records a complete event that was sent to the caller.
      *
-     * @param eventId the event's name
+     * @param eventId the event's id
      */
-    public void eventPassed(String eventId) {
+    public void eventForwarded(String eventId) {
         lastEventId = eventId;
     }
 
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Returns how many connections did not come about.
+     * Returns how many connections could not be made.
      *
      * @return a count
      */
@@ -100,7 +100,7 @@
     }
 
     /**
-     * Tells whether any attempt may have run.
+     * Returns whether any attempt may have run.
      *
      * @return false only if the request certainly did not run
      */
@@ -109,18 +109,18 @@
     }
 
     /**
-     * Tells whether the caller was sent the head of the answer.
+     * Returns whether the head of the answer was sent to the caller.
      *
-     * @return true if its status can no longer be chosen
+     * @return true if the status can no longer be chosen
      */
-    public boolean hasAnswerBegun() {
-        return answerBegun;
+    public boolean hasAnswerStarted() {
+        return answerStarted;
     }
 
     /**
-     * Returns the last whole event that the caller has.
+     * Returns the last complete event that was sent to the caller.
      *
-     * @return its name; empty if there is none
+     * @return its id; empty if there is none
      */
     public String lastEventId() {
         return lastEventId;
--- a/trailladder-core/src/main/java/io/trailladder/core/pipeline/Ending.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/pipeline/Ending.java
@@ -16,22 +16,22 @@
 package io.trailladder.core.pipeline;
 
 /**
- * How a request ends that gets no whole answer from an upstream.
+ * How a request without a complete answer from an upstream ends.
  *
  * @since 0.2
  */
 public enum Ending {
-    /** It has not run and never will; the caller is told when to come back. */
+    /** The request has not run and will not; the caller is told when to retry. */
     NOT_RUN(503),
-    /** It is over its organisation's limit and has not run. */
+    /** The request exceeds its organisation's limit and has not run. */
     OVER_LIMIT(429),
-    /** It may have run. */
+    /** The request may have run. */
     MAY_HAVE_RUN(502),
-    /** Its time is over and it may have run. */
+    /** The deadline of the request has passed and it may have run. */
     TIMED_OUT(504),
-    /** The answer had begun and is broken off so that it does not look whole. */
+    /** The answer had started and is broken off in a way that does not look complete. */
     BROKEN_OFF(0),
-    /** The failed answer of the upstream is passed on as it is. */
+    /** The failed answer of the upstream is forwarded unchanged. */
     PASSED_ON(0);
 
     private final int status;
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Returns the HTTP status that tells the caller.
+     * Returns the HTTP status sent to the caller.
      *
-     * @return the status; 0 if no answer of ours is sent
+     * @return the status; 0 if the system sends no answer of its own
      */
     public int status() {
         return status;
--- a/trailladder-core/src/main/java/io/trailladder/core/pipeline/Prompt.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/pipeline/Prompt.java
@@ -18,28 +18,29 @@
 import java.util.List;
 
 /**
- * What is known of a model request's size.
+ * The size and the parts of a model request's prompt.
  *
  * @param tokensIn length of the prompt in tokens
- * @param tokensOut most tokens that come out
- * @param blocks the parts of the prompt in order; none if not told
+ * @param tokensOut highest number of generated tokens
+ * @param blocks the parts of the prompt in order; empty if the request does not name them
  * @since 0.2
  */
 public record Prompt(int tokensIn, int tokensOut, List<PromptBlock> blocks) {
-    /** The prompt of a request that has none. */
+    /** Prompt of a request without one. */
     public static final Prompt NONE = new Prompt(0, 0, List.of());
 
-    /** Copies the blocks. */
+    /** Copies the blocks into an unmodifiable list. */
     public Prompt {
         blocks = List.copyOf(blocks);
     }
 
     /**
-     * Returns the name of what requests share the most: the last part but one, or the only part.
+     * Returns the id of the last part that is likely to be shared with other requests: the last but
+     * one, or the only part.
      *
-     * @return a part's name; empty if there are no parts
+     * @return a part's id; empty if there are no parts
      */
-    public String subject() {
+    public String sharedBlockId() {
         if (blocks.isEmpty()) {
             return "";
         }
--- a/trailladder-core/src/main/java/io/trailladder/core/pipeline/PromptBlock.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/pipeline/PromptBlock.java
@@ -18,8 +18,8 @@
 /**
  * One part of a prompt. Parts before the last may be shared between requests.
  *
- * @param id names the part's content
- * @param tokens its length in tokens
+ * @param id identifies the part's content
+ * @param tokens length in tokens
  * @since 0.2
  */
 public record PromptBlock(String id, int tokens) {}
--- a/trailladder-core/src/main/java/io/trailladder/core/pipeline/Recovery.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/pipeline/Recovery.java
@@ -16,7 +16,7 @@
 package io.trailladder.core.pipeline;
 
 /**
- * What is done after an attempt has failed.
+ * The action after a failed attempt.
  *
  * @since 0.2
  */
@@ -30,9 +30,9 @@
     }
 
     /**
-     * The stream goes on at another upstream.
+     * The stream is resumed at another upstream.
      *
-     * @param lastEventId the last event that the caller has
+     * @param lastEventId the last event that was sent to the caller
      */
     record Resume(String lastEventId) implements Recovery {
         @Override
@@ -42,9 +42,9 @@
     }
 
     /**
-     * The request is given up.
+     * No further attempt is made.
      *
-     * @param ending how the caller is told
+     * @param ending how the request ends
      */
     record GiveUp(Ending ending) implements Recovery {
         @Override
--- a/trailladder-core/src/main/java/io/trailladder/core/pipeline/RecoveryPolicy.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/pipeline/RecoveryPolicy.java
@@ -22,31 +22,31 @@
 import io.trailladder.core.policy.RouteKind;
 
 /**
- * Decides what is done after an attempt has failed.
+ * Decides on the action after a failed attempt.
  *
- * <p>A request that may not be repeated is never sent again once an attempt may have run. "Not run"
- * is said only if no attempt may have run.
+ * <p>A request that may not be repeated is never sent again once an attempt may have run. The
+ * caller is told that a request has not run only if no attempt may have run.
  *
  * @since 0.2
  */
 public final class RecoveryPolicy {
-    /** Most connections that one request tries in vain. */
+    /** Highest number of connections of one request that may fail. */
     public static final int MAX_CONNECT_FAILURES = 3;
 
-    /** Least time left that makes another attempt worth while, in milliseconds. */
-    public static final long LEAST_MILLIS_LEFT = 30;
+    /** Shortest time before the deadline in which another attempt is made, in milliseconds. */
+    public static final long MIN_REMAINING_MILLIS = 30;
 
     private RecoveryPolicy() {}
 
     /**
-     * Decides.
+     * Returns the action after a failed attempt.
      *
      * @param request the request
-     * @param history its attempts, the failed one included
+     * @param history its attempts, including the failed one
      * @param failure how the last attempt failed
      * @param budget true if the retry budget allows another attempt
-     * @param nowMillis the time
-     * @return what is done
+     * @param nowMillis the current time, in milliseconds
+     * @return the action
      */
     public static Recovery after(
             ServingRequest request,
@@ -59,7 +59,7 @@
         if (!repeatable || !budget || !allowsAnother(request, history, nowMillis)) {
             return new GiveUp(ending(history, failure));
         }
-        if (!history.hasAnswerBegun()) {
+        if (!history.hasAnswerStarted()) {
             return new Retry();
         }
         boolean resumable = route.kind() == RouteKind.STREAMING && route.resumable();
@@ -67,49 +67,49 @@
     }
 
     /**
-     * Tells whether a request has attempts and time left, whether or not it may run again.
+     * Returns whether a request has attempts and time left, regardless of whether it may run again.
      *
      * @param request the request
      * @param history its attempts
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      * @return true if it has
      */
     public static boolean allowsAnother(
             ServingRequest request, AttemptHistory history, long nowMillis) {
         return history.sent() < request.route().maxAttempts()
                 && history.connectFailures() < MAX_CONNECT_FAILURES
-                && request.deadlineMillis() - nowMillis >= LEAST_MILLIS_LEFT;
+                && request.deadlineMillis() - nowMillis >= MIN_REMAINING_MILLIS;
     }
 
     /**
-     * Tells how a request ends that has no attempt left, or whose process stops.
+     * Returns how a request ends that has no attempt left, or whose process stops.
      *
      * @param history its attempts
-     * @param underWay true if an attempt was sent whose outcome is not known
-     * @return what the caller is told
+     * @param inProgress true if an attempt was sent whose outcome is not known
+     * @return the ending
      */
-    public static Ending endingOf(AttemptHistory history, boolean underWay) {
-        if (history.hasAnswerBegun()) {
+    public static Ending endingOf(AttemptHistory history, boolean inProgress) {
+        if (history.hasAnswerStarted()) {
             return Ending.BROKEN_OFF;
         }
-        boolean mayHaveRun = history.mayHaveRun() || underWay;
+        boolean mayHaveRun = history.mayHaveRun() || inProgress;
         return mayHaveRun ? Ending.MAY_HAVE_RUN : Ending.NOT_RUN;
     }
 
     /**
-     * Tells how a request ends whose time is over.
+     * Returns how a request ends whose deadline has passed.
      *
      * @param history its attempts
-     * @param underWay true if an attempt was sent whose outcome is not known
-     * @return what the caller is told
+     * @param inProgress true if an attempt was sent whose outcome is not known
+     * @return the ending
      */
-    public static Ending endingInTime(AttemptHistory history, boolean underWay) {
-        Ending ending = endingOf(history, underWay);
+    public static Ending endingAtDeadline(AttemptHistory history, boolean inProgress) {
+        Ending ending = endingOf(history, inProgress);
         return ending == Ending.MAY_HAVE_RUN ? Ending.TIMED_OUT : ending;
     }
 
     private static Ending ending(AttemptHistory history, AttemptFailure failure) {
-        boolean answered = failure == AttemptFailure.SERVER_ERROR && !history.hasAnswerBegun();
+        boolean answered = failure == AttemptFailure.SERVER_ERROR && !history.hasAnswerStarted();
         return answered ? Ending.PASSED_ON : endingOf(history, false);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/pipeline/ServingRequest.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/pipeline/ServingRequest.java
@@ -18,18 +18,19 @@
 import io.trailladder.core.policy.Route;
 
 /**
- * A request that was accepted, as decisions see it. Its body and headers are opaque to them.
+ * An accepted request as routing and recovery decisions use it. Its body and headers are not part
+ * of it.
  *
- * @param id the caller's name for this request
- * @param organisation whose it is; empty on an anonymous route
- * @param route the rule it was accepted by
+ * @param id the caller's id of the request
+ * @param organisation the organisation of the caller; empty on an anonymous route
+ * @param route the route that it was accepted by
  * @param service the service that runs it
- * @param priority its rank; 0 is the most urgent
- * @param prompt what is known of its size
+ * @param priority its priority; 0 is the most urgent
+ * @param prompt the size of its prompt
  * @param bodyBytes length of its body
  * @param acceptedMillis when it was accepted, on the monotonic clock
  * @param deadlineMillis when its caller stops waiting, on the monotonic clock
- * @param policyVersion version of the policy it was accepted by
+ * @param policyVersion version of the policy that it was accepted by
  * @since 0.2
  */
 public record ServingRequest(
--- a/trailladder-core/src/main/java/io/trailladder/core/pipeline/package-info.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/pipeline/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One request's way through the system, whatever interface it came by.
+ * The processing of one request, whatever interface received it.
  *
  * @since 0.2
  */
--- a/trailladder-core/src/main/java/io/trailladder/core/policy/EngineSpec.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/policy/EngineSpec.java
@@ -16,12 +16,12 @@
 package io.trailladder.core.policy;
 
 /**
- * What the upstreams of a model service can do.
+ * The capabilities of the upstreams of a model service.
  *
- * @param slots requests an engine works on at once
- * @param cacheTokens tokens its memory holds
- * @param moves true if engines copy the memory of a running request to one another
- * @param handleMillis how long a copied memory is kept, in milliseconds
+ * @param slots number of requests that an engine processes at the same time
+ * @param cacheTokens capacity of an engine's cache, in tokens
+ * @param copiesCache true if engines copy the cache of a running request to one another
+ * @param cacheCopyMillis how long a copied cache is kept, in milliseconds
  * @since 0.2
  */
-public record EngineSpec(int slots, long cacheTokens, boolean moves, long handleMillis) {}
+public record EngineSpec(int slots, long cacheTokens, boolean copiesCache, long cacheCopyMillis) {}
--- a/trailladder-core/src/main/java/io/trailladder/core/policy/OrganisationSpec.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/policy/OrganisationSpec.java
@@ -19,17 +19,17 @@
 import java.util.OptionalInt;
 
 /**
- * One organisation (an organisation of the table).
+ * One organisation.
  *
  * @param name the organisation's name
  * @param keys its keys
- * @param priority its rank, taken ahead of a route's; empty if it has none
- * @param limit its limit
+ * @param priority its priority, which overrides that of a route; empty if it has none
+ * @param limit its rate limit
  * @since 0.2
  */
 public record OrganisationSpec(
         String name, List<String> keys, OptionalInt priority, RateSpec limit) {
-    /** Copies the keys. */
+    /** Copies the keys into an unmodifiable list. */
     public OrganisationSpec {
         keys = List.copyOf(keys);
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/policy/RateSpec.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/policy/RateSpec.java
@@ -16,12 +16,12 @@
 package io.trailladder.core.policy;
 
 /**
- * An organisation's limit over all entries together.
+ * An organisation's rate limit over all entries together.
  *
- * @param perSecond units a second; 0 for no limit
- * @param burst units on top
+ * @param perSecond units per second; 0 for no limit
+ * @param burst units allowed in addition at once
  * @param inTokens true if a unit is a token, false if it is a request
- * @param unsizedTokens tokens counted for a request that does not tell its size
+ * @param unsizedTokens tokens counted for a request that does not state its size
  * @since 0.2
  */
 public record RateSpec(double perSecond, double burst, boolean inTokens, int unsizedTokens) {
@@ -29,7 +29,7 @@
     public static final RateSpec UNLIMITED = new RateSpec(0, 0, false, 0);
 
     /**
-     * Tells whether there is a limit.
+     * Returns whether there is a limit.
      *
      * @return true unless the rate is 0
      */
--- a/trailladder-core/src/main/java/io/trailladder/core/policy/RequestBounds.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/policy/RequestBounds.java
@@ -16,17 +16,17 @@
 package io.trailladder.core.policy;
 
 /**
- * Bounds of what callers may send.
+ * Limits of what callers may send.
  *
  * @param maxHeaderBytes largest request head
  * @param maxBodyBytes largest request body
- * @param headerTimeoutMillis longest time for a request head, in milliseconds
- * @param idleTimeoutMillis longest rest of a connection, in milliseconds
+ * @param headerTimeoutMillis time within which a request head must be received, in milliseconds
+ * @param idleTimeoutMillis time after which an idle connection is closed, in milliseconds
  * @since 0.2
  */
 public record RequestBounds(
         int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
-    /** Bounds before any policy is known. */
+    /** Limits used before any policy is known. */
     public static final RequestBounds DEFAULTS =
             new RequestBounds(16 * 1024, 4 * 1024 * 1024, 3_000, 15_000);
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/policy/Route.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/policy/Route.java
@@ -22,13 +22,13 @@
  *
  * @param name the route's name
  * @param host the host, in lower case
- * @param pathPrefix the prefix; begins and ends with a slash
- * @param kind how often its requests may run
- * @param timeoutMillis longest time a request is held, in milliseconds
- * @param objectiveMillis time inside which an answer is in time, in milliseconds
- * @param priority rank; 0 is the most urgent
+ * @param pathPrefix the prefix; starts and ends with a slash
+ * @param kind whether its requests may run more than once
+ * @param timeoutMillis time after which a request is ended, in milliseconds
+ * @param objectiveMillis time within which an answer is in time, in milliseconds
+ * @param priority the priority of its requests; 0 is the most urgent
  * @param shares the services, at least one
- * @param maxAttempts most upstreams that one request is sent to
+ * @param maxAttempts highest number of upstreams that one request is sent to
  * @param anonymous true if its requests need no key
  * @param sticky true if its requests have prompts whose parts are shared
  * @param resumable true if a stream may be resumed at another upstream
@@ -47,32 +47,32 @@
         boolean anonymous,
         boolean sticky,
         boolean resumable) {
-    /** Copies the shares. */
+    /** Copies the shares into an unmodifiable list. */
     public Route {
         shares = List.copyOf(shares);
     }
 
     /**
-     * Tells whether a request may run again after it may have run.
+     * Returns whether a request may be sent again after it may have run.
      *
-     * @return true for safe routes and streams that may be resumed
+     * @return true for safe routes and for streams that may be resumed
      */
     public boolean repeatable() {
         return kind == RouteKind.SAFE || (kind == RouteKind.STREAMING && resumable);
     }
 
     /**
-     * Tells whether some of its requests go to a service.
+     * Returns whether some of its requests go to a service.
      *
      * @param service the service's name
-     * @return true if one of its shares names it
+     * @return true if one of its shares names the service
      */
-    public boolean leadsTo(String service) {
+    public boolean routesTo(String service) {
         return shares.stream().anyMatch(share -> share.service().equals(service));
     }
 
     /**
-     * Chooses the service of one request by the shares' weights.
+     * Returns the service of one request, chosen by the weights of the shares.
      *
      * @param draw a number from 0 (included) to 1 (excluded), the same for requests to be kept
      *     together
@@ -80,10 +80,10 @@
      */
     public String service(double draw) {
         int total = shares.stream().mapToInt(ServiceShare::weight).sum();
-        double left = draw * total;
+        double remaining = draw * total;
         for (ServiceShare share : shares) {
-            left -= share.weight();
-            if (left < 0) {
+            remaining -= share.weight();
+            if (remaining < 0) {
                 return share.service();
             }
         }
--- a/trailladder-core/src/main/java/io/trailladder/core/policy/RouteKind.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/policy/RouteKind.java
@@ -16,15 +16,15 @@
 package io.trailladder.core.policy;
 
 /**
- * How often the requests of a route may run.
+ * Whether the requests of a route may run more than once.
  *
  * @since 0.2
  */
 public enum RouteKind {
-    /** May run more than once. */
+    /** A request may run more than once. */
     SAFE,
-    /** Runs at most once. */
+    /** A request runs at most once. */
     UNSAFE,
-    /** Answers with a series of numbered events. */
+    /** A request is answered with a series of numbered events. */
     STREAMING
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/policy/RouteMatcher.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/policy/RouteMatcher.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Finds the route of a request: of its host's routes, the one with the longest prefix. */
+/** Finds the route of a request: among the routes of its host, the one with the longest prefix. */
 final class RouteMatcher {
     private static final char SLASH = '/';
 
--- a/trailladder-core/src/main/java/io/trailladder/core/policy/ScalingSpec.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/policy/ScalingSpec.java
@@ -18,13 +18,13 @@
 import java.util.Map;
 
 /**
- * How many upstreams of a service may be ordered, and what they cost.
+ * How many upstreams of a service may be ordered, and their prices.
  *
- * @param min fewest in each data centre
- * @param max most in each data centre
- * @param bootMillis time from an order to service, in milliseconds
- * @param reclaimablePrice price of a reclaimable upstream as a part of the full price
- * @param dataCentrePrices price of an upstream's second by data centre
+ * @param min lowest number in each data centre
+ * @param max highest number in each data centre
+ * @param bootMillis time from an order until the upstream serves, in milliseconds
+ * @param reclaimablePrice price of a reclaimable upstream as a fraction of the full price
+ * @param dataCentrePrices price per second of an upstream, by data centre
  * @since 0.2
  */
 public record ScalingSpec(
@@ -33,7 +33,7 @@
         long bootMillis,
         double reclaimablePrice,
         Map<String, Double> dataCentrePrices) {
-    /** Copies the prices. */
+    /** Copies the prices into an unmodifiable map. */
     public ScalingSpec {
         dataCentrePrices = Map.copyOf(dataCentrePrices);
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/policy/ServiceShare.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/policy/ServiceShare.java
@@ -19,7 +19,7 @@
  * One service that a route sends requests to.
  *
  * @param service the service's name
- * @param weight its part of the requests, in proportion to the weights of the route's other shares
+ * @param weight its weight relative to the weights of the route's other shares
  * @since 0.2
  */
 public record ServiceShare(String service, int weight) {}
--- a/trailladder-core/src/main/java/io/trailladder/core/policy/ServiceSpec.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/policy/ServiceSpec.java
@@ -18,12 +18,13 @@
 import java.util.Optional;
 
 /**
- * One service behind the entries.
+ * One service that requests are sent to.
  *
  * @param name the service's name
- * @param maxConnections most connections an upstream of it accepts from all entries together
- * @param engine what its engines can do; empty for a plain service
- * @param scaling how many may be ordered; empty if none are ordered
+ * @param maxConnections highest number of connections that an upstream of it accepts from all
+ *     entries together
+ * @param engine the capabilities of its engines; empty for a plain service
+ * @param scaling how many upstreams may be ordered; empty if none are ordered
  * @since 0.2
  */
 public record ServiceSpec(
--- a/trailladder-core/src/main/java/io/trailladder/core/policy/ServingPolicy.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/policy/ServingPolicy.java
@@ -22,7 +22,7 @@
 import java.util.Optional;
 
 /**
- * One version of everything the operators decide about requests.
+ * One version of the settings with which operators control the serving of requests.
  *
  * <pre>{@code
  * Optional<Route> route = policy.route("api.example", "/chat/run");
@@ -40,13 +40,13 @@
     private final RequestBounds bounds;
 
     /**
-     * Creates a version.
+     * Creates a version of the policy.
      *
-     * @param version its number; later versions have higher ones
+     * @param version the version's number; later versions have higher ones
      * @param routes the routes
      * @param services the services
-     * @param organisations the organisations; none if requests need no keys
-     * @param bounds bounds of what callers may send
+     * @param organisations the organisations; empty if requests need no keys
+     * @param bounds limits of what callers may send
      */
     public ServingPolicy(
             long version,
@@ -102,37 +102,38 @@
     }
 
     /**
-     * Returns the bounds of what callers may send.
+     * Returns the limits of what callers may send.
      *
-     * @return the bounds
+     * @return the limits
      */
     public RequestBounds bounds() {
         return bounds;
     }
 
     /**
-     * Finds the route of a request.
+     * Returns the route of a request.
      *
      * @param host the host that the request names, with or without a port
      * @param path the path without its query, as sent
-     * @return the route with the longest prefix that begins the path
+     * @return the route of that host with the longest prefix that the path starts with; empty if
+     *     there is none
      */
     public Optional<Route> route(String host, String path) {
         return matcher.match(host, path);
     }
 
     /**
-     * Finds a service.
+     * Returns a service.
      *
      * @param name the service's name
-     * @return the service
+     * @return the service; empty if it is not known
      */
     public Optional<ServiceSpec> service(String name) {
         return Optional.ofNullable(services.get(name));
     }
 
     /**
-     * Tells whether requests need a key unless their route is anonymous.
+     * Returns whether requests need a key unless their route is anonymous.
      *
      * @return true if the policy has organisations
      */
@@ -141,10 +142,10 @@
     }
 
     /**
-     * Finds the organisation that has a key.
+     * Returns the organisation that has a key.
      *
      * @param key the key as the caller sent it
-     * @return the organisation
+     * @return the organisation; empty if no organisation has the key
      */
     public Optional<OrganisationSpec> organisationOfKey(String key) {
         return Optional.ofNullable(organisationsByKey.get(key));
--- a/trailladder-core/src/main/java/io/trailladder/core/policy/package-info.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/policy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' serving policy: routes, services, organisations and bounds of one version.
+ * The operators' serving policy: routes, services, organisations and request limits.
  *
  * @since 0.2
  */
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/AnswerCount.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/AnswerCount.java
@@ -16,44 +16,44 @@
 package io.trailladder.core.rollout;
 
 /**
- * Answers of one version on one route since the order.
+ * Counts the answers of one version on one route since the order.
  *
- * @param answers how many ended, well or badly
- * @param bad how many of them failed or came several times later than usual
- * @param slow how many of them failed or came clearly later than usual, the bad ones among them
+ * @param answers answers that ended, successful or not
+ * @param bad answers that failed or were several times slower than usual
+ * @param slow answers that failed or were clearly slower than usual, the bad ones included
  * @since 0.4
  */
 public record AnswerCount(int answers, int bad, int slow) {
     /** No answers. */
     public static final AnswerCount NONE = new AnswerCount(0, 0, 0);
 
-    /** Most answers that are believed of one process and all it speaks for. */
-    private static final int MOST = 10_000_000;
+    /** Highest plausible number of answers of one process and all processes that it represents. */
+    private static final int MAX_ANSWERS = 10_000_000;
 
     /**
-     * Creates a count in which only bad answers came late.
+     * Creates a count in which only bad answers were slow.
      *
-     * @param answers how many ended, well or badly
-     * @param bad how many of them failed or came several times later than usual
+     * @param answers answers that ended, successful or not
+     * @param bad answers that failed or were several times slower than usual
      */
     public AnswerCount(int answers, int bad) {
         this(answers, bad, bad);
     }
 
     /**
-     * Returns the sum of both.
+     * Returns the sum of this count and another.
      *
      * @param other another count
-     * @return their sum
+     * @return the sum
      */
     public AnswerCount plus(AnswerCount other) {
         return new AnswerCount(answers + other.answers, bad + other.bad, slow + other.slow);
     }
 
     /**
-     * Returns the count with one more answer, which came in time unless it is bad.
+     * Returns this count with one more answer, which was not slow unless it is bad.
      *
-     * @param isBad true if it failed or came several times later than usual
+     * @param isBad true if it failed or was several times slower than usual
      * @return the new count
      */
     public AnswerCount with(boolean isBad) {
@@ -61,10 +61,10 @@
     }
 
     /**
-     * Returns the count with one more answer.
+     * Returns this count with one more answer.
      *
-     * @param isBad true if it failed or came several times later than usual
-     * @param isSlow true if it came clearly later than usual
+     * @param isBad true if it failed or was several times slower than usual
+     * @param isSlow true if it was clearly slower than usual
      * @return the new count
      */
     public AnswerCount with(boolean isBad, boolean isSlow) {
@@ -73,11 +73,12 @@
     }
 
     /**
-     * Tells whether a count that another process tells can be true.
+     * Returns whether a count that another process reports is plausible.
      *
-     * @return false if a figure is negative, absurdly large or beyond its whole
+     * @return false if a figure is negative, implausibly large or higher than the one that includes
+     *     it
      */
-    public boolean isSound() {
-        return answers >= 0 && answers <= MOST && bad >= 0 && bad <= slow && slow <= answers;
+    public boolean isValid() {
+        return answers >= 0 && answers <= MAX_ANSWERS && bad >= 0 && bad <= slow && slow <= answers;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/AnswerSort.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/AnswerRating.java
@@ -16,28 +16,28 @@
 package io.trailladder.core.rollout;
 
 /**
- * What an answer says of the version that gave it.
+ * Rates an answer as evidence for or against the version that gave it.
  *
  * @since 0.5
  */
-public enum AnswerSort {
-    /** It ended well and in time. */
+public enum AnswerRating {
+    /** The answer was successful and not slower than usual. */
     GOOD,
-    /** It came clearly later than usual. */
+    /** The answer was clearly slower than usual. */
     SLOW,
-    /** It failed, or came several times later than usual. */
+    /** The answer failed, or was several times slower than usual. */
     BAD,
-    /** It was broken off before it could say anything. */
+    /** The answer was broken off before it could be rated. */
     NOT_COUNTED;
 
     /**
-     * Sorts an answer that counts.
+     * Returns the rating of an answer that counts.
      *
-     * @param isBad true if it failed or came several times later than usual
-     * @param isSlow true if it came clearly later than usual
-     * @return what it says
+     * @param isBad true if it failed or was several times slower than usual
+     * @param isSlow true if it was clearly slower than usual
+     * @return the rating
      */
-    public static AnswerSort of(boolean isBad, boolean isSlow) {
+    public static AnswerRating of(boolean isBad, boolean isSlow) {
         if (isBad) {
             return BAD;
         }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/Binomial.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/Binomial.java
@@ -20,24 +20,24 @@
     private Binomial() {}
 
     /**
-     * Returns how likely at most some of a number of trials succeed.
+     * Returns the probability of at most a number of successes.
      *
-     * @param most most successes
-     * @param trials the trials
-     * @param chance how likely each succeeds, from 0 to 1
+     * @param max the highest number of successes
+     * @param trials the number of trials
+     * @param probability the probability of success in each trial, from 0 to 1
      * @return a probability
      */
-    static double atMost(int most, int trials, double chance) {
-        if (most >= trials || chance <= 0) {
+    static double atMost(int max, int trials, double probability) {
+        if (max >= trials || probability <= 0) {
             return 1;
         }
-        if (most < 0 || chance >= 1) {
+        if (max < 0 || probability >= 1) {
             return 0;
         }
-        double logOdds = Math.log(chance) - Math.log1p(-chance);
-        double logTerm = trials * Math.log1p(-chance);
+        double logOdds = Math.log(probability) - Math.log1p(-probability);
+        double logTerm = trials * Math.log1p(-probability);
         double sum = Math.exp(logTerm);
-        for (int i = 1; i <= most; i++) {
+        for (int i = 1; i <= max; i++) {
             logTerm += logOdds + Math.log((trials - i + 1.0) / i);
             sum += Math.exp(logTerm);
         }
@@ -45,14 +45,14 @@
     }
 
     /**
-     * Returns how likely at least some of a number of trials succeed.
+     * Returns the probability of at least a number of successes.
      *
-     * @param least least successes
-     * @param trials the trials
-     * @param chance how likely each succeeds, from 0 to 1
+     * @param min the lowest number of successes
+     * @param trials the number of trials
+     * @param probability the probability of success in each trial, from 0 to 1
      * @return a probability
      */
-    static double atLeast(int least, int trials, double chance) {
-        return least <= 0 ? 1 : atMost(trials - least, trials, 1 - chance);
+    static double atLeast(int min, int trials, double probability) {
+        return min <= 0 ? 1 : atMost(trials - min, trials, 1 - probability);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/ExposureLedger.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/ExposureLedger.java
@@ -18,40 +18,41 @@
 import java.util.SplittableRandom;
 
 /**
- * Keeps one process within its part of the requests that a version may get before the order's
- * deadline, whatever is believed of the version: samples and the switch spend from the same part.
+ * Limits the requests that one process sends to a new version before the order's deadline, whatever
+ * is known of the version. Samples and the switch use the same share.
  *
- * <p>Each process spends a fixed part of its own requests and no other's. So all processes together
- * stay within the bound whatever they have heard of each other: while digests are late, hubs are
- * lost or a data centre is cut off, and also when a process starts anew and has forgotten what it
- * spent, because each life keeps the part of its own requests.
+ * <p>Each process exposes a fixed share of its own requests, and of no other's. All processes
+ * together therefore stay within the bound whatever they have received from each other: while
+ * digests are late, hubs are lost or a data centre is cut off, and also when a process restarts and
+ * has lost its counts, because each incarnation keeps to the share of its own requests.
  *
- * <p>A part of a few requests is less than one, so each life begins with a random piece of a
- * request: all lives together then spend what the part gives, and not a whole request less each.
- * What they spend more by chance is a few requests, and never more than one a life.
+ * <p>The share of a few requests is less than one request, so each incarnation starts with a random
+ * fraction of a request as credit. All incarnations together then use the share on average, instead
+ * of up to one request less each. The deviation is a few requests, and at most one for each
+ * incarnation.
  *
  * @since 0.4
  */
 public final class ExposureLedger {
     /**
-     * Part of the bound that samples and switch may spend together. The rest is for requests that
-     * are counted here as sent but never reach an upstream, and for those counted at the edges of
-     * the order's time.
+     * Part of the bound that samples and the switch may use together. The rest covers requests that
+     * are counted here as sent but never reach an upstream, and requests near the start and the end
+     * of the order's time.
      */
-    private static final double SPENT_PART = 0.9;
+    private static final double EXPOSED_PART = 0.9;
 
-    /** Part of the bound that samples may spend; what they leave pays for the switch. */
+    /** Part of the bound that samples may use; the rest is left for the switch. */
     private static final double SAMPLED_PART = 0.75;
 
     /**
-     * Requests on top without which no life begins with a piece of one. By chance the lives of 100
-     * processes that start once more exceed their parts by more than 25 once in a thousand times.
+     * Lowest allowance at which incarnations start with a credit. With 100 processes that restart
+     * once, the total exceeds the shares by more than 25 requests in one of a thousand cases.
      */
-    private static final double LEAST_ALLOWANCE = 25;
+    private static final double MIN_ALLOWANCE_FOR_CREDIT = 25;
 
     private final double bound;
-    private final double spent;
-    private final double sampled;
+    private final double exposedShare;
+    private final double sampledShare;
     private final double credit;
     private int sent;
     private int exposed;
@@ -59,87 +60,88 @@
     /**
      * Creates a ledger.
      *
-     * @param bound part of a service's requests that a bad version may get
-     * @param credit what is added to the part of this life's requests, in requests, below 1
+     * @param bound share of a service's requests that a bad version may get, from 0 to 1
+     * @param credit requests added to the share of this incarnation, below 1
      */
     public ExposureLedger(double bound, double credit) {
         this.bound = bound;
-        this.spent = SPENT_PART * bound;
-        this.sampled = SAMPLED_PART * bound;
+        this.exposedShare = EXPOSED_PART * bound;
+        this.sampledShare = SAMPLED_PART * bound;
         this.credit = credit;
     }
 
     /**
-     * Creates the ledger of a new life.
+     * Creates the ledger of a new incarnation.
      *
-     * @param bound part of a service's requests that a bad version may get
-     * @param allowance requests that it may get on top, over all processes
-     * @param random draws the piece of a request that the life begins with
-     * @return a ledger that has spent nothing
+     * @param bound share of a service's requests that a bad version may get, from 0 to 1
+     * @param allowance requests that it may get in addition, over all processes
+     * @param random draws the credit of the incarnation
+     * @return a ledger without any requests
      */
     public static ExposureLedger of(double bound, double allowance, SplittableRandom random) {
-        return new ExposureLedger(bound, allowance >= LEAST_ALLOWANCE ? random.nextDouble() : 0);
+        return new ExposureLedger(
+                bound, allowance >= MIN_ALLOWANCE_FOR_CREDIT ? random.nextDouble() : 0);
     }
 
-    /** Records that the version under test was chosen for a request, which may never reach it. */
+    /** Records that the new version was chosen for a request, which may never reach it. */
     public void chosen() {
         exposed++;
     }
 
-    /** Records that a request, first or repeated, leaves for either version. */
+    /** Records that a request, first or repeated, is sent to either version. */
     public void sent() {
         sent++;
     }
 
     /**
-     * Tells whether the next request may be a sample.
+     * Returns whether the next request may be a sample.
      *
-     * @return true if the samples' part stays kept with it
+     * @return true if it stays within the share of the samples
      */
     public boolean maySample() {
-        return exposed + 1 <= sampled * (sent + 1) + credit;
+        return exposed + 1 <= sampledShare * (sent + 1) + credit;
     }
 
     /**
-     * Tells whether the next request may go to the version under test during the switch.
+     * Returns whether the next request may go to the new version during the switch.
      *
-     * @return true if the whole part stays kept with it
+     * @return true if it stays within the whole share
      */
     public boolean mayExpose() {
-        return exposed + 1 <= spent * (sent + 1) + credit;
+        return exposed + 1 <= exposedShare * (sent + 1) + credit;
     }
 
     /**
-     * Returns the part of a service's requests that a bad version may get.
+     * Returns the share of a service's requests that a bad version may get.
      *
-     * @return from 0 to 1
+     * @return a share, from 0 to 1
      */
     public double bound() {
         return bound;
     }
 
     /**
-     * Returns the part of the requests that samples spend in the long run.
+     * Returns the share of the requests that samples use in the long run.
      *
-     * @return from 0 to 1
+     * @return a share, from 0 to 1
      */
     public double sampledShare() {
-        return sampled;
+        return sampledShare;
     }
 
     /**
-     * Tells for how long all requests can be paid for, at the usual rate, after samples were taken
-     * for a while.
+     * Returns how long all requests may go to the new version, at a constant rate, after samples
+     * were taken for some time.
      *
      * @param sampledMillis how long samples were taken, in milliseconds
      * @return a time, in milliseconds
      */
-    public long paidMillis(long sampledMillis) {
-        return Math.round((spent - sampled) * sampledMillis);
+    public long affordableMillis(long sampledMillis) {
+        return Math.round((exposedShare - sampledShare) * sampledMillis);
     }
 
     /**
-     * Returns the requests sent to the service since the order.
+     * Returns the number of requests sent to the service since the order.
      *
      * @return a count
      */
@@ -148,7 +150,7 @@
     }
 
     /**
-     * Returns those for which the version under test was chosen.
+     * Returns the number of requests for which the new version was chosen.
      *
      * @return a count
      */
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/Rollout.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/Rollout.java
@@ -24,12 +24,12 @@
 import java.util.TreeMap;
 
 /**
- * One roll-out as one process sees it: which upstreams a request may go to, what was seen of both
- * versions, and what the other processes are told.
+ * The view that one process has of a roll-out: which upstreams a request may go to, what was
+ * observed of both versions, and what is sent to the other processes.
  *
- * <p>A process that sees by itself that the version is bad sends it nothing more at once. A process
- * that has not heard of the leader for {@link #HEARD_MILLIS} sends it nothing either, so that
- * nobody goes on with a version that the others have found bad.
+ * <p>A process that observes by itself that the version is bad sends it no more requests at once. A
+ * process that has received no round of the leader for {@link #LEADER_TIMEOUT_MILLIS} sends it none
+ * either, so that no process goes on with a version that the others have found bad.
  *
  * <pre>{@code
  * Rollout rollout = new Rollout(order, ledger, nowMillis);
@@ -42,122 +42,124 @@
  */
 public final class Rollout {
     /**
-     * How long after the last news of the leader the new version is still sampled, in milliseconds:
-     * ten digests, and well below the 5 s within which a bad version must have been left.
+     * Time after the leader's last round for which the new version is still sampled, in
+     * milliseconds. This is ten digests, and well below the 5 s within which requests to a bad
+     * version must stop.
      */
-    public static final long HEARD_MILLIS = 2_000;
+    public static final long LEADER_TIMEOUT_MILLIS = 2_000;
 
     /**
-     * How long after the completion only the new version is chosen, in milliseconds: entries of
-     * stopped upstreams stay listed for three heartbeats of 1.2 s and the list's lag.
+     * Time after the completion for which only the new version is chosen, in milliseconds. Entries
+     * of stopped upstreams stay listed for three heartbeats of 1.2 s and the delay of the list.
      */
-    private static final long SETTLE_MILLIS = 10_000;
+    private static final long SETTLING_MILLIS = 10_000;
 
-    /** Stands for a deadline that is not known. */
-    private static final long NOT_KNOWN = Long.MAX_VALUE / 4;
+    /** Deadline of an order whose age is not known; far enough from the limits to allow sums. */
+    private static final long UNKNOWN_DEADLINE_MILLIS = Long.MAX_VALUE / 4;
 
-    private static final String FIRST = "first/";
-    private static final String PAUSE = "pause/";
+    private static final String FIRST_EVENT = "first/";
+    private static final String EVENT_INTERVAL = "pause/";
 
     private RolloutOrder order;
     private final ExposureLedger ledger;
-    private final PaceBaseline pace = new PaceBaseline();
-    private final Map<String, RouteEvidence> seen = new TreeMap<>();
+    private final LatencyBaseline baseline = new LatencyBaseline();
+    private final Map<String, RouteEvidence> evidenceByRoute = new TreeMap<>();
     private RolloutPhase phase = RolloutPhase.SAMPLING;
-    private final long begunMillis;
+    private final long knownSinceMillis;
     private long deadlineMillis;
     private long round;
-    private long heardMillis = Long.MIN_VALUE / 2;
-    private long finalMillis;
+    private long lastRoundMillis = Long.MIN_VALUE / 2;
+    private long resultMillis;
     private final Set<String> oldVersions = new HashSet<>();
 
     /**
-     * Creates the view of a roll-out that has just become known.
+     * Creates the view of a roll-out whose order was just written.
      *
      * @param order the order
-     * @param ledger what may be spent on the new version
-     * @param nowMillis the time
+     * @param ledger limits the requests to the new version
+     * @param nowMillis the current time, in milliseconds
      */
     public Rollout(RolloutOrder order, ExposureLedger ledger, long nowMillis) {
         this.order = order;
         this.ledger = ledger;
-        this.begunMillis = nowMillis;
+        this.knownSinceMillis = nowMillis;
         this.deadlineMillis = nowMillis + order.durationMillis();
     }
 
     /**
      * Creates the view of a roll-out whose order was found in the store by a process that has just
-     * started, or was told by a peer: its deadline is known once a peer tells it. A process that
-     * counted the order's time anew could take a deadline that has passed for one to come.
+     * started, or was reported by a peer. Its deadline is known once a peer reports it: counting
+     * the order's duration from now could turn a deadline that has passed into one in the future.
      *
      * @param order the order
-     * @param ledger what may be spent on the new version
-     * @param nowMillis the time
+     * @param ledger limits the requests to the new version
+     * @param nowMillis the current time, in milliseconds
      * @return a view without a deadline
      */
     public static Rollout ofUnknownAge(RolloutOrder order, ExposureLedger ledger, long nowMillis) {
         Rollout rollout = new Rollout(order, ledger, nowMillis);
-        rollout.deadlineMillis = NOT_KNOWN;
+        rollout.deadlineMillis = UNKNOWN_DEADLINE_MILLIS;
         return rollout;
     }
 
     /**
      * Returns the order.
      *
-     * @return the order it is about
+     * @return the order of this roll-out
      */
     public RolloutOrder order() {
         return order;
     }
 
     /**
-     * Takes over the revision that the order has now: the store's history was replaced.
+     * Replaces the order by the same one with another revision, after the history of the store was
+     * replaced.
      *
-     * @param same an order that is alike but for its revision
+     * @param same an order that differs from this one in its revision only
      */
     public void renumbered(RolloutOrder same) {
         order = same;
     }
 
     /**
-     * Returns how far it has come.
+     * Returns the phase.
      *
-     * @return the phase, as this process knows it
+     * @return the phase that this process knows
      */
     public RolloutPhase phase() {
         return phase;
     }
 
     /**
-     * Returns when the order is to be carried out. That is never before its true deadline, since
-     * each process that counts its time has seen it after it was written.
+     * Returns the deadline of the order. It is never before the true deadline, because each process
+     * that counts the duration has read the order after it was written.
      *
-     * @return a time, in milliseconds; far off while it is not known
+     * @return a time in milliseconds; far in the future while the deadline is not known
      */
     public long deadlineMillis() {
         return deadlineMillis;
     }
 
     /**
-     * Tells whether it is known by when the order is to be carried out.
+     * Returns whether the deadline of the order is known.
      *
-     * @return false if no process that is heard saw the order written
+     * @return false if no process that can be reached read the order when it was written
      */
     public boolean isDeadlineKnown() {
-        return deadlineMillis < NOT_KNOWN / 2;
+        return deadlineMillis < UNKNOWN_DEADLINE_MILLIS / 2;
     }
 
     /**
-     * Returns since when this process knows of the order.
+     * Returns when this process learned of the order.
      *
      * @return a time, in milliseconds
      */
-    public long begunMillis() {
-        return begunMillis;
+    public long knownSinceMillis() {
+        return knownSinceMillis;
     }
 
     /**
-     * Returns what this process has spent.
+     * Returns the ledger of the requests that this process sent to the new version.
      *
      * @return the ledger
      */
@@ -166,7 +168,7 @@
     }
 
     /**
-     * Tells whether an upstream runs the version that the order names.
+     * Returns whether an upstream runs the version that the order names.
      *
      * @param upstream the upstream
      * @return true for the new version
@@ -176,29 +178,31 @@
     }
 
     /**
-     * Returns the upstreams that a request may go to now. A request that an upstream has failed
-     * before is no sample: it goes to the old version while there is one.
+     * Returns the upstreams that a request may go to now. A request that has already failed at an
+     * upstream is not used as a sample: it goes to the old version as long as one serves.
      *
-     * @param serving upstreams of the service that take new work
-     * @param first false for a request that an upstream has failed before
-     * @param nowMillis the time
-     * @return some of them, perhaps none
+     * @param serving upstreams of the service that accept new requests
+     * @param first false for a request that has already failed at an upstream
+     * @param nowMillis the current time, in milliseconds
+     * @return some of the upstreams, possibly none
      */
     public List<Upstream> admitted(List<Upstream> serving, boolean first, long nowMillis) {
-        noteOld(serving);
+        recordOldVersions(serving);
         return switch (phase) {
             case SAMPLING ->
                     first && maySample(nowMillis)
                             ? sampleOrOld(serving)
-                            : oldOrLeft(serving, nowMillis);
+                            : oldOrRemaining(serving, nowMillis);
             case SWITCHING ->
-                    mayMove(nowMillis) ? targetOrOld(serving) : oldOrLeft(serving, nowMillis);
+                    maySwitch(nowMillis)
+                            ? targetOrOld(serving)
+                            : oldOrRemaining(serving, nowMillis);
             case COMPLETED -> completed(serving, nowMillis);
             case HALTED, ROLLED_BACK -> old(serving);
         };
     }
 
-    private void noteOld(List<Upstream> serving) {
+    private void recordOldVersions(List<Upstream> serving) {
         if (phase.isFinal()) {
             return;
         }
@@ -210,44 +214,50 @@
     }
 
     private boolean maySample(long nowMillis) {
-        return mayTry(nowMillis) && ledger.maySample();
+        return mayExpose(nowMillis) && ledger.maySample();
     }
 
-    private boolean mayMove(long nowMillis) {
-        return mayTry(nowMillis) && ledger.mayExpose();
+    private boolean maySwitch(long nowMillis) {
+        return mayExpose(nowMillis) && ledger.mayExpose();
     }
 
     /**
-     * After the deadline only a record brings the new version more: there may be one unheard of.
+     * Returns whether the new version may get more requests now. After the deadline it may not
+     * until the result is recorded: another process may have recorded one that is not yet known
+     * here.
      */
-    private boolean mayTry(long nowMillis) {
-        return isHeard(nowMillis) && nowMillis < deadlineMillis;
+    private boolean mayExpose(long nowMillis) {
+        return isLeaderReachable(nowMillis) && nowMillis < deadlineMillis;
     }
 
-    /** The old version has stopped; what the rest of the part does not pay for has to wait. */
+    /**
+     * Returns the upstreams after the completion. The old version has stopped, so requests that
+     * exceed the share of the new version have to wait.
+     */
     private List<Upstream> completed(List<Upstream> serving, long nowMillis) {
-        boolean paid = heldMillis(nowMillis) == 0 || ledger.mayExpose();
-        return paid ? afterCompletion(serving, nowMillis) : List.of();
+        boolean allowed = waitMillis(nowMillis) == 0 || ledger.mayExpose();
+        return allowed ? afterCompletion(serving, nowMillis) : List.of();
     }
 
     /**
-     * Tells how long requests have to wait that are not paid for, because the old version has
-     * stopped and the order's time is not over.
+     * Returns how long requests beyond the share of the new version have to wait, because the old
+     * version has stopped and the deadline has not passed.
      *
-     * @param nowMillis the time
-     * @return a time, in milliseconds; 0 if none has to wait
+     * @param nowMillis the current time, in milliseconds
+     * @return a time in milliseconds; 0 if no request has to wait
      */
-    public long heldMillis(long nowMillis) {
+    public long waitMillis(long nowMillis) {
         if (phase != RolloutPhase.COMPLETED) {
             return 0;
         }
-        long until = Math.min(deadlineMillis, finalMillis + RolloutLead.LAST_MILLIS);
+        long until =
+                Math.min(deadlineMillis, resultMillis + RolloutController.COMPLETION_LEAD_MILLIS);
         return Math.max(0, until - nowMillis);
     }
 
     private List<Upstream> sampleOrOld(List<Upstream> serving) {
         List<Upstream> target = target(serving);
-        return target.isEmpty() ? old(serving) : sampled(target);
+        return target.isEmpty() ? old(serving) : sampleUpstreams(target);
     }
 
     private List<Upstream> targetOrOld(List<Upstream> serving) {
@@ -255,9 +265,12 @@
         return target.isEmpty() ? old(serving) : target;
     }
 
-    /** Later versions replace the new one in their turn; those that it replaced are gone. */
+    /**
+     * Excludes the versions that the new one replaced. Versions that appear later are not excluded,
+     * because they replace the new one.
+     */
     private List<Upstream> afterCompletion(List<Upstream> serving, long nowMillis) {
-        if (nowMillis - finalMillis < SETTLE_MILLIS) {
+        if (nowMillis - resultMillis < SETTLING_MILLIS) {
             return targetOrOld(serving);
         }
         List<Upstream> later =
@@ -272,15 +285,15 @@
     }
 
     /**
-     * The old version. A process that was cut off and hears of no result serves with what is left
-     * once the deadline has passed and the old version is gone.
+     * Returns the old version, or all upstreams if it no longer serves and the deadline has passed:
+     * a process that is cut off and receives no result then uses what remains.
      */
-    private List<Upstream> oldOrLeft(List<Upstream> serving, long nowMillis) {
+    private List<Upstream> oldOrRemaining(List<Upstream> serving, long nowMillis) {
         List<Upstream> old = old(serving);
         return old.isEmpty() && nowMillis > deadlineMillis ? serving : old;
     }
 
-    /** All but the new version, unless no other ever served beside it. */
+    /** Returns all but the new version, or all if no other version ever served beside it. */
     private List<Upstream> old(List<Upstream> serving) {
         if (oldVersions.isEmpty() && phase != RolloutPhase.ROLLED_BACK) {
             return serving;
@@ -289,24 +302,25 @@
     }
 
     /**
-     * The few requests of the sample go to few upstreams, so that these bear the load of each that
-     * is to come and a fault that shows only under load shows in the sample.
+     * Returns the upstreams of the sample. There are few, so that the few sampled requests give
+     * each of them its future load, and a fault that appears only under load appears in the sample.
      */
-    private List<Upstream> sampled(List<Upstream> target) {
-        int few = (int) Math.floor(target.size() * ledger.sampledShare());
+    private List<Upstream> sampleUpstreams(List<Upstream> target) {
+        int count = (int) Math.floor(target.size() * ledger.sampledShare());
         return target.stream()
                 .sorted(Comparator.comparing(Upstream::id))
-                .limit(Math.max(1, few))
+                .limit(Math.max(1, count))
                 .toList();
     }
 
-    private boolean isHeard(long nowMillis) {
-        return nowMillis - heardMillis <= HEARD_MILLIS;
+    private boolean isLeaderReachable(long nowMillis) {
+        return nowMillis - lastRoundMillis <= LEADER_TIMEOUT_MILLIS;
     }
 
     /**
-     * Records that an upstream was chosen for a request, first or repeated. The new version is
-     * charged for it at once, so that requests on their way cannot spend the same twice.
+     * Records that an upstream was chosen for a request, first or repeated. The request counts
+     * against the share of the new version at once, so that requests not yet sent cannot use the
+     * same share.
      *
      * @param upstream the upstream
      */
@@ -316,96 +330,107 @@
         }
     }
 
-    /** Records that a request leaves for an upstream that it could connect to. */
+    /** Records that a request is sent to an upstream to which a connection was made. */
     public void sent() {
         ledger.sent();
     }
 
     /**
-     * Records how a request ended. A cold upstream of the new version may be late, and an answer
-     * that was broken off counts only if it was late.
+     * Records how a request ended. Answers of a cold upstream are not rated late or slow, and an
+     * answer that was broken off counts only if it failed or was late.
      *
      * @param upstream the upstream
-     * @param answer how it ended
-     * @return what it says of the version
+     * @param answer how the request ended
+     * @return the rating of the answer
      */
-    public AnswerSort answered(Upstream upstream, AnswerSeen answer) {
+    public AnswerRating answered(Upstream upstream, AnswerObservation answer) {
         boolean isTarget = isTarget(upstream);
         boolean warm = upstream.coldLeftMillis() <= 0;
-        boolean late = warm && PaceBaseline.isLate(times(answer));
-        if (!answer.whole() && !late && !answer.failed()) {
-            return AnswerSort.NOT_COUNTED;
+        boolean late = warm && LatencyBaseline.isLate(slowdown(answer));
+        if (!answer.complete() && !late && !answer.failed()) {
+            return AnswerRating.NOT_COUNTED;
         }
         if (!isTarget && !answer.failed()) {
-            learnPace(answer);
+            recordBaseline(answer);
         }
-        RouteEvidence none = new RouteEvidence(answer.route(), AnswerCount.NONE, AnswerCount.NONE);
-        RouteEvidence before = seen.getOrDefault(answer.route(), none);
+        RouteEvidence empty = new RouteEvidence(answer.route(), AnswerCount.NONE, AnswerCount.NONE);
+        RouteEvidence before = evidenceByRoute.getOrDefault(answer.route(), empty);
         boolean bad = late || answer.failed();
-        boolean slow = warm && PaceBaseline.isSlow(times(answer));
-        seen.put(answer.route(), before.with(isTarget, bad, slow));
-        if (isTarget && (bad || slow) && !phase.isFinal() && RolloutJudge.isBad(evidence())) {
+        boolean slow = warm && LatencyBaseline.isSlow(slowdown(answer));
+        evidenceByRoute.put(answer.route(), before.with(isTarget, bad, slow));
+        if (isTarget && (bad || slow) && !phase.isFinal() && VersionEvaluator.isBad(evidence())) {
             phase = phase.merge(RolloutPhase.HALTED);
         }
-        return AnswerSort.of(bad, slow);
+        return AnswerRating.of(bad, slow);
     }
 
-    /** How many times the usual it took to the first event, or between two, whichever is more. */
-    private double times(AnswerSeen answer) {
+    /**
+     * Returns the slowdown of the first event or of the interval between events, whichever is
+     * higher.
+     */
+    private double slowdown(AnswerObservation answer) {
         double first =
-                pace.times(answer.route(), FIRST, answer.firstMillis(), answer.predictedMillis());
-        return answer.pauseMillis() > 0
-                ? Math.max(first, pace.times(answer.route(), PAUSE, answer.pauseMillis(), 0))
+                baseline.slowdown(
+                        answer.route(),
+                        FIRST_EVENT,
+                        answer.firstEventMillis(),
+                        answer.predictedMillis());
+        return answer.eventIntervalMillis() > 0
+                ? Math.max(
+                        first,
+                        baseline.slowdown(
+                                answer.route(), EVENT_INTERVAL, answer.eventIntervalMillis(), 0))
                 : first;
     }
 
-    private void learnPace(AnswerSeen answer) {
-        pace.usual(answer.route(), FIRST, answer.firstMillis(), answer.predictedMillis());
-        if (answer.pauseMillis() > 0) {
-            pace.usual(answer.route(), PAUSE, answer.pauseMillis(), 0);
+    private void recordBaseline(AnswerObservation answer) {
+        baseline.observe(
+                answer.route(), FIRST_EVENT, answer.firstEventMillis(), answer.predictedMillis());
+        if (answer.eventIntervalMillis() > 0) {
+            baseline.observe(answer.route(), EVENT_INTERVAL, answer.eventIntervalMillis(), 0);
         }
     }
 
     /**
-     * Returns what this process has seen.
+     * Returns what this process has observed.
      *
      * @return its evidence, by route
      */
     public List<RouteEvidence> evidence() {
-        return List.copyOf(seen.values());
+        return List.copyOf(evidenceByRoute.values());
     }
 
     /**
-     * Writes what another process is told.
+     * Returns the update for another process.
      *
-     * @param evidence what this one and those it speaks for have seen; empty to tell none
-     * @param nowMillis the time
-     * @return the news
+     * @param evidence what this process and those it represents have observed; empty to send none
+     * @param nowMillis the current time, in milliseconds
+     * @return the update
      */
-    public RolloutNews news(List<RouteEvidence> evidence, long nowMillis) {
-        return new RolloutNews(order, phase, deadlineMillis - nowMillis, round, evidence);
+    public RolloutUpdate update(List<RouteEvidence> evidence, long nowMillis) {
+        return new RolloutUpdate(order, phase, deadlineMillis - nowMillis, round, evidence);
     }
 
     /**
-     * Takes over what another process tells of the same order.
+     * Merges an update of another process about the same order.
      *
-     * @param news the news
-     * @param nowMillis the time
+     * @param update the update
+     * @param nowMillis the current time, in milliseconds
      */
-    public void heard(RolloutNews news, long nowMillis) {
-        moveTo(phase.merge(news.phase()), nowMillis);
-        deadlineMillis = Math.min(deadlineMillis, nowMillis + news.leftMillis());
-        if (news.round() > round) {
-            round = news.round();
-            heardMillis = nowMillis;
+    public void received(RolloutUpdate update, long nowMillis) {
+        moveTo(phase.merge(update.phase()), nowMillis);
+        deadlineMillis = Math.min(deadlineMillis, nowMillis + update.remainingMillis());
+        if (update.round() > round) {
+            round = update.round();
+            lastRoundMillis = nowMillis;
         }
     }
 
     /**
-     * Takes over what the store records, which decides.
+     * Applies the record in the store, which overrides what processes report.
      *
      * @param status the record
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void recorded(RolloutStatus status, long nowMillis) {
         if (!status.isAbout(order)) {
@@ -419,9 +444,9 @@
     }
 
     /**
-     * Sends the new version nothing more, because the order was taken back.
+     * Stops all requests to the new version, because the order was withdrawn.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void withdrawn(long nowMillis) {
         moveTo(phase.merge(RolloutPhase.HALTED), nowMillis);
@@ -429,20 +454,20 @@
 
     private void moveTo(RolloutPhase next, long nowMillis) {
         if (next != phase && next.isFinal()) {
-            finalMillis = nowMillis;
+            resultMillis = nowMillis;
         }
         phase = next;
     }
 
     /**
-     * Goes on as the leader decides. To be called on the leader only, a few times a second.
+     * Applies a decision of the leader. Must be called on the leader only, a few times a second.
      *
-     * @param decided the phase
-     * @param nowMillis the time
+     * @param decided the phase to go on with
+     * @param nowMillis the current time, in milliseconds
      */
     public void lead(RolloutPhase decided, long nowMillis) {
         moveTo(phase.merge(decided), nowMillis);
         round++;
-        heardMillis = nowMillis;
+        lastRoundMillis = nowMillis;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutOrder.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutOrder.java
@@ -16,35 +16,36 @@
 package io.trailladder.core.rollout;
 
 /**
- * An operator's order to move a service's traffic to a version.
+ * An operator's order to move the traffic of a service to a version.
  *
  * @param service the service
- * @param version the version it is to move to
- * @param durationMillis how long the move may take, in milliseconds
- * @param revision the store's revision of the order, which names it: a later order has a higher one
+ * @param version the version to move to
+ * @param durationMillis time within which the traffic must have moved, in milliseconds
+ * @param revision the order's revision in the store, which identifies it: a later order has a
+ *     higher one
  * @since 0.4
  */
 public record RolloutOrder(String service, String version, long durationMillis, long revision) {
     /**
-     * Tells whether another order says the same. After the store came back from a copy an order
-     * that is written again has another revision.
+     * Returns whether another order is equal except for its revision. After the store was restored
+     * from a backup, an order that is written again has another revision.
      *
      * @param other the other order
      * @return true if they differ in their revision at most
      */
-    public boolean isAlike(RolloutOrder other) {
+    public boolean equalsIgnoringRevision(RolloutOrder other) {
         return service.equals(other.service)
                 && version.equals(other.version)
                 && durationMillis == other.durationMillis;
     }
 
     /**
-     * Returns the same order under another revision.
+     * Returns the same order with another revision.
      *
-     * @param next the revision
+     * @param next the new revision
      * @return a copy
      */
-    public RolloutOrder at(long next) {
+    public RolloutOrder withRevision(long next) {
         return new RolloutOrder(service, version, durationMillis, next);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutPhase.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutPhase.java
@@ -18,18 +18,19 @@
 import java.util.Optional;
 
 /**
- * How far a roll-out has come. A process never goes back to an earlier phase of the same order.
+ * The phases of a roll-out. A process never returns to an earlier phase of the same order.
  *
  * @since 0.4
  */
 public enum RolloutPhase {
-    /** A small part of the requests goes to the new version. */
+    /** A small share of the requests goes to the new version. */
     SAMPLING,
     /**
-     * The new version was found good: all fresh requests go to it, the old one finishes its own.
+     * The new version was found good: all new requests go to it, and the old one finishes those
+     * that it has.
      */
     SWITCHING,
-    /** The new version was found bad: it gets nothing; the result is not recorded yet. */
+    /** The new version was found bad: it gets no requests; the result is not recorded yet. */
     HALTED,
     /** The result is recorded: the new version failed. */
     ROLLED_BACK,
@@ -37,7 +38,7 @@
     COMPLETED;
 
     /**
-     * Tells whether the result is recorded.
+     * Returns whether the result is recorded.
      *
      * @return true for {@link #ROLLED_BACK} and {@link #COMPLETED}
      */
@@ -59,13 +60,13 @@
     }
 
     /**
-     * Returns the later of two phases. Of two final ones the first stays: the record decides, and
-     * the platform writes it once.
+     * Returns the later of two phases. Of two final phases this one is kept: the record in the
+     * store decides, and the result is written there only once.
      *
-     * @param told a phase that another process tells
+     * @param reported the phase that another process reports
      * @return the phase to go on with
      */
-    public RolloutPhase merge(RolloutPhase told) {
-        return isFinal() || told.compareTo(this) <= 0 ? this : told;
+    public RolloutPhase merge(RolloutPhase reported) {
+        return isFinal() || reported.compareTo(this) <= 0 ? this : reported;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutStatus.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutStatus.java
@@ -16,16 +16,16 @@
 package io.trailladder.core.rollout;
 
 /**
- * What the store records of a service's roll-out.
+ * The record of a service's roll-out in the store.
  *
  * @param service the service
  * @param version the version that the recorded order names
- * @param state how far it has come, as operators read it
- * @param revision the store's revision of the record; 0 if there is none
+ * @param state the state, as operators read it
+ * @param revision the record's revision in the store; 0 if there is no record
  * @since 0.4
  */
 public record RolloutStatus(String service, String version, State state, long revision) {
-    /** What operators read. */
+    /** The states that operators read. */
     public enum State {
         /** There is no record. */
         NONE,
@@ -48,34 +48,35 @@
     }
 
     /**
-     * Tells whether the record is about an order: it was written after it and names its version.
+     * Returns whether the record belongs to an order: it was written after the order and names the
+     * same version.
      *
      * @param order the order
-     * @return false if it is about an earlier one
+     * @return false if it belongs to an earlier one
      */
     public boolean isAbout(RolloutOrder order) {
         return revision > order.revision() && version.equals(order.version());
     }
 
     /**
-     * Tells whether another record says the same.
+     * Returns whether another record is equal except for its revision.
      *
      * @param other the other record
      * @return true if they differ in their revision at most
      */
-    public boolean isAlike(RolloutStatus other) {
+    public boolean equalsIgnoringRevision(RolloutStatus other) {
         return service.equals(other.service)
                 && version.equals(other.version)
                 && state == other.state;
     }
 
     /**
-     * Returns the same record under another revision.
+     * Returns the same record with another revision.
      *
-     * @param next the revision
+     * @param next the new revision
      * @return a copy
      */
-    public RolloutStatus at(long next) {
+    public RolloutStatus withRevision(long next) {
         return new RolloutStatus(service, version, state, next);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutNews.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutUpdate.java
@@ -18,25 +18,25 @@
 import java.util.List;
 
 /**
- * What one process tells another of a roll-out.
+ * What one process reports to another about a roll-out.
  *
- * @param order the order it is about
- * @param phase how far it has come, as the sender knows
- * @param leftMillis time left until the order's deadline, in milliseconds; below 0 after it
- * @param round grows while the leader is heard; a round that stands still says that the leader is
- *     not heard any more
- * @param evidence what the sender, and those it speaks for, have seen; empty if it is told to a
- *     process that speaks for nobody
+ * @param order the order
+ * @param phase the phase that the sender knows
+ * @param remainingMillis time left until the order's deadline, in milliseconds; negative after it
+ * @param round increases as long as the leader's updates arrive; an unchanged round means that the
+ *     leader is not reachable
+ * @param evidence what the sender, and the processes it represents, have observed; empty if the
+ *     receiver represents no other process
  * @since 0.4
  */
-public record RolloutNews(
+public record RolloutUpdate(
         RolloutOrder order,
         RolloutPhase phase,
-        long leftMillis,
+        long remainingMillis,
         long round,
         List<RouteEvidence> evidence) {
-    /** Copies the evidence. */
-    public RolloutNews {
+    /** Copies the evidence into an unmodifiable list. */
+    public RolloutUpdate {
         evidence = List.copyOf(evidence);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/RouteEvidence.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/RouteEvidence.java
@@ -21,7 +21,7 @@
 import java.util.stream.Stream;
 
 /**
- * What was seen of both versions on one route at the same time.
+ * What was observed of both versions on one route at the same time.
  *
  * @param route the route's name
  * @param old answers of the versions that served before
@@ -30,9 +30,9 @@
  */
 public record RouteEvidence(String route, AnswerCount old, AnswerCount target) {
     /**
-     * Returns the sum of what was seen on the same route.
+     * Returns the sum of two observations of the same route.
      *
-     * @param other what another process saw
+     * @param other what another process observed
      * @return the sum
      */
     public RouteEvidence plus(RouteEvidence other) {
@@ -40,11 +40,11 @@
     }
 
     /**
-     * Returns the evidence with one more answer.
+     * Returns this evidence with one more answer.
      *
      * @param isTarget true if the version that the order names gave it
-     * @param isBad true if it failed or came several times later than usual
-     * @param isSlow true if it came clearly later than usual
+     * @param isBad true if it failed or was several times slower than usual
+     * @param isSlow true if it was clearly slower than usual
      * @return the new evidence
      */
     public RouteEvidence with(boolean isTarget, boolean isBad, boolean isSlow) {
@@ -54,10 +54,10 @@
     }
 
     /**
-     * Adds evidence up by route.
+     * Sums evidence by route.
      *
      * @param parts evidence of several processes
-     * @return one entry a route
+     * @return one element per route
      */
     public static List<RouteEvidence> sum(Stream<RouteEvidence> parts) {
         Map<String, RouteEvidence> sum = new TreeMap<>();
@@ -66,11 +66,11 @@
     }
 
     /**
-     * Tells whether evidence that another process tells can be true.
+     * Returns whether evidence that another process reports is plausible.
      *
-     * @return false if a count is not
+     * @return false if one of the counts is not
      */
-    public boolean isSound() {
-        return old.isSound() && target.isSound();
+    public boolean isValid() {
+        return old.isValid() && target.isValid();
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/VersionGate.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/VersionGate.java
@@ -23,26 +23,27 @@
 import java.util.Optional;
 
 /**
- * Decides which upstreams of a service a request may go to, by their versions.
+ * Selects the upstreams of a service that a request may go to, by their versions.
  *
  * <p>Without a roll-out every version serves. A version that appears beside others before an order
- * names it is left alone for {@link #HELD_MILLIS}, because the order may be on its way; after that
- * it is taken for an ordinary replacement.
+ * names it gets no requests for {@link #UNORDERED_VERSION_DELAY_MILLIS}, because the order may not
+ * have arrived yet; after that it is treated as an ordinary replacement.
  *
  * @since 0.4
  */
 public final class VersionGate {
     /**
-     * How long a version that no order names waits, in milliseconds: orders are written before
-     * their upstreams start, and reach every process that hears a hub within a second.
+     * Time for which a version that no order names gets no requests, in milliseconds. Orders are
+     * written before their upstreams start, and reach every process that receives a hub's digests
+     * within a second.
      */
-    static final long HELD_MILLIS = 2_500;
+    static final long UNORDERED_VERSION_DELAY_MILLIS = 2_500;
 
     private final Map<String, Rollout> rollouts = new HashMap<>();
-    private final Map<String, Map<String, Long>> seenMillis = new HashMap<>();
+    private final Map<String, Map<String, Long>> servesFromMillis = new HashMap<>();
 
     /**
-     * Has a roll-out decide about its service. It replaces an earlier one.
+     * Starts a roll-out, which replaces an earlier one of the same service.
      *
      * @param rollout the roll-out
      */
@@ -51,7 +52,7 @@
     }
 
     /**
-     * Forgets the roll-out of a service.
+     * Removes the roll-out of a service.
      *
      * @param service the service
      */
@@ -63,7 +64,7 @@
      * Returns the roll-out of a service.
      *
      * @param service the service
-     * @return the latest one, ended or not
+     * @return the latest roll-out, ended or not; empty if there is none
      */
     public Optional<Rollout> rollout(String service) {
         return Optional.ofNullable(rollouts.get(service));
@@ -72,7 +73,7 @@
     /**
      * Returns all roll-outs.
      *
-     * @return one a service, ended ones too
+     * @return one per service, including those that ended
      */
     public Collection<Rollout> rollouts() {
         return rollouts.values();
@@ -82,10 +83,10 @@
      * Returns the upstreams that a request may go to.
      *
      * @param service the service
-     * @param serving its upstreams that take new work
-     * @param first false for a request that an upstream has failed before
-     * @param nowMillis the time
-     * @return some of them
+     * @param serving its upstreams that accept new requests
+     * @param first false for a request that has already failed at an upstream
+     * @param nowMillis the current time, in milliseconds
+     * @return some of the upstreams
      */
     public List<Upstream> admitted(
             String service, List<Upstream> serving, boolean first, long nowMillis) {
@@ -94,32 +95,36 @@
             return rollout.admitted(serving, first, nowMillis);
         }
         if (isOneVersion(serving)) {
-            note(service, serving, nowMillis);
+            recordVersions(service, serving, nowMillis);
             return serving;
         }
-        Map<String, Long> seen = note(service, serving, nowMillis);
-        List<Upstream> known =
+        Map<String, Long> servesFrom = recordVersions(service, serving, nowMillis);
+        List<Upstream> admitted =
                 serving.stream()
-                        .filter(upstream -> nowMillis >= seen.get(upstream.version()))
+                        .filter(upstream -> nowMillis >= servesFrom.get(upstream.version()))
                         .toList();
-        return known.isEmpty() ? serving : known;
+        return admitted.isEmpty() ? serving : admitted;
     }
 
-    /** Notes from when each version serves: those of the first list at once, others later. */
-    private Map<String, Long> note(String service, List<Upstream> serving, long nowMillis) {
-        Map<String, Long> seen = seenMillis.get(service);
-        long from = seen == null ? nowMillis : nowMillis + HELD_MILLIS;
-        if (seen == null) {
+    /**
+     * Records from when each version serves: versions of the first list at once, later ones after a
+     * delay.
+     */
+    private Map<String, Long> recordVersions(
+            String service, List<Upstream> serving, long nowMillis) {
+        Map<String, Long> servesFrom = servesFromMillis.get(service);
+        long from = servesFrom == null ? nowMillis : nowMillis + UNORDERED_VERSION_DELAY_MILLIS;
+        if (servesFrom == null) {
             if (serving.isEmpty()) {
                 return Map.of();
             }
-            seen = new HashMap<>();
-            seenMillis.put(service, seen);
+            servesFrom = new HashMap<>();
+            servesFromMillis.put(service, servesFrom);
         }
         for (Upstream upstream : serving) {
-            seen.putIfAbsent(upstream.version(), from);
+            servesFrom.putIfAbsent(upstream.version(), from);
         }
-        return seen;
+        return servesFrom;
     }
 
     private static boolean isOneVersion(List<Upstream> serving) {
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/package-info.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/package-info.java
@@ -14,7 +14,7 @@
  * limitations under the License.
  */
 /**
- * Moves a service's traffic to a new version of its upstreams, or back, from what is observed of
+ * Moves a service's traffic to a new version of its upstreams, or back, according to the answers of
  * both versions.
  */
 package io.trailladder.core.rollout;
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/PromptHomes.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/PromptHomes.java
@@ -46,7 +46,7 @@
      * shared part for itself, and finds it again without a way to another one.
      */
     static PromptHomes of(Prompt prompt, List<Upstream> serving, Topology topology, String region) {
-        String subject = prompt.subject();
+        String subject = prompt.sharedBlockId();
         if (subject.isEmpty()) {
             return NONE;
         }
--- a/trailladder-core/src/test/java/io/trailladder/core/crash/CrashLedgerTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/crash/CrashLedgerTest.java
@@ -24,7 +24,7 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** What a process remembers of requests under which upstreams ended. */
+/** Which requests a process refuses after upstreams ended under them. */
 class CrashLedgerTest {
     private static final RequestFingerprint BAD = new RequestFingerprint(1);
     private static final RequestFingerprint OTHER = new RequestFingerprint(2);
@@ -48,7 +48,7 @@
     }
 
     @Example
-    void thirdEndHasItRefused() {
+    void requestIsRefusedAfterThreeEnds() {
         end(BAD, 1, 100);
         end(BAD, 2, 100);
         assertVerdict(CrashVerdict.SERVED, BAD);
@@ -58,7 +58,7 @@
     }
 
     @Example
-    void oneEndCountsOnceHoweverManyTriesItHad() {
+    void endIsCountedOnceForSeveralAttempts() {
         for (int i = 0; i < 5; i++) {
             end(BAD, 1, 100);
         }
@@ -66,7 +66,7 @@
     }
 
     @Example
-    void upstreamThatIsBackUnderItsNameAndEndsAgainCountsAgain() {
+    void restartedUpstreamWithUnchangedIncarnationCountsAgain() {
         for (int i = 0; i < 3; i++) {
             end(BAD, 1, 100);
             now += 500;
@@ -75,13 +75,13 @@
     }
 
     @Example
-    void livesOfAnUpstreamHaveNamesOfTheirOwn() {
-        assertFalse(UpstreamEnd.nameOf("w", 0) == UpstreamEnd.nameOf("w", 1));
-        assertFalse(UpstreamEnd.nameOf("w", 0) == UpstreamEnd.nameOf("v", 0));
+    void incarnationsOfAnUpstreamDiffer() {
+        assertFalse(UpstreamEnd.incarnationOf("w", 0) == UpstreamEnd.incarnationOf("w", 1));
+        assertFalse(UpstreamEnd.incarnationOf("w", 0) == UpstreamEnd.incarnationOf("v", 0));
     }
 
     @Example
-    void wholeRunClearsWhatWasBefore() {
+    void completeRunClearsEarlierEnds() {
         endThree(BAD, 100);
         assertTrue(ledger.cleared(BAD, now));
         assertVerdict(CrashVerdict.SERVED, BAD);
@@ -94,17 +94,23 @@
     }
 
     @Example
-    void endsBeforeAWholeRunAreNotBroughtBackByAPeer() {
+    void peerReportDoesNotRestoreClearedEnds() {
         endThree(BAD, 100);
-        List<CrashReport> told = ledger.suspected();
+        List<CrashReport> reports = ledger.suspected();
         ledger.cleared(BAD, now);
         now += 50;
-        for (CrashReport report : told) {
+        for (CrashReport report : reports) {
             List<UpstreamEnd> later =
                     report.ends().stream()
-                            .map(e -> new UpstreamEnd(e.upstream(), e.repeat(), now, e.ranMillis()))
+                            .map(
+                                    e ->
+                                            new UpstreamEnd(
+                                                    e.incarnation(),
+                                                    e.earlierEnds(),
+                                                    now,
+                                                    e.ranMillis()))
                             .toList();
-            ledger.told("p", new CrashReport(BAD, CrashReport.NEVER, later), now);
+            ledger.received("p", new CrashReport(BAD, CrashReport.NEVER, later), now);
         }
         assertVerdict(CrashVerdict.SERVED, BAD);
     }
@@ -112,21 +118,21 @@
     @Example
     void upstreamsThatAreStillListedDidNotEnd() {
         endThree(BAD, 100);
-        now += CrashLedger.LISTED_MILLIS;
-        ledger.look(Set.of(1L), 0, now);
+        now += CrashLedger.MAX_LISTED_MILLIS;
+        ledger.cleanUp(Set.of(1L), 0, now);
         assertVerdict(CrashVerdict.SERVED, BAD);
     }
 
     @Example
-    void listThatIsNotSoundLongEnoughProvesNothing() {
+    void listThatWasNotValidLongEnoughDismissesNothing() {
         endThree(BAD, 100);
-        now += CrashLedger.LISTED_MILLIS;
-        ledger.look(Set.of(1L, 2L, 3L), now - CrashLedger.LISTED_MILLIS + 1, now);
+        now += CrashLedger.MAX_LISTED_MILLIS;
+        ledger.cleanUp(Set.of(1L, 2L, 3L), now - CrashLedger.MAX_LISTED_MILLIS + 1, now);
         assertVerdict(CrashVerdict.REFUSED, BAD);
     }
 
     @Example
-    void oneThatStoodBesideALikelierOneIsServed() {
+    void requestExplainedByALikelierOneIsServed() {
         end(OTHER, 9, 100);
         endThree(BAD, 100);
         for (int upstream = 1; upstream <= 3; upstream++) {
@@ -137,7 +143,7 @@
     }
 
     @Example
-    void ofTwoAlikeTheOneThatRanShorterIsRefused() {
+    void ofTwoWithEqualEndsTheShorterRunningOneIsRefused() {
         endThree(BAD, 100);
         for (int upstream = 1; upstream <= 3; upstream++) {
             ledger.ended(OTHER, upstream, now - 900, now);
@@ -147,7 +153,7 @@
     }
 
     @Example
-    void nextEndSetsThemApartWhereTheWrongOneWasChosen() {
+    void nextEndCorrectsAWrongAttribution() {
         endThree(OTHER, 50);
         for (int upstream = 1; upstream <= 3; upstream++) {
             ledger.ended(BAD, upstream, now - 900, now);
@@ -159,7 +165,7 @@
     }
 
     @Example
-    void fourEndsHaveItRefusedWhateverStandsBeside() {
+    void requestIsRefusedAfterFourEndsDespiteALikelierOne() {
         for (int upstream = 1; upstream <= 5; upstream++) {
             end(OTHER, upstream, 10);
             if (upstream <= 4) {
@@ -170,49 +176,49 @@
     }
 
     @Example
-    void afterARestOneProcessTriesItOnceMore() {
+    void refusedRequestIsRetriedOnceAfterTheDelay() {
         endThree(BAD, 100);
-        now += CrashLedger.REST_MILLIS;
+        now += CrashLedger.RETRY_DELAY_MILLIS;
         assertVerdict(CrashVerdict.TRIED_AGAIN, BAD);
-        ledger.triedAgain(BAD);
+        ledger.retried(BAD);
         assertVerdict(CrashVerdict.REFUSED, BAD);
     }
 
     @Example
-    void processThatOnlyHeardOfTheEndsDoesNotTry() {
+    void processThatOnlyReceivedReportsDoesNotRetry() {
         endThree(BAD, 100);
         CrashLedger peer = new CrashLedger();
-        ledger.suspected().forEach(report -> peer.told("p", report, now));
-        now += CrashLedger.REST_MILLIS;
+        ledger.suspected().forEach(report -> peer.received("p", report, now));
+        now += CrashLedger.RETRY_DELAY_MILLIS;
         assertEquals(CrashVerdict.REFUSED, peer.verdict(BAD, now));
     }
 
     @Example
-    void requestsThatEverComeAnewTakeNoMoreRoom() {
+    void numberOfRememberedRequestsIsBounded() {
         endThree(BAD, 100);
-        for (int i = 0; i < 3 * CrashLedger.MOST_REQUESTS; i++) {
+        for (int i = 0; i < 3 * CrashLedger.MAX_REQUESTS; i++) {
             end(new RequestFingerprint(100 + i), 7_000 + i, 10);
         }
-        assertEquals(CrashLedger.MOST_REQUESTS, ledger.size());
+        assertEquals(CrashLedger.MAX_REQUESTS, ledger.size());
         assertVerdict(CrashVerdict.REFUSED, BAD);
     }
 
     @Example
-    void whatIsOldIsForgotten() {
+    void oldRequestsAreRemoved() {
         end(OTHER, 1, 100);
         endThree(BAD, 100);
-        now += CrashLedger.KEPT_MILLIS + 1;
-        ledger.look(Set.of(), now, now);
+        now += CrashLedger.RETENTION_MILLIS + 1;
+        ledger.cleanUp(Set.of(), now, now);
         assertEquals(1, ledger.size());
         assertTrue(ledger.hasSuspects());
-        now += CrashLedger.REFUSED_KEPT_MILLIS + 1;
-        ledger.look(Set.of(), now, now);
+        now += CrashLedger.REFUSED_RETENTION_MILLIS + 1;
+        ledger.cleanUp(Set.of(), now, now);
         assertEquals(0, ledger.size());
         assertFalse(ledger.hasSuspects());
     }
 
     @Example
-    void fingerprintTellsCallersTargetsAndBodiesApart() {
+    void fingerprintDependsOnCallerTargetAndBody() {
         byte[] body = "body".getBytes(StandardCharsets.UTF_8);
         RequestFingerprint one = RequestFingerprint.of("k", "POST", "h/x", body);
         assertEquals(one, RequestFingerprint.of("k", "POST", "h/x", body.clone()));
@@ -221,16 +227,19 @@
         assertFalse(one.equals(RequestFingerprint.of("k", "POST", "h/x", new byte[0])));
     }
 
-    /** A connection may break at an upstream that lives; what it does later shows it. */
+    /**
+     * Guards against counting broken connections as ends: an upstream that is seen running later
+     * has not ended.
+     */
     @Example
-    void endsOfAnUpstreamThatLivedLaterDoNotCount() {
+    void endsOfAnUpstreamObservedAliveLaterDoNotCount() {
         endThree(BAD, 100);
         assertVerdict(CrashVerdict.REFUSED, BAD);
-        ledger.livedAt(2, now);
+        ledger.observedAlive(2, now);
         assertVerdict(CrashVerdict.SERVED, BAD);
         end(BAD, 2, 100);
         assertVerdict(CrashVerdict.REFUSED, BAD);
-        ledger.livedAt(2, now - 150);
+        ledger.observedAlive(2, now - 150);
         assertVerdict(CrashVerdict.REFUSED, BAD);
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/policy/ServingPolicyTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/policy/ServingPolicyTest.java
@@ -22,7 +22,7 @@
 import java.util.OptionalInt;
 import net.jqwik.api.Example;
 
-/** Routes are found by host and longest prefix, organisations by key. */
+/** Routes are looked up by host and longest prefix, organisations by key. */
 class ServingPolicyTest {
     private static Route route(String name, String host, String prefix, ServiceShare... shares) {
         return new Route(
--- a/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutModelTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutModelTest.java
@@ -19,8 +19,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.trailladder.core.rollout.RolloutLead.Fleet;
-import io.trailladder.core.rollout.RolloutLead.Step;
+import io.trailladder.core.rollout.RolloutController.Fleet;
+import io.trailladder.core.rollout.RolloutController.Step;
 import io.trailladder.core.rollout.RolloutStatus.State;
 import io.trailladder.core.upstream.Upstream;
 import java.util.ArrayDeque;
@@ -32,53 +32,58 @@
 import net.jqwik.api.Example;
 
 /**
- * All interleavings of a small case: two processes, one of which leads until its lease ends, one
- * order, and a store that loses calls and answers. Each state is built anew from what it consists
- * of, so that the real deciders run and no state is met twice.
+ * Checks all interleavings of a small case: two processes, one of which leads until its lease ends,
+ * one order, and a store that loses calls and answers. Each state is rebuilt from its values, so
+ * that the real classes run and no state is visited twice.
  */
 class RolloutModelTest {
-    private static final int DURATION = 3_000;
+    private static final int DURATION_MILLIS = 3_000;
 
-    /** Times that count: samples, the last second, the record, the deadline, and long after it. */
-    private static final int[] TIMES = {0, 2_100, 2_700, 3_200, 8_300};
+    /**
+     * The relevant times: sampling, the last second, the record, the deadline, and long after it.
+     */
+    private static final int[] TIMES_MILLIS = {0, 2_100, 2_700, 3_200, 8_300};
 
-    /** How long a leader that cannot reach the store goes on leading, in milliseconds. */
-    private static final int LEASE = 3_000;
+    /** Time for which a leader that cannot reach the store continues to lead, in milliseconds. */
+    private static final int LEASE_MILLIS = 3_000;
 
-    private static final RolloutOrder ORDER = new RolloutOrder("s", "v2", DURATION, 1);
+    private static final RolloutOrder ORDER = new RolloutOrder("s", "v2", DURATION_MILLIS, 1);
     private static final Upstream OLD = upstream("a", "v1");
     private static final Upstream NEW = upstream("b", "v2");
     private static final Fleet FLEET = new Fleet(1, 1, 0);
     private static final List<RouteEvidence> GOOD = evidence(0);
     private static final List<RouteEvidence> BAD = evidence(40);
-    private static final int MOST_ROUNDS_APART = 2;
-    private static final int NEVER = -9_000;
+    private static final int MAX_ROUNDS_APART = 2;
+    private static final int NEVER_MILLIS = -9_000;
 
-    /** What becomes of a write: done, done but its answer lost, or lost. */
+    /** The result of a write: done, done with its answer lost, or lost. */
     private enum Write {
         DONE,
         ANSWER_LOST,
         LOST
     }
 
-    /** One process: its view and the record as it last read it. */
+    /** One process: its view, and the record as it last read it. */
     private record Member(
             RolloutPhase phase,
             boolean deadlineKnown,
-            int begun,
+            int knownSince,
             int round,
-            int heard,
+            int lastRoundAt,
             State read,
             int readRevision) {}
 
-    /** The record in the store, when it got its end, and how many ends it got. */
+    /** The record in the store, and when it got its final state. */
     private record Store(State state, int revision, int endedAt) {}
 
-    /** All there is: who leads and until when, the time as an index, lives lost, both processes. */
+    /**
+     * The whole state: the time as an index, the leader and the end of its lease, the number of
+     * restarts, the store and both processes.
+     */
     private record World(
             int time, int leader, int leaseEnd, int restarts, Store store, Member a, Member b) {
         int now() {
-            return TIMES[time];
+            return TIMES_MILLIS[time];
         }
 
         Member process(int index) {
@@ -88,38 +93,38 @@
         World with(int index, Member process) {
             Member first = index == 0 ? process : a;
             Member second = index == 0 ? b : process;
-            int least = Math.max(1, Math.min(first.round(), second.round())) - 1;
+            int lowestRound = Math.max(1, Math.min(first.round(), second.round())) - 1;
             return new World(
                     time,
                     leader,
                     leaseEnd,
                     restarts,
                     store,
-                    near(first, least),
-                    near(second, least));
+                    withSmallRound(first, lowestRound),
+                    withSmallRound(second, lowestRound));
         }
 
         World with(Store next) {
             return new World(time, leader, leaseEnd, restarts, next, a, b);
         }
 
-        /** Only who is ahead counts, so rounds are kept small. */
-        private static Member near(Member process, int least) {
-            int round = Math.min(MOST_ROUNDS_APART, process.round() - least);
+        /** Keeps rounds small: only which process is ahead matters. */
+        private static Member withSmallRound(Member process, int lowestRound) {
+            int round = Math.min(MAX_ROUNDS_APART, process.round() - lowestRound);
             return new Member(
                     process.phase(),
                     process.deadlineKnown(),
-                    process.begun(),
+                    process.knownSince(),
                     round,
-                    process.heard(),
+                    process.lastRoundAt(),
                     process.read(),
                     process.readRevision());
         }
     }
 
     private final Deque<World> open = new ArrayDeque<>();
-    private final Set<World> met = new HashSet<>();
-    private final Set<State> ends = new HashSet<>();
+    private final Set<World> visited = new HashSet<>();
+    private final Set<State> reachedStates = new HashSet<>();
 
     private static Upstream upstream(String id, String version) {
         return new Upstream(id, "s", "z", "h:1", 8, false, false, 0, version, 0, 0);
@@ -130,31 +135,34 @@
     }
 
     @Example
-    void noInterleavingBreaksTheRules() {
-        Member fresh = new Member(RolloutPhase.SAMPLING, true, 0, 0, NEVER, State.NONE, 0);
-        meet(new World(0, 0, LEASE, 0, new Store(State.NONE, 0, -1), fresh, fresh));
+    void noInterleavingBreaksTheInvariants() {
+        Member fresh = new Member(RolloutPhase.SAMPLING, true, 0, 0, NEVER_MILLIS, State.NONE, 0);
+        visit(new World(0, 0, LEASE_MILLIS, 0, new Store(State.NONE, 0, -1), fresh, fresh));
         while (!open.isEmpty()) {
             World world = open.remove();
-            next(world).forEach(this::meet);
+            next(world).forEach(this::visit);
         }
-        System.out.println(met.size() + " states of two processes, ends " + ends);
-        assertTrue(ends.containsAll(Set.of(State.COMPLETED, State.ROLLED_BACK)), ends.toString());
+        System.out.println(
+                visited.size() + " states of two processes, recorded states " + reachedStates);
+        assertTrue(
+                reachedStates.containsAll(Set.of(State.COMPLETED, State.ROLLED_BACK)),
+                reachedStates.toString());
     }
 
-    private void meet(World reached) {
+    private void visit(World reached) {
         World world = canonical(reached);
-        if (met.add(world)) {
+        if (visited.add(world)) {
             check(world);
             open.add(world);
         }
     }
 
-    /** Leaves out what can no longer make a difference, so that fewer states differ. */
+    /** Removes what can no longer make a difference, so that fewer states differ. */
     private static World canonical(World world) {
         return new World(
                 world.time(),
                 world.now() < world.leaseEnd() ? world.leader() : 0,
-                world.now() < world.leaseEnd() ? world.leaseEnd() : NEVER,
+                world.now() < world.leaseEnd() ? world.leaseEnd() : NEVER_MILLIS,
                 world.restarts(),
                 world.store(),
                 canonical(world.a(), world.now()),
@@ -162,39 +170,44 @@
     }
 
     private static Member canonical(Member process, int now) {
-        boolean heardLately = now - process.heard() <= Rollout.HEARD_MILLIS;
+        boolean leaderReachable = now - process.lastRoundAt() <= Rollout.LEADER_TIMEOUT_MILLIS;
         return new Member(
                 process.phase(),
                 process.deadlineKnown(),
-                process.deadlineKnown() ? 0 : process.begun(),
+                process.deadlineKnown() ? 0 : process.knownSince(),
                 process.round(),
-                heardLately ? process.heard() : NEVER,
+                leaderReachable ? process.lastRoundAt() : NEVER_MILLIS,
                 process.read(),
                 process.readRevision());
     }
 
-    /** What must hold in each state. */
+    /** Checks the invariants of each state. */
     private void check(World world) {
-        ends.add(world.store().state());
+        reachedStates.add(world.store().state());
         for (int index = 0; index < 2; index++) {
             Rollout view = view(world.process(index));
             boolean toNew = view.admitted(List.of(OLD, NEW), true, world.now()).contains(NEW);
-            boolean leftLong =
+            boolean rolledBackLongAgo =
                     world.store().state() == State.ROLLED_BACK
-                            && world.now() - world.store().endedAt() > LEASE + Rollout.HEARD_MILLIS;
-            assertFalse(toNew && leftLong, () -> "sent long after the roll-back: " + world);
-            boolean readBack = world.process(index).read() == State.ROLLED_BACK;
-            assertFalse(toNew && readBack, () -> "sent though it knows better: " + world);
+                            && world.now() - world.store().endedAt()
+                                    > LEASE_MILLIS + Rollout.LEADER_TIMEOUT_MILLIS;
+            assertFalse(
+                    toNew && rolledBackLongAgo,
+                    () -> "new version admitted long after the roll-back: " + world);
+            boolean rollbackRead = world.process(index).read() == State.ROLLED_BACK;
+            assertFalse(
+                    toNew && rollbackRead,
+                    () -> "new version admitted although the roll-back was read: " + world);
         }
     }
 
     private static List<World> next(World world) {
         List<World> next = new ArrayList<>();
-        if (world.time() + 1 < TIMES.length) {
+        if (world.time() + 1 < TIMES_MILLIS.length) {
             next.add(passTime(world));
         }
         for (int index = 0; index < 2; index++) {
-            next.add(tell(world, index));
+            next.add(sendUpdate(world, index));
             next.add(read(world, index));
             if (world.restarts() == 0) {
                 next.add(restart(world, index));
@@ -223,18 +236,19 @@
         return new World(
                 world.time(),
                 index,
-                world.now() + LEASE,
+                world.now() + LEASE_MILLIS,
                 world.restarts(),
                 world.store(),
                 world.a(),
                 world.b());
     }
 
-    /** A life that starts anew has read the store and no peer. */
+    /** Restarts a process, which then has read the store and received no update. */
     private static World restart(World world, int index) {
-        Member life =
-                new Member(RolloutPhase.SAMPLING, false, world.now(), 0, NEVER, State.NONE, 0);
-        World lost =
+        Member restarted =
+                new Member(
+                        RolloutPhase.SAMPLING, false, world.now(), 0, NEVER_MILLIS, State.NONE, 0);
+        World counted =
                 new World(
                         world.time(),
                         world.leader(),
@@ -243,24 +257,24 @@
                         world.store(),
                         world.a(),
                         world.b());
-        return read(lost.with(index, life), index);
+        return read(counted.with(index, restarted), index);
     }
 
-    private static World tell(World world, int from) {
-        Member teller = world.process(from);
-        Member told = world.process(1 - from);
-        RolloutNews news = view(teller).news(List.of(), world.now());
-        Rollout view = view(told);
-        view.heard(news, world.now());
-        int heard = news.round() > told.round() ? world.now() : told.heard();
-        return world.with(1 - from, process(view, told, heard, world.now()));
+    private static World sendUpdate(World world, int from) {
+        Member sender = world.process(from);
+        Member receiver = world.process(1 - from);
+        RolloutUpdate update = view(sender).update(List.of(), world.now());
+        Rollout view = view(receiver);
+        view.received(update, world.now());
+        int lastRoundAt = update.round() > receiver.round() ? world.now() : receiver.lastRoundAt();
+        return world.with(1 - from, process(view, receiver, lastRoundAt, world.now()));
     }
 
     private static World read(World world, int index) {
         Member reader = world.process(index);
         Rollout view = view(reader);
         view.recorded(status(world.store()), world.now());
-        Member seen = process(view, reader, reader.heard(), world.now());
+        Member seen = process(view, reader, reader.lastRoundAt(), world.now());
         return world.with(index, withRead(seen, world.store()));
     }
 
@@ -279,13 +293,13 @@
         if (view.phase().isFinal()) {
             return world;
         }
-        Step step = new RolloutLead(view).next(evidence, read, FLEET, world.now());
+        Step step = new RolloutController(view).next(evidence, read, FLEET, world.now());
         view.lead(step.phase(), world.now());
         World led = world.with(index, process(view, leading, world.now(), world.now()));
         return step.record().map(state -> write(led, index, state, write)).orElse(led);
     }
 
-    /** Writes under the condition of the revision that the process has read. */
+    /** Writes the record if its revision is the one that the process has read. */
     private static World write(World world, int index, State state, Write write) {
         Member writer = world.process(index);
         Store before = world.store();
@@ -293,8 +307,8 @@
             return world;
         }
         checkChange(world, writer, before.state(), state);
-        boolean ends = state != State.IN_PROGRESS;
-        Store after = new Store(state, before.revision() + 2, ends ? world.now() : -1);
+        boolean isFinal = state != State.IN_PROGRESS;
+        Store after = new Store(state, before.revision() + 2, isFinal ? world.now() : -1);
         World written = world.with(after);
         return write == Write.DONE ? read(written, index) : written;
     }
@@ -302,12 +316,12 @@
     private static void checkChange(World world, Member writer, State before, State after) {
         assertFalse(
                 before == State.COMPLETED || before == State.ROLLED_BACK,
-                () -> after + " after an end: " + world);
+                () -> after + " after a final state: " + world);
         if (after == State.COMPLETED) {
             assertTrue(writer.deadlineKnown(), () -> "completed without a deadline: " + world);
             assertTrue(
-                    world.now() >= DURATION - RolloutLead.LAST_MILLIS,
-                    () -> "completed before it is paid for: " + world);
+                    world.now() >= DURATION_MILLIS - RolloutController.COMPLETION_LEAD_MILLIS,
+                    () -> "completed before the bound allows it: " + world);
         }
     }
 
@@ -321,42 +335,42 @@
         return new Member(
                 process.phase(),
                 process.deadlineKnown(),
-                process.begun(),
+                process.knownSince(),
                 process.round(),
-                process.heard(),
+                process.lastRoundAt(),
                 store.state(),
                 store.revision());
     }
 
-    /** Builds the view of a process anew; whoever knows the deadline knows the true one. */
+    /** Rebuilds the view of a process. A process that knows the deadline knows the true one. */
     private static Rollout view(Member process) {
         ExposureLedger ledger = new ExposureLedger(1, 0.9);
         Rollout view =
                 process.deadlineKnown()
                         ? new Rollout(ORDER, ledger, 0)
-                        : Rollout.ofUnknownAge(ORDER, ledger, process.begun());
-        RolloutNews past =
-                new RolloutNews(
+                        : Rollout.ofUnknownAge(ORDER, ledger, process.knownSince());
+        RolloutUpdate past =
+                new RolloutUpdate(
                         ORDER, process.phase(), Long.MAX_VALUE / 4, process.round(), List.of());
-        view.heard(past, process.heard());
+        view.received(past, process.lastRoundAt());
         return view;
     }
 
-    private static Member process(Rollout view, Member before, int heard, int now) {
+    private static Member process(Rollout view, Member before, int lastRoundAt, int now) {
         return new Member(
                 view.phase(),
                 view.isDeadlineKnown(),
-                before.begun(),
-                (int) view.news(List.of(), now).round(),
-                heard,
+                before.knownSince(),
+                (int) view.update(List.of(), now).round(),
+                lastRoundAt,
                 before.read(),
                 before.readRevision());
     }
 
     @Example
-    void viewsBuiltAnewAreTheSame() {
+    void rebuiltViewEqualsTheOriginal() {
         Member process =
                 new Member(RolloutPhase.SWITCHING, false, 100, 2, 900, State.IN_PROGRESS, 2);
-        assertEquals(process, process(view(process), process, process.heard(), 1_000));
+        assertEquals(process, process(view(process), process, process.lastRoundAt(), 1_000));
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/TwoRegions.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/TwoRegions.java
@@ -255,7 +255,7 @@
     }
 
     private double read(Engine engine, Upstream upstream, ServingRequest request, double place) {
-        String subject = request.prompt().subject();
+        String subject = request.prompt().sharedBlockId();
         int tokens = OWN_TOKENS;
         if (engine.held.add(subject)) {
             tokens += SHARED_TOKENS;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AnswerPassing.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AnswerPassing.java
@@ -105,7 +105,7 @@
             passBytes(splitter.rest());
             begin();
             exchange.end();
-        } else if (history.hasAnswerBegun()) {
+        } else if (history.hasAnswerStarted()) {
             exchange.abort();
         } else {
             respondWhole();
@@ -139,7 +139,7 @@
         for (StreamEvent event : events) {
             passBytes(event.bytes());
             if (!event.id().isEmpty()) {
-                history.eventPassed(event.id());
+                history.eventForwarded(event.id());
             }
         }
         return events.size();
@@ -153,8 +153,8 @@
     }
 
     private void begin() {
-        if (!history.hasAnswerBegun()) {
-            history.answerBegun();
+        if (!history.hasAnswerStarted()) {
+            history.answerStarted();
             exchange.begin(status, headers.endToEnd(), -1);
             onFirstByte.run();
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPart.java
@@ -94,7 +94,7 @@
         Map<RequestFingerprint, CrashReport> told = new LinkedHashMap<>();
         if (!crashes.ledger().isEmpty()) {
             crashes.ledger()
-                    .news(nowMillis - NEWS_MILLIS, source -> isTold(scope, peers, source))
+                    .changedSince(nowMillis - NEWS_MILLIS, source -> isTold(scope, peers, source))
                     .forEach(report -> told.put(report.request(), report));
             List<CrashReport> suspected = crashes.ledger().suspected();
             if (nowMillis < allUntilMillis) {
@@ -122,8 +122,8 @@
 
     private static boolean isTold(DigestScope scope, List<String> peers, String source) {
         return switch (scope) {
-            case OWN -> source.equals(CrashHistory.OWN);
-            case GROUP -> source.equals(CrashHistory.OWN) || peers.contains(source);
+            case OWN -> source.equals(CrashHistory.OWN_SOURCE);
+            case GROUP -> source.equals(CrashHistory.OWN_SOURCE) || peers.contains(source);
             case REST -> true;
         };
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
@@ -79,7 +79,7 @@
         this.units = units;
         this.onEnd = onEnd;
         if (!lastEventId.isEmpty()) {
-            history.eventPassed(lastEventId);
+            history.eventForwarded(lastEventId);
         }
         this.calls = new AttemptCalls(context, exchange, request);
         this.answer =
@@ -175,7 +175,7 @@
 
     @Override
     public void ended(Attempt sender) {
-        if (answer.status() >= SERVER_ERRORS && !history.hasAnswerBegun()) {
+        if (answer.status() >= SERVER_ERRORS && !history.hasAnswerStarted()) {
             attemptFailed(sender, AttemptFailure.SERVER_ERROR);
             return;
         }
@@ -204,7 +204,7 @@
             context.loop().schedule(held, this::goOn);
         } else if (choice.isEmpty()) {
             turnAwayWithoutChoice(now);
-        } else if (!history.hasAnswerBegun()
+        } else if (!history.hasAnswerStarted()
                 && choice.get().placeMillis() > request.deadlineMillis() - now) {
             turnAway(TurnedAway.NO_PLACE_IN_TIME, choice.get().placeMillis());
         } else {
@@ -352,7 +352,7 @@
         if (over) {
             return;
         }
-        Ending ending = RecoveryPolicy.endingInTime(history, isUnderWay());
+        Ending ending = RecoveryPolicy.endingAtDeadline(history, isUnderWay());
         Attempt last = attempt;
         if (isUnderWay()) {
             context.loads().failed(attempt.upstream().id(), context.loop().nowMillis());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SilenceWatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SilenceWatch.java
@@ -73,7 +73,7 @@
         if (attempt != watched) {
             return;
         }
-        long most = history.hasAnswerBegun() ? LONGEST_PAUSE_MILLIS : mostMillis;
+        long most = history.hasAnswerStarted() ? LONGEST_PAUSE_MILLIS : mostMillis;
         long now = context.loop().nowMillis();
         if (attempt.silentMillis() >= most
                 && RecoveryPolicy.allowsAnother(request, history, now)
