--- a/trailladder-core/src/main/java/io/trailladder/core/crash/CrashHistory.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/CrashHistory.java
@@ -46,10 +46,10 @@
         final long receivedMillis;
         boolean dismissed;
 
-        RecordedEnd(UpstreamEnd end, String source, long heardMillis) {
+        RecordedEnd(UpstreamEnd end, String source, long receivedMillis) {
             this.end = end;
             this.source = source;
-            this.receivedMillis = heardMillis;
+            this.receivedMillis = receivedMillis;
         }
     }
 
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutController.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutController.java
@@ -23,8 +23,8 @@
 import java.util.Optional;
 
 /**
- * Decides, on the leader, on the next step of a roll-out. It has no state of its own, so that
- * another leader continues from the phase that the processes report to each other and from the
+ * Decides on the next steps of a roll-out. Used on the leader only. It has no state of its own, so
+ * that another leader continues from the phase that the processes report to each other and from the
  * record in the store.
  *
  * <p>A bad version is left as soon as it is found bad. A good one is sampled until the part of the
--- a/trailladder-core/src/test/java/io/trailladder/core/crash/CrashLedgerTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/crash/CrashLedgerTest.java
@@ -228,8 +228,8 @@
     }
 
     /**
-     * Guards against counting broken connections as ends: an upstream that is seen running later
-     * has not ended.
+     * Guards against counting broken connections as ends: an upstream that is observed running
+     * later has not ended.
      */
     @Example
     void endsOfAnUpstreamObservedAliveLaterDoNotCount() {
--- a/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutModelTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutModelTest.java
@@ -274,8 +274,8 @@
         Member reader = world.process(index);
         Rollout view = view(reader);
         view.recorded(status(world.store()), world.now());
-        Member seen = process(view, reader, reader.lastRoundAt(), world.now());
-        return world.with(index, withRead(seen, world.store()));
+        Member updated = process(view, reader, reader.lastRoundAt(), world.now());
+        return world.with(index, withRead(updated, world.store()));
     }
 
     private static void steps(World world, int index, List<World> next) {
--- a/trailladder-core/src/test/java/io/trailladder/core/rollout/SimulatedRollout.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/rollout/SimulatedRollout.java
@@ -285,10 +285,10 @@
     private void send(Member process, int route, boolean first) {
         List<Upstream> candidates = process.rollout.admitted(serving, first, now);
         if (candidates.isEmpty()) {
-            long waits = process.rollout.waitMillis(now);
-            if (waits > 0) {
+            long waitMillis = process.rollout.waitMillis(now);
+            if (waitMillis > 0) {
                 delayedRequests++;
-                due.add(new Due(now + waits + STEP_MILLIS, () -> send(process, route, first)));
+                due.add(new Due(now + waitMillis + STEP_MILLIS, () -> send(process, route, first)));
             }
             return;
         }
--- a/trailladder-core/src/test/java/io/trailladder/core/rollout/VersionEvaluatorTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/rollout/VersionEvaluatorTest.java
@@ -70,11 +70,12 @@
 
     @Example
     void versionIsUndecidedWithoutAnswersOnALargeRoute() {
-        RouteEvidence seen =
+        RouteEvidence observed =
                 new RouteEvidence("a", new AnswerCount(400, 1), new AnswerCount(100, 0));
-        RouteEvidence unseen =
+        RouteEvidence tooFew =
                 new RouteEvidence("b", new AnswerCount(300, 0), new AnswerCount(2, 0));
-        assertEquals(Verdict.UNDECIDED, VersionEvaluator.evaluate(List.of(seen, unseen)).verdict());
+        assertEquals(
+                Verdict.UNDECIDED, VersionEvaluator.evaluate(List.of(observed, tooFew)).verdict());
     }
 
     @Example
