--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/Rollout.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/Rollout.java
@@ -345,7 +345,7 @@
      */
     public AnswerRating answered(Upstream upstream, AnswerObservation answer) {
         boolean isTarget = isTarget(upstream);
-        boolean warm = upstream.coldLeftMillis() <= 0;
+        boolean warm = upstream.coldRemainingMillis() <= 0;
         boolean late = warm && LatencyBaseline.isLate(slowdown(answer));
         if (!answer.complete() && !late && !answer.failed()) {
             return AnswerRating.NOT_COUNTED;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
@@ -393,7 +393,7 @@
         }
         boolean leaf = peer.isLeaf();
         digest.usage().forEach(news -> usage.merge(news.life(), news.usage(), leaf));
-        loads.peerUses(peer.name(), digest.uses());
+        loads.setPeerUses(peer.name(), digest.uses());
         limits.told(peer, digest.quotas(), now);
         parts.told(peer.name(), digest, now);
         if (!leaf && !wasHub) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
@@ -163,7 +163,7 @@
      * upstream that does not tell when it started may be a later life under the same name.
      */
     void answered(Upstream upstream, long sentMillis) {
-        if (ledger.hasSuspects() && upstream.bornMillis() > 0) {
+        if (ledger.hasSuspects() && upstream.startedMillis() > 0) {
             ledger.observedAlive(lifeOf(upstream), sentMillis);
         }
     }
@@ -180,7 +180,7 @@
     }
 
     private static long lifeOf(Upstream upstream) {
-        return UpstreamEnd.incarnationOf(upstream.id(), upstream.bornMillis());
+        return UpstreamEnd.incarnationOf(upstream.id(), upstream.startedMillis());
     }
 
     /**
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestWriter.java
@@ -190,8 +190,8 @@
                 DigestScope.REST,
                 processes,
                 keepsUsage ? histories(usage.allChangesAfter(leaf.usageTold())) : List.of(),
-                quotas.restUses(leaf.life(), nowMillis),
-                loads.restUses(leaf.name()),
+                quotas.usesWithoutLeaf(leaf.life(), nowMillis),
+                loads.usesExcept(leaf.name()),
                 sum(others, nowMillis),
                 evidence(others, nowMillis),
                 parts.sections(DigestScope.REST, Peer.names(others), nowMillis));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitExchange.java
@@ -64,12 +64,12 @@
      */
     void told(Peer peer, List<OrganisationUse> uses, long nowMillis) {
         if (peer.followed()) {
-            quotas.beginAnew(peer.life());
+            quotas.resetIncarnation(peer.life());
         }
         if (peer.isLeaf()) {
-            quotas.leafUsed(peer.life(), uses, nowMillis);
+            quotas.recordLeafUse(peer.life(), uses, nowMillis);
         } else {
-            quotas.peerUsed(peer.life(), uses, nowMillis);
+            quotas.recordPeerUse(peer.life(), uses, nowMillis);
         }
     }
 
@@ -82,9 +82,9 @@
      */
     void toldByRegion(Peer peer, List<OrganisationUse> uses, long nowMillis) {
         if (peer.followed()) {
-            quotas.beginAnew(peer.life());
+            quotas.resetIncarnation(peer.life());
         }
-        quotas.regionUsed(peer.life(), uses, nowMillis);
+        quotas.recordRegionUse(peer.life(), uses, nowMillis);
     }
 
     /**
@@ -101,10 +101,10 @@
         if (restarted && !othersKnown) {
             quotas.sharedPart(ALONE_PART, nowMillis);
         } else if (leaf && heard == 1 && sharing > 1 && changesHub(nowMillis)) {
-            quotas.othersGoOn(part, nowMillis);
+            quotas.assumeOthersContinue(part, nowMillis);
         } else {
             if (heard > 1) {
-                quotas.othersWentOn(nowMillis);
+                quotas.othersReceivedAgain(nowMillis);
             }
             quotas.sharedPart(part, nowMillis);
             remember(heard, nowMillis);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitPart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitPart.java
@@ -56,7 +56,7 @@
      */
     static LimitPart of(UpstreamLimits limits, LongSupplier nowMillis, Runnable tellSoon) {
         LimitPart part = new LimitPart(limits);
-        limits.onNews(
+        limits.onUpdate(
                 upstream -> {
                     part.learned(upstream, nowMillis.getAsLong());
                     tellSoon.run();
@@ -113,7 +113,7 @@
     public void told(String peer, DigestSection section, long nowMillis) throws IOException {
         List<LimitReport> reports =
                 LimitReports.read(section.body(), nowMillis - section.ageMillis());
-        reports.forEach(limits::told);
+        reports.forEach(limits::reportReceived);
     }
 
     @Override
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Membership.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Membership.java
@@ -295,7 +295,7 @@
 
     /** A hub must know soon that the store is lost, because its leaves rely on it. */
     private long renewMillis() {
-        boolean feeds = mesh.isHub() && mesh.size() > HubTopology.FULL_MESH_MOST;
+        boolean feeds = mesh.isHub() && mesh.size() > HubTopology.FULL_MESH_MAX_PROCESSES;
         return feeds ? HUB_RENEW_MILLIS : RENEW_MILLIS;
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
@@ -246,8 +246,8 @@
     private void take(
             RegionView view, String region, Peer peer, NodeDigest digest, long nowMillis) {
         LeavingLives.of(digest).forEach(told -> directory.leavingSeenBy(told, peer.name()));
-        digest.usage().forEach(news -> usage.mergeElsewhere(news.life(), news.usage()));
-        loads.peerUses(
+        digest.usage().forEach(news -> usage.mergeFromOtherRegion(news.life(), news.usage()));
+        loads.setPeerUses(
                 peer.name(),
                 RegionUse.spread(digest.uses(), region, directory.all(), view::regionOf));
         limits.toldByRegion(peer, digest.quotas(), nowMillis);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SoundFigures.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SoundFigures.java
@@ -37,7 +37,7 @@
             return digest;
         }
         List<ServiceDemand> demands =
-                digest.demands().stream().filter(ServiceDemand::isSound).toList();
+                digest.demands().stream().filter(ServiceDemand::isValid).toList();
         List<EngineEvidence> evidence =
                 digest.evidence().stream().filter(EngineEvidence::isSound).toList();
         int told = digest.demands().size() + digest.evidence().size();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TimePart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TimePart.java
@@ -84,15 +84,15 @@
         ByteBuffer body = ByteBuffer.wrap(section.body());
         long offset = body.getLong() - steadyMillis.getAsLong();
         TimeVote vote = new TimeVote(offset, body.getInt());
-        if (!vote.isSound()) {
+        if (!vote.isValid()) {
             throw new IOException("time of " + vote.voters() + " processes");
         }
-        agreed.told(peer, vote);
+        agreed.reported(peer, vote);
     }
 
     @Override
     public void forget(String peer) {
-        agreed.forget(peer);
+        agreed.remove(peer);
     }
 
     @Override
