--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
@@ -79,7 +79,7 @@
         this.units = units;
         this.onEnd = onEnd;
         if (!lastEventId.isEmpty()) {
-            history.eventPassed(lastEventId);
+            history.eventForwarded(lastEventId);
         }
         this.calls = new AttemptCalls(context, exchange, request);
         this.answer =
@@ -179,7 +179,7 @@
 
     @Override
     public void ended(Attempt sender) {
-        if (answer.status() >= MIN_SERVER_ERROR_STATUS && !history.hasAnswerBegun()) {
+        if (answer.status() >= MIN_SERVER_ERROR_STATUS && !history.hasAnswerStarted()) {
             attemptFailed(sender, AttemptFailure.SERVER_ERROR);
             return;
         }
@@ -208,7 +208,7 @@
             context.loop().schedule(waitMillis, this::continueAfterRollout);
         } else if (choice.isEmpty()) {
             turnAwayWithoutChoice(now);
-        } else if (!history.hasAnswerBegun()
+        } else if (!history.hasAnswerStarted()
                 && choice.get().slotWaitMillis() > request.deadlineMillis() - now) {
             turnAway(TurnedAway.NO_PLACE_IN_TIME, choice.get().slotWaitMillis());
         } else {
@@ -361,7 +361,7 @@
         if (finished) {
             return;
         }
-        Ending ending = RecoveryPolicy.endingInTime(history, isUnderWay());
+        Ending ending = RecoveryPolicy.endingAtDeadline(history, isUnderWay());
         Attempt last = attempt;
         if (isUnderWay()) {
             context.loads().failed(attempt.upstream().id(), context.loop().nowMillis());
