--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AttemptCalls.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AttemptCalls.java
@@ -82,7 +82,7 @@
                 exchange.body(),
                 request.route().repeatable() ? KEPT_MILLIS : KEPT_UNREPEATABLE_MILLIS,
                 connectMillis(left),
-                connections.mostResting(request.service(), upstream));
+                connections.maxIdle(request.service(), upstream));
     }
 
     private static long connectMillis(long leftMillis) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
@@ -49,24 +49,27 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the peers tell, and what they are told.
+ * Exchanges digests, updates and snapshots with the peers.
  *
- * <p>A leaf tells its hub its own figures and is told those of all others. Hubs tell each other
- * their own figures with those of their leaves. Where there are few processes, all are hubs.
+ * <p>A leaf sends its own figures to its hub and receives those of all others. Hubs send each other
+ * their own figures with those of their leaves. In a small cluster all processes are hubs.
  *
  * @since 0.2
  */
 public final class ClusterView implements MeshListener {
-    /** How often peers are told, in milliseconds. */
-    public static final long DIGEST_MILLIS = 200;
+    /** Interval between two digests to the peers, in milliseconds. */
+    public static final long DIGEST_INTERVAL_MILLIS = 200;
 
-    private static final long FED_MILLIS = 800;
+    /**
+     * Maximum age of the last digest of a peer that supplies policy and upstreams, in milliseconds.
+     */
+    private static final long FED_MAX_AGE_MILLIS = 800;
 
     /**
-     * Least time between two digests that are told out of turn, in milliseconds: many upstreams may
-     * leave or end at once, and a digest takes a hub some processor time.
+     * Minimum time between two digests that are sent outside the regular interval, in milliseconds:
+     * many upstreams may leave or end at once, and writing a digest costs a hub processor time.
      */
-    private static final long SOON_MILLIS = 50;
+    private static final long MIN_EXTRA_DIGEST_INTERVAL_MILLIS = 50;
 
     private final LongSupplier nowMillis;
     private final PolicyKeeper policies;
@@ -80,30 +83,30 @@
     private final DigestWriter writer;
     private final SnapshotExchange snapshots;
     private final RegionExchange regions;
-    private final LeavingNews leavingNews;
-    private final EpochNews epochNews;
+    private final LeavingUpdates leavingUpdates;
+    private final EpochUpdates epochUpdates;
     private final LinkedPeers peers;
     private Optional<RolloutExchange> rollouts = Optional.empty();
     private BooleanSupplier leads = () -> false;
     private Mesh mesh;
     private boolean draining;
-    private long soonToldMillis = -SOON_MILLIS;
-    private List<Peer> evidenceOf = List.of();
-    private boolean evidenceTold;
+    private long extraDigestMillis = -MIN_EXTRA_DIGEST_INTERVAL_MILLIS;
+    private List<Peer> evidencePeers = List.of();
+    private boolean evidenceReceived;
 
     /**
      * Creates a view without peers.
      *
-     * @param nowMillis tells the time
+     * @param nowMillis returns the current time, in milliseconds
      * @param policies the policy in force
      * @param directory the list of upstreams
      * @param store whether the store answers
      * @param quotas the organisations' limits
-     * @param loads the work under way at upstreams
-     * @param usage counts requests that began to run
-     * @param demand measures the load of services here
-     * @param engines learns how fast upstreams are
-     * @param metrics the process's figures
+     * @param loads the requests in progress at upstreams
+     * @param usage counts requests that started to run
+     * @param demand measures the load of services at this process
+     * @param engines estimates the speed of upstreams
+     * @param metrics the metrics of this process
      * @param restarted true if other processes may have served before this one started
      */
     public ClusterView(
@@ -131,39 +134,40 @@
         this.snapshots = new SnapshotExchange(nowMillis, policies, directory, store, metrics);
         this.regions = new RegionExchange(directory, limits, loads, usage, parts, writer);
         this.peers = new LinkedPeers(nowMillis, regions);
-        this.leavingNews = new LeavingNews(directory::listedLeaving);
-        this.epochNews = new EpochNews(store.history());
-        directory.onLeaving(upstream -> remember(upstream.id()));
-        directory.onNews(this::passOn);
-        // before anything of the new history is passed on, so that nobody takes it for the old one
+        this.leavingUpdates = new LeavingUpdates(directory::listedLeaving);
+        this.epochUpdates = new EpochUpdates(store.history());
+        directory.onLeaving(upstream -> recordLeaving(upstream.id()));
+        directory.onNews(this::forward);
+        // registered first: peers must know the new epoch before they receive data of the new
+        // history
         store.history().onReplaced(this::historyReplaced);
     }
 
     /**
-     * Begins to tell the peers, at once what changes, the rest with each {@link #tick}.
+     * Starts sending to the peers: changes at once, everything else with each {@link #tick}.
      *
-     * @param links the links to them
-     * @param leading tells whether this process leads
+     * @param links the links to the peers
+     * @param leading whether this process is the leader
      */
     public void start(Mesh links, BooleanSupplier leading) {
         mesh = links;
-        peers.linkedBy(links);
+        peers.setMesh(links);
         leads = leading;
-        policies.onChange(policy -> tellPeers());
+        policies.onChange(policy -> sendDigests());
     }
 
     /**
-     * Has the peers told of roll-outs too.
+     * Sets the exchange of roll-out reports with the peers.
      *
-     * @param exchange tells them and hears them
+     * @param exchange sends and receives the reports
      */
     void rollouts(RolloutExchange exchange) {
         rollouts = Optional.of(exchange);
     }
 
     /**
-     * Has a task run when a peer knew of a change of the upstreams that the store has not told here
-     * though it answers.
+     * Sets the task that runs when a peer supplied a change of the upstreams that the store, though
+     * it answers, has not delivered to this process.
      *
      * @param task the task
      */
@@ -172,25 +176,25 @@
     }
 
     /**
-     * Returns what peers are told of the store's epoch.
+     * Returns what is sent to peers about the store's epoch.
      *
-     * @return the news
+     * @return the updates
      */
-    EpochNews epochNews() {
-        return epochNews;
+    EpochUpdates epochUpdates() {
+        return epochUpdates;
     }
 
     /**
-     * Has a part of the product told and heard with each digest.
+     * Adds a part that writes and receives a section of each digest.
      *
-     * @param part tells its like at the peers
+     * @param part exchanges its section with the same part of the peers
      */
     void add(DigestPart part) {
         parts.add(part);
     }
 
     /**
-     * Returns the peers whose figures count here.
+     * Returns the peers whose figures count at this process.
      *
      * @return their names
      */
@@ -198,67 +202,70 @@
         return Peer.names(peers.counted());
     }
 
-    /** Has the peers told that this process stops. */
+    /** Notifies the peers that this process is stopping. */
     public void draining() {
         draining = true;
-        tellPeers();
+        sendDigests();
     }
 
     /**
-     * Returns how many processes share limits: this one, those the store lists, those heard.
+     * Returns the number of processes that share limits: the largest of the counts read in the
+     * store and the number of processes whose figures are known.
      *
      * @return a count of at least 1
      */
-    public int entries() {
+    public int sharingProcesses() {
         List<Peer> counted = peers.counted();
-        return entries(counted, peers.heard(counted));
+        return sharingProcesses(counted, peers.totalProcesses(counted));
     }
 
-    private int entries(List<Peer> counted, int heard) {
+    private int sharingProcesses(List<Peer> counted, int reporting) {
         Reading own = new Reading(membersRead(), store.isReachable());
         List<Reading> read = new ArrayList<>(counted.size());
         for (Peer peer : counted) {
             read.add(peer.members());
         }
-        return MemberCount.of(own, read, heard);
+        return MemberCount.of(own, read, reporting);
     }
 
-    /** Returns how many processes this one has read in the store; 0 if it has read none. */
+    /**
+     * Returns the number of processes that this one has read in the store; 0 if it has read none.
+     */
     private int membersRead() {
         return mesh.isPlanned() ? mesh.size() : 0;
     }
 
     /**
-     * Returns how many peers are linked and not silent.
+     * Returns the number of peers that are linked and responding.
      *
      * @return a count
      */
-    public int heardPeers() {
+    public int respondingPeers() {
         return peers.size();
     }
 
     /**
-     * Tells what is known of other regions.
+     * Returns the exchange with other regions.
      *
-     * @return the exchange with them
+     * @return the exchange
      */
     RegionExchange regions() {
         return regions;
     }
 
     /**
-     * Returns how many processes' figures were heard just now, this one's included.
+     * Returns the number of processes whose recent figures are known, this one included.
      *
      * @return a count of at least 1
      */
-    public int heardProcesses() {
-        return peers.heard(peers.counted());
+    public int totalProcesses() {
+        return peers.totalProcesses(peers.counted());
     }
 
     /**
      * Returns the age of the oldest digest that counts.
      *
-     * @return milliseconds; 0 without peers
+     * @return the age in milliseconds; 0 without peers
      */
     public long oldestDigestMillis() {
         long now = nowMillis.getAsLong();
@@ -270,11 +277,11 @@
     }
 
     /**
-     * Returns the load of a service over all heard processes.
+     * Returns the load of a service over all processes whose figures count.
      *
      * @param service the service
-     * @param upstreams its upstreams, leaving ones too
-     * @return the load now
+     * @param upstreams its upstreams, including those that are leaving
+     * @return the current load
      */
     public ServiceLoad load(String service, Collection<Upstream> upstreams) {
         int running = loads.requests(upstreams);
@@ -287,20 +294,21 @@
     }
 
     /**
-     * Tells whether a peer tells this process of policy and upstreams in time, so that it need not
-     * follow the store itself.
+     * Returns whether a peer supplies this process with policy and upstreams in time, so that it
+     * need not follow the store itself.
      *
-     * @param before true if that was so until now
-     * @return false for the store's followers, and while those that tell it are silent or cannot
-     *     reach the store
+     * @param fedBefore the previous result; a peer that starts to supply must first be no newer
+     *     than this process
+     * @return false for processes that follow the store, and while the peers that supply this one
+     *     do not respond or cannot reach the store
      */
-    public boolean isFed(boolean before) {
-        long oldest = nowMillis.getAsLong() - FED_MILLIS;
+    public boolean isFed(boolean fedBefore) {
+        long oldest = nowMillis.getAsLong() - FED_MAX_AGE_MILLIS;
         return peers.counted().stream()
                 .filter(peer -> !peer.isLeaf() && mesh.isFedBy(peer.hello()))
                 .filter(peer -> peer.isStoreReachable() && peer.digestMillis() >= oldest)
                 .filter(peer -> store.history().mayBeOf(peer.storeEpoch()))
-                .anyMatch(peer -> before || snapshots.isLevelWith(peer));
+                .anyMatch(peer -> fedBefore || snapshots.isAsRecentAs(peer));
     }
 
     @Override
@@ -314,8 +322,8 @@
                 new DecisionLog.Lifecycle("peer " + hello.name(), "linked", hello.address()));
         Peer peer = peers.linked(hello);
         parts.linked(peer.name(), nowMillis.getAsLong());
-        epochNews.tellNext();
-        tell(List.of(peer));
+        epochUpdates.sendWithNext();
+        sendDigestsTo(List.of(peer));
         rollouts.ifPresent(exchange -> exchange.tell(mesh, List.of(peer)));
         snapshots.linked(mesh, hello);
     }
@@ -328,12 +336,12 @@
             mesh.regions().ifPresent(view -> regionDigest(view, hello, digest));
         } else if (message instanceof UsageHistory history) {
             usage.merge(history.life(), history.usage(), peers.isLeaf(hello.name()));
-        } else if (message instanceof SnapshotAsk ask) {
-            snapshots.asked(mesh, peers.of(hello), ask);
-        } else if (message instanceof UpstreamNews news && mesh.isFedBy(hello)) {
-            upstreamNews(peers.of(hello), news);
+        } else if (message instanceof SnapshotAsk request) {
+            snapshots.requestReceived(mesh, peers.of(hello), request);
+        } else if (message instanceof UpstreamNews update && mesh.isFedBy(hello)) {
+            upstreamUpdate(peers.of(hello), update);
         } else if (message instanceof Snapshot snapshot) {
-            snapshots.answered(mesh, peers.of(hello), snapshot);
+            snapshots.snapshotReceived(mesh, peers.of(hello), snapshot);
         } else if (message instanceof RolloutReport report) {
             rolloutReport(peers.of(hello), report);
         }
@@ -347,11 +355,11 @@
         }
     }
 
-    private void upstreamNews(Peer from, UpstreamNews news) {
+    private void upstreamUpdate(Peer from, UpstreamNews update) {
         if (store.history().mayBeOf(from.storeEpoch())) {
-            directory.fromPeer(news);
+            directory.fromPeer(update);
         } else {
-            store.history().newsPassedOver(news, directory.revision());
+            store.history().newsPassedOver(update, directory.revision());
         }
     }
 
@@ -361,101 +369,115 @@
         }
         long now = nowMillis.getAsLong();
         Peer peer = peers.of(sender);
-        epochNews.told(peer, StoreEpochSection.of(digest.digest()));
+        epochUpdates.received(peer, StoreEpochSection.of(digest.digest()));
         if (view.isElsewhere(sender)) {
-            peer.heard(now);
+            peer.messageReceived(now);
             snapshots.digest(mesh, peer, digest.digest());
         }
-        evidenceTold |= !digest.digest().evidence().isEmpty();
+        evidenceReceived |= !digest.digest().evidence().isEmpty();
         regions.received(mesh, view, sender, digest, peers.ownHubs(), now);
     }
 
     private void digest(Peer peer, NodeDigest digest) {
-        boolean wasHub = peer.isHeard() && !peer.isLeaf();
+        boolean wasHub = peer.hasReported() && !peer.isLeaf();
         long now = nowMillis.getAsLong();
-        epochNews.told(peer, StoreEpochSection.of(digest));
-        peer.told(SoundFigures.of(peer.name(), digest), now);
-        evidenceTold |= !digest.evidence().isEmpty();
-        LeavingLives.of(digest).forEach(told -> directory.leavingSeenBy(told, peer.name()));
+        epochUpdates.received(peer, StoreEpochSection.of(digest));
+        peer.received(ValidFigures.of(peer.name(), digest), now);
+        evidenceReceived |= !digest.evidence().isEmpty();
+        LeavingIncarnations.of(digest)
+                .forEach(upstream -> directory.leavingSeenBy(upstream, peer.name()));
         boolean feeds = mesh.isFedBy(peer.hello());
-        if (peer.fellBack() && feeds) {
+        if (peer.revisionDecreased() && feeds) {
             directory.historyReplaced();
         }
-        if (feeds && peer.isStoreReachable() && snapshots.isLevelWith(peer)) {
+        if (feeds && peer.isStoreReachable() && snapshots.isAsRecentAs(peer)) {
             directory.heard();
         }
         snapshots.digest(mesh, peer, digest);
         if (!peers.counts(peer)) {
             loads.peerLost(peer.name());
             parts.forget(peer.name());
-            peer.passedOver();
+            peer.stopCounting();
             return;
         }
         boolean leaf = peer.isLeaf();
-        digest.usage().forEach(news -> usage.merge(news.life(), news.usage(), leaf));
+        digest.usage().forEach(history -> usage.merge(history.life(), history.usage(), leaf));
         loads.peerUses(peer.name(), digest.uses());
-        limits.told(peer, digest.quotas(), now);
-        parts.told(peer.name(), digest, now);
+        limits.received(peer, digest.quotas(), now);
+        parts.received(peer.name(), digest, now);
         if (!leaf && !wasHub) {
-            tellAllUsage(peer);
+            sendAllUsage(peer);
         }
     }
 
     private void historyReplaced() {
-        epochNews.changed(nowMillis.getAsLong());
-        tellPeers();
+        epochUpdates.changed(nowMillis.getAsLong());
+        sendDigests();
     }
 
-    /** A hub passes changes on to its leaves, and a follower of the store to the other hubs too. */
-    private void passOn(UpstreamNews news) {
+    /**
+     * Forwards a change to the leaves of this hub; a follower of the store forwards it to the other
+     * hubs too.
+     */
+    private void forward(UpstreamNews update) {
         if (mesh == null || !mesh.isHub()) {
             return;
         }
         boolean follower = mesh.followsStoreForHubs();
-        List<String> fed = new ArrayList<>();
+        List<String> receivers = new ArrayList<>();
         for (Peer peer : peers.all()) {
             boolean hub = !peer.isLeaf() && !peers.isElsewhere(peer);
             boolean otherHub = hub && !mesh.isStoreFollower(peer.name());
             if (peer.isLeaf() || (follower && otherHub)) {
-                fed.add(peer.name());
+                receivers.add(peer.name());
             }
         }
-        mesh.send(fed, news);
+        mesh.send(receivers, update);
     }
 
-    /** Tells the peers, and forgets silent ones. To be called every {@link #DIGEST_MILLIS}. */
+    /**
+     * Sends digests and removes peers that do not respond. To be called every {@link
+     * #DIGEST_INTERVAL_MILLIS}.
+     */
     public void tick() {
-        forgetSilentPeers();
+        removeSilentPeers();
         mesh.regions()
                 .ifPresent(
                         view -> regions.tick(mesh, view, peers.ownHubs(), nowMillis.getAsLong()));
         List<Peer> counted = peers.counted();
-        addEvidence(counted);
+        mergeEvidence(counted);
         boolean othersKnown = mesh.isPlanned() || !peers.isEmpty();
-        int heard = peers.heard(counted);
+        int total = peers.totalProcesses(counted);
         limits.share(
-                othersKnown, !mesh.isHub(), heard, entries(counted, heard), nowMillis.getAsLong());
-        tellPeers();
-        tellRollouts();
+                othersKnown,
+                !mesh.isHub(),
+                total,
+                sharingProcesses(counted, total),
+                nowMillis.getAsLong());
+        sendDigests();
+        sendRolloutReports();
     }
 
-    /** Tells the peers how far roll-outs have come. */
-    void tellRollouts() {
+    /** Sends the progress of roll-outs to the peers. */
+    void sendRolloutReports() {
         rollouts.ifPresent(exchange -> exchange.tell(mesh, peers.all()));
     }
 
-    /** Adds up what peers saw of upstreams, if any has told more or other peers count. */
-    private void addEvidence(List<Peer> counted) {
-        if (evidenceTold || !counted.equals(evidenceOf)) {
-            evidenceTold = false;
-            evidenceOf = counted;
-            List<EngineEvidence> told = new ArrayList<>();
-            counted.forEach(peer -> told.addAll(peer.evidence()));
-            engines.others(told);
+    /**
+     * Merges the observations of upstreams that peers reported, if new ones came or other peers
+     * count.
+     */
+    private void mergeEvidence(List<Peer> counted) {
+        if (evidenceReceived || !counted.equals(evidencePeers)) {
+            evidenceReceived = false;
+            evidencePeers = counted;
+            List<EngineEvidence> reported = new ArrayList<>();
+            counted.forEach(peer -> reported.addAll(peer.evidence()));
+            engines.others(reported);
         }
     }
 
-    private void forgetSilentPeers() {
+    private void removeSilentPeers() {
         for (Peer peer : peers.removeSilent()) {
             loads.peerLost(peer.name());
             parts.forget(peer.name());
@@ -464,14 +486,14 @@
         }
     }
 
-    /** Tells the peers what this process knows now. */
-    public void tellPeers() {
+    /** Sends the current state of this process to all peers. */
+    public void sendDigests() {
         if (mesh != null) {
-            tell(peers.all());
+            sendDigestsTo(peers.all());
         }
     }
 
-    private void tell(Collection<Peer> told) {
+    private void sendDigestsTo(Collection<Peer> receivers) {
         long now = nowMillis.getAsLong();
         writer.beginRound(now);
         SenderState state =
@@ -479,100 +501,111 @@
                         store.isReachable(),
                         draining,
                         membersRead(),
-                        leavingNews.next(now),
-                        epochNews.next(now));
-        Map<Long, List<Peer>> byUsageTold = new HashMap<>();
+                        leavingUpdates.next(now),
+                        epochUpdates.next(now));
+        Map<Long, List<Peer>> byUsageSent = new HashMap<>();
         List<Peer> counted = peers.counted();
-        List<Peer> keepers = peers.keepers();
-        int heard = peers.heard(counted);
-        for (Peer peer : told) {
+        List<Peer> replicas = peers.usageReplicas();
+        int total = peers.totalProcesses(counted);
+        for (Peer peer : receivers) {
             if (peers.isElsewhere(peer)) {
                 continue;
             }
             if (mesh.isHub() && peer.isLeaf()) {
-                int others = heard - peers.justHeard(peer);
-                tellLeaf(peer, keepers.contains(peer), state, counted, others, now);
+                int others = total - peers.recentProcesses(peer);
+                sendToLeaf(peer, replicas.contains(peer), state, counted, others, now);
             } else if (mesh.isHub() || mesh.isOwnHub(peer.hello())) {
-                byUsageTold
-                        .computeIfAbsent(peer.usageTold(), sequence -> new ArrayList<>())
+                byUsageSent
+                        .computeIfAbsent(peer.usageSent(), sequence -> new ArrayList<>())
                         .add(peer);
             }
         }
-        byUsageTold.forEach((usageTold, same) -> tellAlike(same, digest(state, usageTold, now)));
-        mesh.regions().ifPresent(view -> tellRegions(view, state, told, now));
+        byUsageSent.forEach((usageSent, same) -> sendSame(same, digest(state, usageSent, now)));
+        mesh.regions().ifPresent(view -> sendToRegions(view, state, receivers, now));
     }
 
-    private void tellRegions(RegionView view, SenderState state, Collection<Peer> told, long now) {
+    private void sendToRegions(
+            RegionView view, SenderState state, Collection<Peer> receivers, long now) {
         List<Peer> own = peers.countedHere();
-        int processes = 1 + own.stream().mapToInt(peers::justHeard).sum();
-        regions.tell(mesh, view, state, told, own, processes, now);
+        int processes = 1 + own.stream().mapToInt(peers::recentProcesses).sum();
+        regions.send(mesh, view, state, receivers, own, processes, now);
     }
 
-    private void tellLeaf(
+    private void sendToLeaf(
             Peer leaf,
-            boolean keepsUsage,
+            boolean replicatesUsage,
             SenderState state,
             List<Peer> counted,
             int processes,
             long now) {
-        if (keepsUsage && leaf.usageTold() == 0) {
-            tellAllUsage(leaf);
-            leaf.usageTold(usage.sequence());
+        if (replicatesUsage && leaf.usageSent() == 0) {
+            sendAllUsage(leaf);
+            leaf.usageSent(usage.sequence());
         }
-        // told that the store is out of reach here, it reads the list itself
-        boolean isLeftBehind = epochNews.isLeftBehind(leaf, directory.revision(), now);
-        SenderState told = isLeftBehind ? state.withoutStore() : state;
-        NodeDigest digest = writer.rest(told, leaf, counted, processes, keepsUsage, now);
-        if (mesh.send(leaf.name(), digest) && keepsUsage) {
-            leaf.usageTold(usage.sequence());
+        // a leaf whose hub reports the store as unreachable reads the list itself
+        boolean outdated = epochUpdates.holdsLostHistory(leaf, directory.revision(), now);
+        SenderState sent = outdated ? state.withoutStore() : state;
+        NodeDigest digest = writer.rest(sent, leaf, counted, processes, replicatesUsage, now);
+        if (mesh.send(leaf.name(), digest) && replicatesUsage) {
+            leaf.usageSent(usage.sequence());
         }
     }
 
-    private NodeDigest digest(SenderState state, long usageTold, long now) {
+    private NodeDigest digest(SenderState state, long usageSent, long now) {
         return mesh.isHub()
-                ? writer.group(state, peers.leaves(), usageTold, now)
-                : writer.own(state, usageTold, now);
+                ? writer.group(state, peers.leaves(), usageSent, now)
+                : writer.own(state, usageSent, now);
     }
 
-    /** Peers that were told of the same changes of usage get the same digest, written once. */
-    private void tellAlike(List<Peer> same, NodeDigest digest) {
+    /** Sends one digest, written once, to peers that were sent the same changes of usage. */
+    private void sendSame(List<Peer> same, NodeDigest digest) {
         Set<String> linked = mesh.send(Peer.names(same), digest);
         same.stream()
                 .filter(peer -> linked.contains(peer.name()))
-                .forEach(peer -> peer.usageTold(usage.sequence()));
+                .forEach(peer -> peer.usageSent(usage.sequence()));
     }
 
     /**
-     * A hub that was not linked before may lack what other processes told long ago, also to a leaf.
+     * Sends all usage to a peer: a newly linked hub may lack what other processes sent long ago,
+     * even if they sent it to a leaf.
      */
-    private void tellAllUsage(Peer peer) {
-        for (String life : usage.entries()) {
-            mesh.send(peer.name(), new UsageHistory(life, usage.countsOf(life)));
+    private void sendAllUsage(Peer peer) {
+        for (String incarnation : usage.entries()) {
+            mesh.send(peer.name(), new UsageHistory(incarnation, usage.countsOf(incarnation)));
         }
     }
 
-    /** An upstream whose entry is only gone may come back, so peers are not told that it leaves. */
-    private void remember(String upstream) {
+    /**
+     * Records an upstream as leaving. One whose entry has only been removed may come back, so it is
+     * not reported as leaving.
+     */
+    private void recordLeaving(String upstream) {
         if (!directory.isLeaving(upstream)) {
             return;
         }
-        leavingNews.began(upstream, nowMillis.getAsLong());
-        tellOfLeaving();
+        leavingUpdates.began(upstream, nowMillis.getAsLong());
+        sendLeavingUpdate();
     }
 
-    /** The way between regions is longer by two processes, so news of leaving does not wait. */
-    private void tellOfLeaving() {
+    /**
+     * Sends digests at once where there are several regions: the path between regions is two
+     * processes longer.
+     */
+    private void sendLeavingUpdate() {
         if (mesh != null && mesh.regions().isPresent()) {
-            tellSoon();
+            sendDigestsSoon();
         }
     }
 
-    /** Has the peers told at once, unless they were told so a moment ago. */
-    void tellSoon() {
+    /**
+     * Sends digests at once, unless digests were sent by this method less than {@link
+     * #MIN_EXTRA_DIGEST_INTERVAL_MILLIS} ago.
+     */
+    void sendDigestsSoon() {
         long now = nowMillis.getAsLong();
-        if (mesh != null && now - soonToldMillis >= SOON_MILLIS) {
-            soonToldMillis = now;
-            tellPeers();
+        if (mesh != null && now - extraDigestMillis >= MIN_EXTRA_DIGEST_INTERVAL_MILLIS) {
+            extraDigestMillis = now;
+            sendDigests();
         }
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ConnectionShares.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ConnectionShares.java
@@ -21,9 +21,10 @@
 import java.util.function.IntSupplier;
 
 /**
- * Shares the connections that an upstream accepts from all processes together. Those that work are
- * bounded by its places; what is left is shared out evenly among those that rest. Beyond its bound
- * an upstream resets connections, also those of processes that have none yet.
+ * Divides the connections that an upstream accepts from all processes together. Busy connections
+ * are bounded by the upstream's slots; the remaining ones are divided evenly among the processes as
+ * idle connections. Beyond its bound an upstream resets connections, including those of processes
+ * that have none yet.
  */
 final class ConnectionShares {
     private final PolicyKeeper policies;
@@ -32,8 +33,8 @@
     /**
      * Creates shares.
      *
-     * @param policies tells what services accept
-     * @param processes how many processes there are, this one included
+     * @param policies returns how many connections services accept
+     * @param processes returns the number of processes, this one included
      */
     ConnectionShares(PolicyKeeper policies, IntSupplier processes) {
         this.policies = policies;
@@ -41,13 +42,13 @@
     }
 
     /**
-     * Returns how many connections to an upstream may rest between calls.
+     * Returns how many connections to an upstream may stay open between calls.
      *
      * @param service the service
      * @param upstream one of its upstreams
      * @return at least 1
      */
-    int mostResting(String service, Upstream upstream) {
+    int maxIdle(String service, Upstream upstream) {
         int accepted =
                 policies.policy()
                         .flatMap(policy -> policy.service(service))
@@ -55,11 +56,11 @@
                         .orElse(0);
         return accepted <= 0
                 ? OutgoingCall.MOST_RESTING
-                : part(accepted - upstream.slots(), processes.getAsInt());
+                : share(accepted - upstream.slots(), processes.getAsInt());
     }
 
-    static int part(int connections, int processes) {
-        int even = connections / Math.max(1, processes);
-        return Math.max(1, Math.min(OutgoingCall.MOST_RESTING, even));
+    static int share(int connections, int processes) {
+        int evenShare = connections / Math.max(1, processes);
+        return Math.max(1, Math.min(OutgoingCall.MOST_RESTING, evenShare));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPart.java
@@ -31,42 +31,42 @@
 import java.util.Optional;
 
 /**
- * Tells peers under which requests upstreams ended.
+ * Sends peers the requests under which upstreams ended.
  *
- * <p>News is told for a second, in several digests in case one is lost. A peer's new life has all
- * suspects told again for a second, and one of them at a time goes with each digest at rest, so
- * that whatever was missed comes in the end.
+ * <p>A new report is sent for a second, in several digests in case one is lost. A new incarnation
+ * of a peer has all suspects sent again for a second. Otherwise each digest contains one suspect in
+ * rotation, so that a missed report arrives eventually.
  */
 final class CrashPart implements DigestPart {
-    /** How long news is told, in milliseconds: in five digests. */
-    private static final long NEWS_MILLIS = 5 * ClusterView.DIGEST_MILLIS;
+    /** How long a new report is sent, in milliseconds: five digests. */
+    private static final long REPEAT_MILLIS = 5 * ClusterView.DIGEST_INTERVAL_MILLIS;
 
     /**
-     * How long a process tells its life at its start though it has nothing else to tell, in
-     * milliseconds: its links come about meanwhile. At rest the section is left out, since it is
-     * half of a digest.
+     * How long a process sends its incarnation after its start though it has nothing else to send,
+     * in milliseconds: its links are established meanwhile. The section is left out when idle,
+     * since it is half of a digest.
      */
-    private static final long LIFE_TOLD_MILLIS = 3_000;
+    private static final long INCARNATION_SENT_MILLIS = 3_000;
 
     private final CrashWatch crashes;
-    private final long life;
-    private final Map<String, Long> lives = new HashMap<>();
+    private final long incarnation;
+    private final Map<String, Long> peerIncarnations = new HashMap<>();
     private final Map<DigestScope, Written> written = new EnumMap<>(DigestScope.class);
-    private long allUntilMillis = Long.MIN_VALUE;
-    private long lifeToldUntilMillis = Long.MIN_VALUE;
+    private long sendAllUntilMillis = Long.MIN_VALUE;
+    private long incarnationSentUntilMillis = Long.MIN_VALUE;
 
-    /** A section that serves all peers of a round who are told the same. */
+    /** A section that is reused for all peers of a round that receive the same. */
     private record Written(List<String> peers, long millis, Optional<DigestSection> section) {}
 
     /**
      * Creates the part.
      *
-     * @param crashes what is told
-     * @param life names this life of the process
+     * @param crashes the reports to send
+     * @param incarnation identifies this incarnation of the process
      */
-    CrashPart(CrashWatch crashes, long life) {
+    CrashPart(CrashWatch crashes, long incarnation) {
         this.crashes = crashes;
-        this.life = life;
+        this.incarnation = incarnation;
     }
 
     @Override
@@ -91,36 +91,40 @@
     }
 
     private Optional<DigestSection> section(DigestScope scope, List<String> peers, long nowMillis) {
-        Map<RequestFingerprint, CrashReport> told = new LinkedHashMap<>();
+        Map<RequestFingerprint, CrashReport> selected = new LinkedHashMap<>();
         if (!crashes.ledger().isEmpty()) {
             crashes.ledger()
-                    .news(nowMillis - NEWS_MILLIS, source -> isTold(scope, peers, source))
-                    .forEach(report -> told.put(report.request(), report));
+                    .news(nowMillis - REPEAT_MILLIS, source -> isIncluded(scope, peers, source))
+                    .forEach(report -> selected.put(report.request(), report));
             List<CrashReport> suspected = crashes.ledger().suspected();
-            if (nowMillis < allUntilMillis) {
-                suspected.forEach(report -> told.put(report.request(), report));
+            if (nowMillis < sendAllUntilMillis) {
+                suspected.forEach(report -> selected.put(report.request(), report));
             } else if (!suspected.isEmpty()) {
-                int turn = (int) (nowMillis / ClusterView.DIGEST_MILLIS % suspected.size());
-                told.put(suspected.get(turn).request(), suspected.get(turn));
+                int index =
+                        (int) (nowMillis / ClusterView.DIGEST_INTERVAL_MILLIS % suspected.size());
+                selected.put(suspected.get(index).request(), suspected.get(index));
             }
         }
-        if (lifeToldUntilMillis == Long.MIN_VALUE) {
-            lifeToldUntilMillis = nowMillis + LIFE_TOLD_MILLIS;
+        if (incarnationSentUntilMillis == Long.MIN_VALUE) {
+            incarnationSentUntilMillis = nowMillis + INCARNATION_SENT_MILLIS;
         }
-        if (told.isEmpty() && nowMillis >= lifeToldUntilMillis) {
+        if (selected.isEmpty() && nowMillis >= incarnationSentUntilMillis) {
             return Optional.empty();
         }
         byte[] reports =
                 CrashReports.write(
-                        new ArrayList<>(told.values()),
+                        new ArrayList<>(selected.values()),
                         DigestSection.MOST_BYTES - Long.BYTES,
                         nowMillis);
         byte[] body =
-                ByteBuffer.allocate(Long.BYTES + reports.length).putLong(life).put(reports).array();
+                ByteBuffer.allocate(Long.BYTES + reports.length)
+                        .putLong(incarnation)
+                        .put(reports)
+                        .array();
         return Optional.of(new DigestSection(name(), version(), 0, body));
     }
 
-    private static boolean isTold(DigestScope scope, List<String> peers, String source) {
+    private static boolean isIncluded(DigestScope scope, List<String> peers, String source) {
         return switch (scope) {
             case OWN -> source.equals(CrashHistory.OWN);
             case GROUP -> source.equals(CrashHistory.OWN) || peers.contains(source);
@@ -129,22 +133,22 @@
     }
 
     @Override
-    public void told(String peer, DigestSection section, long nowMillis) throws IOException {
+    public void received(String peer, DigestSection section, long nowMillis) throws IOException {
         ByteBuffer body = ByteBuffer.wrap(section.body());
         if (body.remaining() < Long.BYTES) {
-            throw new IOException(body.remaining() + " bytes, expected " + Long.BYTES);
+            throw new IOException(body.remaining() + " bytes, expected at least " + Long.BYTES);
         }
-        long peerLife = body.getLong();
+        long peerIncarnation = body.getLong();
         List<CrashReport> reports = CrashReports.read(body, nowMillis - section.ageMillis());
-        Long before = lives.put(peer, peerLife);
-        if (before == null || before != peerLife) {
-            allUntilMillis = nowMillis + NEWS_MILLIS;
+        Long before = peerIncarnations.put(peer, peerIncarnation);
+        if (before == null || before != peerIncarnation) {
+            sendAllUntilMillis = nowMillis + REPEAT_MILLIS;
         }
         reports.forEach(report -> crashes.told(peer, report));
     }
 
     @Override
     public void forget(String peer) {
-        lives.remove(peer);
+        peerIncarnations.remove(peer);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestPart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestPart.java
@@ -21,44 +21,50 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A part of the product that tells its like at the peers something with each digest. */
+/**
+ * A component that exchanges a section of its own with the same component of the peers in each
+ * digest.
+ */
 interface DigestPart {
-    /** Returns the name of its sections, unlike that of all other parts. */
+    /** Returns the name of its sections, which differs from that of every other part. */
     String name();
 
-    /** Returns the form of its sections; other forms are not given to it. */
+    /** Returns the version of its sections; sections of other versions are not passed to it. */
     int version();
 
     /**
-     * Writes what peers are told.
+     * Writes the section for some peers.
      *
-     * @param scope {@code OWN}: this process's figures; else those with what some peers told last
-     * @param peers the peers whose figures are added: a hub's leaves, or all but the receiver
-     * @param nowMillis the time, in milliseconds
-     * @return a section of this name and version; empty if there is nothing to tell
+     * @param scope {@code OWN}: the figures of this process; otherwise also what {@code peers} sent
+     *     last
+     * @param peers the peers whose figures are included: the leaves of a hub, or all but the
+     *     receiver
+     * @param nowMillis the current time, in milliseconds
+     * @return a section of this name and version; empty if there is nothing to send
      */
     Optional<DigestSection> write(DigestScope scope, List<String> peers, long nowMillis);
 
     /**
-     * Takes over what a peer tells in place of what it told before.
+     * Replaces what a peer sent before by its new section.
      *
      * @param peer the peer's name
-     * @param section its section, bounded in bytes and age
-     * @param nowMillis the time, in milliseconds
-     * @throws IOException if the body cannot be read; nothing is taken over then
+     * @param section the section; its size and age have been checked
+     * @param nowMillis the current time, in milliseconds
+     * @throws IOException if the body cannot be read; nothing is changed then
      */
-    void told(String peer, DigestSection section, long nowMillis) throws IOException;
+    void received(String peer, DigestSection section, long nowMillis) throws IOException;
 
     /**
-     * Tells that a peer has been linked, which may lack what was told before.
+     * Notifies this part that a peer has been linked, which may lack what was sent before.
      *
      * @param peer the peer's name
-     * @param nowMillis the time, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      */
     default void linked(String peer, long nowMillis) {}
 
     /**
-     * Forgets what a peer told: it is silent, or its figures come another way now.
+     * Removes what a peer sent, because it does not respond or its figures now arrive on another
+     * path.
      *
      * @param peer the peer's name
      */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestParts.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestParts.java
@@ -26,15 +26,21 @@
 import java.util.Map;
 
 /**
- * The parts of the product that tell each other something with each digest. A section that cannot
- * be true is dropped alone; the rest of the digest counts.
+ * The components that exchange a section in each digest. An invalid section is dropped alone; the
+ * rest of the digest counts.
  */
 final class DigestParts {
-    /** Oldest figures that are taken, in milliseconds: a cut that is longer ends what they tell. */
-    private static final long OLDEST_MILLIS = 60_000;
+    /**
+     * Maximum age of accepted figures, in milliseconds: what a peer sent before a longer network
+     * partition does not count.
+     */
+    private static final long MAX_AGE_MILLIS = 60_000;
 
-    /** How often a peer's unsound sections are logged, in milliseconds: one line in 50 digests. */
-    private static final long LOG_MILLIS = 10_000;
+    /**
+     * Minimum time between two log lines on dropped sections of one peer, in milliseconds: one line
+     * in 50 digests.
+     */
+    private static final long LOG_INTERVAL_MILLIS = 10_000;
 
     private final List<DigestPart> parts = new ArrayList<>();
     private final Map<String, Long> loggedMillis = new HashMap<>();
@@ -43,7 +49,7 @@
         parts.add(part);
     }
 
-    /** Writes the sections of all parts that have something to tell. */
+    /** Returns the sections of all parts that have something to send. */
     List<DigestSection> sections(DigestScope scope, List<String> peers, long nowMillis) {
         if (parts.isEmpty()) {
             return List.of();
@@ -56,17 +62,18 @@
     }
 
     /**
-     * Gives each part its section of a digest; sections of other parts and forms are passed over.
+     * Passes each section of a digest to its part; sections of unknown names and versions are
+     * ignored.
      */
-    void told(String peer, NodeDigest digest, long nowMillis) {
+    void received(String peer, NodeDigest digest, long nowMillis) {
         if (digest.sections().size() > DigestSection.MOST_SECTIONS) {
-            dropped(peer, digest.sections().size() + " sections", nowMillis);
+            logDropped(peer, digest.sections().size() + " sections", nowMillis);
             return;
         }
         for (DigestSection section : digest.sections()) {
             for (DigestPart part : parts) {
                 if (part.name().equals(section.name()) && part.version() == section.version()) {
-                    tell(part, peer, section, nowMillis);
+                    deliver(part, peer, section, nowMillis);
                 }
             }
         }
@@ -80,25 +87,25 @@
         parts.forEach(part -> part.forget(peer));
     }
 
-    private void tell(DigestPart part, String peer, DigestSection section, long nowMillis) {
+    private void deliver(DigestPart part, String peer, DigestSection section, long nowMillis) {
         if (section.body().length > DigestSection.MOST_BYTES) {
-            dropped(peer, section.name() + " of " + section.body().length + " bytes", nowMillis);
-        } else if (section.ageMillis() < 0 || section.ageMillis() > OLDEST_MILLIS) {
-            dropped(peer, section.name() + " of age " + section.ageMillis() + " ms", nowMillis);
+            logDropped(peer, section.name() + " of " + section.body().length + " bytes", nowMillis);
+        } else if (section.ageMillis() < 0 || section.ageMillis() > MAX_AGE_MILLIS) {
+            logDropped(peer, section.name() + " of age " + section.ageMillis() + " ms", nowMillis);
         } else {
             try {
-                part.told(peer, section, nowMillis);
+                part.received(peer, section, nowMillis);
             } catch (IOException e) {
-                dropped(peer, section.name() + ": " + e.getMessage(), nowMillis);
+                logDropped(peer, section.name() + ": " + e.getMessage(), nowMillis);
             }
         }
     }
 
-    private void dropped(String peer, String what, long nowMillis) {
+    private void logDropped(String peer, String detail, long nowMillis) {
         Long logged = loggedMillis.get(peer);
-        if (logged == null || nowMillis - logged >= LOG_MILLIS) {
+        if (logged == null || nowMillis - logged >= LOG_INTERVAL_MILLIS) {
             loggedMillis.put(peer, nowMillis);
-            DecisionLog.write(new Lifecycle("peer " + peer, "section dropped", what));
+            DecisionLog.write(new Lifecycle("peer " + peer, "section dropped", detail));
         }
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestWriter.java
@@ -37,13 +37,13 @@
 import java.util.function.BinaryOperator;
 import java.util.function.Function;
 
-/** Writes what a process tells its peers, each the part that it lacks. */
+/** Writes the digests of this process: for each kind of peer the figures that it lacks. */
 final class DigestWriter {
     /**
-     * How often peers are told of the speed of upstreams, in milliseconds: it changes slowly, and
-     * its sums are the largest part of a digest.
+     * Interval between two digests with the observed speed of upstreams, in milliseconds: it
+     * changes slowly, and its sums are the largest part of a digest.
      */
-    private static final long EVIDENCE_MILLIS = 1_000;
+    private static final long EVIDENCE_INTERVAL_MILLIS = 1_000;
 
     private final PolicyKeeper policies;
     private final DirectoryKeeper directory;
@@ -53,17 +53,17 @@
     private final DemandMeter demand;
     private final EngineModel engines;
     private final DigestParts parts;
-    private long toldEvidenceMillis;
-    private boolean tellsEvidence;
+    private long evidenceSentMillis;
+    private boolean sendsEvidence;
 
     /**
-     * What a digest says of its sender.
+     * What a digest contains about its sender.
      *
-     * @param storeReachable true if the platform's store answers it
-     * @param draining true if it is stopping
-     * @param members how many processes it has read in the store; 0 if none
-     * @param leaving upstreams it saw leaving lately
-     * @param history the epoch that its revisions are of
+     * @param storeReachable true if the platform's store answers the sender
+     * @param draining true if the sender is stopping
+     * @param members number of processes that the sender has read in the store; 0 if none
+     * @param leaving upstreams that the sender recently saw leaving
+     * @param history the epoch of the sender's revisions
      */
     record SenderState(
             boolean storeReachable,
@@ -71,7 +71,7 @@
             int members,
             List<LeavingUpstream> leaving,
             StoreEpochSection history) {
-        /** Returns the same of a sender that the store does not answer. */
+        /** Returns the same state with the store marked as unreachable. */
         SenderState withoutStore() {
             return new SenderState(false, draining, members, leaving, history);
         }
@@ -96,21 +96,21 @@
         this.engines = engines;
     }
 
-    /** Begins a round of digests; some rounds tell evidence too. */
+    /** Starts a round of digests, and decides whether its digests include evidence. */
     void beginRound(long nowMillis) {
-        tellsEvidence = nowMillis - toldEvidenceMillis >= EVIDENCE_MILLIS;
-        if (tellsEvidence) {
-            toldEvidenceMillis = nowMillis;
+        sendsEvidence = nowMillis - evidenceSentMillis >= EVIDENCE_INTERVAL_MILLIS;
+        if (sendsEvidence) {
+            evidenceSentMillis = nowMillis;
         }
     }
 
-    /** Writes what a leaf tells its hub. */
-    NodeDigest own(SenderState state, long usageTold, long nowMillis) {
+    /** Writes the digest of a leaf for its hub. */
+    NodeDigest own(SenderState state, long usageSent, long nowMillis) {
         return digest(
                 state,
                 DigestScope.OWN,
                 1,
-                news(usageTold),
+                usageChanges(usageSent),
                 quotas.ownUses(nowMillis),
                 loads.ownUses(),
                 demand.demands(nowMillis),
@@ -118,13 +118,13 @@
                 parts.sections(DigestScope.OWN, List.of(), nowMillis));
     }
 
-    /** Writes what a hub tells other hubs: its own figures and those of its leaves. */
-    NodeDigest group(SenderState state, Collection<Peer> leaves, long usageTold, long nowMillis) {
+    /** Writes the digest of a hub for other hubs: its own figures and those of its leaves. */
+    NodeDigest group(SenderState state, Collection<Peer> leaves, long usageSent, long nowMillis) {
         return digest(
                 state,
                 DigestScope.GROUP,
                 1 + leaves.size(),
-                news(usageTold),
+                usageChanges(usageSent),
                 quotas.groupUses(nowMillis),
                 loads.groupUses(Peer.names(leaves)),
                 sum(leaves, nowMillis),
@@ -133,8 +133,9 @@
     }
 
     /**
-     * Writes what is told to other regions: the sums of the processes of the own one, without news
-     * of usage. Work under way is told by service; single upstreams are the own region's matter.
+     * Writes the digest for other regions: the sums over the processes of the own region, without
+     * changes of usage. Requests in progress are summed by service, since single upstreams are
+     * managed within their region.
      */
     NodeDigest region(
             SenderState state,
@@ -154,7 +155,7 @@
                 parts.sections(DigestScope.GROUP, Peer.names(own), nowMillis));
     }
 
-    /** Writes what is told to other regions by a process that does not tell for its own. */
+    /** Writes the digest for other regions of a hub that does not represent its own region. */
     NodeDigest versions(SenderState state) {
         return new NodeDigest(
                 policies.version(),
@@ -174,77 +175,79 @@
     }
 
     /**
-     * Writes what a hub tells a leaf: the figures of all others, so many processes, and what has
-     * changed of the usage of all if the leaf is to keep it.
+     * Writes the digest of a hub for a leaf: the figures of all other processes, their number, and
+     * the changes of everybody's usage if the leaf is a usage replica.
      */
     NodeDigest rest(
             SenderState state,
             Peer leaf,
             Collection<Peer> counted,
             int processes,
-            boolean keepsUsage,
+            boolean replicatesUsage,
             long nowMillis) {
         List<Peer> others = counted.stream().filter(peer -> peer != leaf).toList();
         return digest(
                 state,
                 DigestScope.REST,
                 processes,
-                keepsUsage ? histories(usage.allChangesAfter(leaf.usageTold())) : List.of(),
-                quotas.restUses(leaf.life(), nowMillis),
+                replicatesUsage ? histories(usage.allChangesAfter(leaf.usageSent())) : List.of(),
+                quotas.restUses(leaf.incarnationName(), nowMillis),
                 loads.restUses(leaf.name()),
                 sum(others, nowMillis),
                 evidence(others, nowMillis),
                 parts.sections(DigestScope.REST, Peer.names(others), nowMillis));
     }
 
-    /** Returns the load of every service at this process and some peers. */
+    /** Returns the load of every service, summed over this process and some peers. */
     List<ServiceDemand> sum(Collection<Peer> peers, long nowMillis) {
-        List<ServiceDemand> told = new ArrayList<>(demand.demands(nowMillis));
+        List<ServiceDemand> reported = new ArrayList<>(demand.demands(nowMillis));
         for (Peer peer : peers) {
-            told.addAll(peer.demands());
+            reported.addAll(peer.demands());
         }
-        return byService(told, ServiceDemand::service, ServiceDemand::plus);
+        return byService(reported, ServiceDemand::service, ServiceDemand::plus);
     }
 
     private List<EngineEvidence> evidence(Collection<Peer> peers, long nowMillis) {
-        if (!tellsEvidence) {
+        if (!sendsEvidence) {
             return List.of();
         }
-        List<EngineEvidence> told = new ArrayList<>(engines.evidence(nowMillis));
+        List<EngineEvidence> reported = new ArrayList<>(engines.evidence(nowMillis));
         for (Peer peer : peers) {
-            told.addAll(peer.evidence());
+            reported.addAll(peer.evidence());
         }
-        return byService(told, EngineEvidence::service, EngineEvidence::plus);
+        return byService(reported, EngineEvidence::service, EngineEvidence::plus);
     }
 
-    /** Adds up what is told of the same service. */
+    /** Returns the sum of the given values for each service. */
     private static <T> List<T> byService(
-            List<T> told, Function<T, String> service, BinaryOperator<T> plus) {
+            List<T> reported, Function<T, String> service, BinaryOperator<T> plus) {
         Map<String, T> sum = new TreeMap<>();
-        for (T part : told) {
+        for (T part : reported) {
             sum.merge(service.apply(part), part, plus);
         }
         return List.copyOf(sum.values());
     }
 
-    private List<UsageHistory> news(long usageTold) {
-        return usageTold >= usage.sequence() ? List.of() : histories(usage.changesAfter(usageTold));
+    private List<UsageHistory> usageChanges(long usageSent) {
+        return usageSent >= usage.sequence() ? List.of() : histories(usage.changesAfter(usageSent));
     }
 
-    /** Returns the changes of usage of the own region that another one was not told of. */
-    List<UsageHistory> regionNews(long usageTold) {
-        return histories(usage.regionChangesAfter(usageTold));
+    /** Returns the changes of usage of the own region that have not been sent to another region. */
+    List<UsageHistory> regionUsageChanges(long usageSent) {
+        return histories(usage.regionChangesAfter(usageSent));
     }
 
     private static List<UsageHistory> histories(Map<String, List<UsageCount>> counts) {
         List<UsageHistory> histories = new ArrayList<>();
-        counts.forEach((life, some) -> histories.add(new UsageHistory(life, some)));
+        counts.forEach(
+                (incarnation, changed) -> histories.add(new UsageHistory(incarnation, changed)));
         return histories;
     }
 
-    private static List<DigestSection> with(List<DigestSection> sections, SenderState state) {
+    private static List<DigestSection> withStateSections(
+            List<DigestSection> sections, SenderState state) {
         List<DigestSection> all = new ArrayList<>(sections);
-        LeavingLives.section(state.leaving()).ifPresent(all::add);
+        LeavingIncarnations.section(state.leaving()).ifPresent(all::add);
         state.history().write().ifPresent(all::add);
         return all;
     }
@@ -253,7 +256,7 @@
             SenderState state,
             DigestScope scope,
             int processes,
-            List<UsageHistory> news,
+            List<UsageHistory> usageChanges,
             List<OrganisationUse> organisations,
             List<UpstreamUse> uses,
             List<ServiceDemand> demands,
@@ -267,12 +270,12 @@
                 scope,
                 processes,
                 state.members(),
-                news,
+                usageChanges,
                 organisations.stream().filter(use -> use.used() != 0).toList(),
                 uses,
                 demands,
                 evidence,
-                LeavingLives.ids(state.leaving()),
-                with(sections, state));
+                LeavingIncarnations.ids(state.leaving()),
+                withStateSections(sections, state));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryKeeper.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryKeeper.java
@@ -54,7 +54,7 @@
     private final List<Consumer<Upstream>> onLeaving = new ArrayList<>();
     private final Map<String, byte[]> entries = new HashMap<>();
     private final UnusableEntries unusable = new UnusableEntries();
-    private final GoneEntries gone = new GoneEntries();
+    private final RemovedEntries gone = new RemovedEntries();
     private Consumer<UpstreamNews> onNews = news -> {};
     private Consumer<UpstreamNews> onPassedOver = news -> {};
     private long revision;
@@ -210,7 +210,7 @@
             return;
         }
         entries.put(id, value);
-        gone.written(id);
+        gone.recordWritten(id);
         read(id, value).ifPresent(this::changed);
     }
 
@@ -346,7 +346,7 @@
         List<Upstream> upstreams = new ArrayList<>();
         entries.forEach(
                 (id, value) -> {
-                    if (!gone.isDoubted(id, value)) {
+                    if (!gone.isSuspect(id, value)) {
                         read(id, value).ifPresent(upstreams::add);
                     }
                 });
@@ -369,13 +369,13 @@
 
     private void remember(String id, byte[] lastValue) {
         if (lastValue != null) {
-            gone.went(id, lastValue);
+            gone.recordRemoved(id, lastValue);
         }
     }
 
     /** By now an upstream that lives has written itself again, and other entries have lapsed. */
     private void endDoubt() {
-        gone.endDoubt();
+        gone.clearSuspects();
         entries.forEach(
                 (id, value) -> {
                     if (directory.find(id).isEmpty()) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
@@ -185,11 +185,11 @@
         topology = Topology.of(settings.self().dataCentre(), settings.regions().byDataCentre());
         limits = new UpstreamLimits(clock::millis, turnOrders(name)::of);
         availability = new UpstreamAvailability(directory, rests, limits);
-        view.add(LimitPart.of(limits, loop::nowMillis, () -> loop.execute(view::tellSoon)));
+        view.add(LimitPart.of(limits, loop::nowMillis, () -> loop.execute(view::sendDigestsSoon)));
         view.add(clock);
         view.add(new CrashPart(crashes, random.nextLong()));
-        crashes.onOwnNews(() -> loop.execute(view::tellSoon));
-        quotas.onMuchUsed(() -> loop.execute(view::tellSoon));
+        crashes.onOwnNews(() -> loop.execute(view::sendDigestsSoon));
+        quotas.onMuchUsed(() -> loop.execute(view::sendDigestsSoon));
         GatewayMember self = settings.self();
         regionMetrics =
                 topology.isOneRegion()
@@ -225,7 +225,7 @@
                         settings.timing(),
                         random.split(),
                         metrics);
-        view.epochNews().tokens(duties::highestToken, duties::tokenTold);
+        view.epochUpdates().tokens(duties::highestToken, duties::tokenTold);
         crashRecords =
                 new CrashRecords(
                         loop,
@@ -287,7 +287,7 @@
                                 mesh::regionSize,
                                 List.of(limits.cost())),
                         quotas,
-                        new RetryBudgets(settings.retries(), view::entries),
+                        new RetryBudgets(settings.retries(), view::sharingProcesses),
                         usage,
                         demand,
                         engines,
@@ -346,7 +346,7 @@
         figures.start(settings.listen().metrics());
         mesh.start(settings.listen().peers());
         view.start(mesh, duties::leads);
-        loop.repeat(ClusterView.DIGEST_MILLIS, view::tick);
+        loop.repeat(ClusterView.DIGEST_INTERVAL_MILLIS, view::tick);
         loop.repeat(FORGET_MILLIS, this::forgetGone);
         loop.repeat(ROLE_MILLIS, this::followStore);
         loop.repeat(STORE_USE_MILLIS, this::logStoreUse);
@@ -394,9 +394,13 @@
                 });
     }
 
-    private TurnOrders turnOrders(String name) {
-        return new TurnOrders(
-                name, topology, () -> mesh.members(), () -> view.entries(), loop::nowMillis);
+    private SendSlotOrders turnOrders(String name) {
+        return new SendSlotOrders(
+                name,
+                topology,
+                () -> mesh.members(),
+                () -> view.sharingProcesses(),
+                loop::nowMillis);
     }
 
     private MemoryKeeper memory(GatewaySettings.Limits limits) {
@@ -553,11 +557,11 @@
     private void tellState() {
         regionMetrics.ifPresent(
                 figures ->
-                        figures.state(
+                        figures.update(
                                 mesh::sentBytes,
                                 view.regions().ages(loop.nowMillis()),
                                 topology.otherRegions(),
-                                view.regions().isSpeaking()));
+                                view.regions().isRepresentative()));
         memory.tellState(callers.refused());
         metrics.list(
                 storeHealth.history().epoch(),
@@ -571,8 +575,8 @@
         metrics.state(
                 policies.version(),
                 directory.all().size(),
-                view.heardPeers(),
-                view.entries(),
+                view.respondingPeers(),
+                view.sharingProcesses(),
                 intake.open(),
                 duties.leads(),
                 connector.opened());
@@ -613,7 +617,7 @@
         boolean late = since >= settings.timing().graceMillis() - END_MARGIN_MILLIS;
         if (idle || late) {
             intake.stopAll();
-            view.tellPeers();
+            view.sendDigests();
             membership.stop();
             logStoreUse();
             DecisionLog.write(new Lifecycle("process", "stopped", "after " + since + " ms"));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeavingLives.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeavingIncarnations.java
@@ -24,22 +24,22 @@
 import java.util.Optional;
 
 /**
- * Tells peers which life of an upstream leaves. A digest names leaving upstreams in a field that
- * all builds read; their lives stand in a section of their own, in the same order, which builds
- * without it pass over.
+ * The digest section that contains the incarnations of leaving upstreams. A digest names leaving
+ * upstreams in a field that all builds read; their incarnations follow in a section of their own,
+ * in the same order, which builds without it ignore.
  */
-final class LeavingLives {
+final class LeavingIncarnations {
     private static final String NAME = "leaving-lives";
     private static final int VERSION = 1;
 
-    private LeavingLives() {}
+    private LeavingIncarnations() {}
 
     /** Returns the names, for the field. */
     static List<String> ids(List<LeavingUpstream> leaving) {
         return leaving.stream().map(LeavingUpstream::id).toList();
     }
 
-    /** Returns the section; empty if no life is known. */
+    /** Returns the section; empty if no incarnation is known. */
     static Optional<DigestSection> section(List<LeavingUpstream> leaving) {
         if (leaving.stream().noneMatch(upstream -> upstream.bornMillis() > 0)) {
             return Optional.empty();
@@ -49,24 +49,29 @@
         return Optional.of(new DigestSection(NAME, VERSION, 0, body.array()));
     }
 
-    /** Returns what a digest tells; lives that do not fit the names count as not told. */
+    /**
+     * Returns the leaving upstreams of a digest. A section whose length does not match the names is
+     * ignored.
+     */
     static List<LeavingUpstream> of(NodeDigest digest) {
         List<String> ids = digest.leaving();
         if (ids.isEmpty()) {
             return List.of();
         }
-        ByteBuffer lives = ByteBuffer.wrap(body(digest, ids.size() * Long.BYTES));
+        ByteBuffer incarnations = ByteBuffer.wrap(body(digest, ids.size() * Long.BYTES));
         List<LeavingUpstream> leaving = new ArrayList<>(ids.size());
         for (String id : ids) {
-            leaving.add(new LeavingUpstream(id, lives.hasRemaining() ? lives.getLong() : 0));
+            leaving.add(
+                    new LeavingUpstream(
+                            id, incarnations.hasRemaining() ? incarnations.getLong() : 0));
         }
         return leaving;
     }
 
     private static byte[] body(NodeDigest digest, int length) {
         for (DigestSection section : digest.sections()) {
-            boolean meant = section.name().equals(NAME) && section.version() == VERSION;
-            if (meant && section.body().length == length) {
+            boolean matches = section.name().equals(NAME) && section.version() == VERSION;
+            if (matches && section.body().length == length) {
                 return section.body();
             }
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitExchange.java
@@ -19,30 +19,34 @@
 import java.util.List;
 
 /**
- * Takes over what peers tell of their use of organisations' limits, and how much of each limit this
- * process may count on.
+ * Applies what peers report about their use of organisations' limits, and sets the share of each
+ * limit that this process may use.
  */
 final class LimitExchange {
     /**
-     * Part of a limit that a restarted process uses which knows of no other: any of the others may
-     * use the rest.
+     * Share of a limit that a restarted process uses while it knows no other process: others that
+     * it does not know may be using the rest.
      */
-    private static final double ALONE_PART = 0.1;
+    private static final double UNKNOWN_OTHERS_SHARE = 0.1;
 
     /**
-     * How long a leaf that hears nobody any more takes the others to go on as they did, in
-     * milliseconds: a leaf finds another hub in 1.2 s of silence, 0.4 s until it looks, and at most
-     * 1 s to connect. It saves callers within their limits from being refused meanwhile.
+     * How long a leaf that receives no digests any more assumes that the others continue to use
+     * limits as before, in milliseconds. A leaf changes hubs after 1.2 s without a digest, up to
+     * 0.4 s until the next check, and at most 1 s to connect. Without this period callers within
+     * their limits would be refused meanwhile.
      */
     static final long HUB_CHANGE_MILLIS = 3_000;
 
-    /** How long others must have been heard before, in milliseconds: until their use is known. */
-    static final long KNOWN_MILLIS = 4_000;
+    /**
+     * How long others must have been reporting before that, in milliseconds, so that their use is
+     * known.
+     */
+    static final long MIN_KNOWN_MILLIS = 4_000;
 
     private final Quotas quotas;
     private final boolean restarted;
-    private long heardSinceMillis = Long.MAX_VALUE;
-    private long heardMillis;
+    private long othersKnownSinceMillis = Long.MAX_VALUE;
+    private long othersKnownMillis;
 
     /**
      * Creates an exchange.
@@ -56,72 +60,73 @@
     }
 
     /**
-     * Takes over the use that a peer's digest tells.
+     * Applies the use in a peer's digest.
      *
-     * @param peer the peer, which has taken the digest over
+     * @param peer the peer, to which the digest has already been applied
      * @param uses its use
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
-    void told(Peer peer, List<OrganisationUse> uses, long nowMillis) {
-        if (peer.followed()) {
-            quotas.beginAnew(peer.life());
+    void received(Peer peer, List<OrganisationUse> uses, long nowMillis) {
+        if (peer.startCounting()) {
+            quotas.beginAnew(peer.incarnationName());
         }
         if (peer.isLeaf()) {
-            quotas.leafUsed(peer.life(), uses, nowMillis);
+            quotas.leafUsed(peer.incarnationName(), uses, nowMillis);
         } else {
-            quotas.peerUsed(peer.life(), uses, nowMillis);
+            quotas.peerUsed(peer.incarnationName(), uses, nowMillis);
         }
     }
 
     /**
-     * Takes over the use that another region tells.
+     * Applies the use that another region reports.
      *
-     * @param peer the process that tells for it, which has taken the digest over
+     * @param peer the representative of the region, to which the digest has already been applied
      * @param uses the region's use
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
-    void toldByRegion(Peer peer, List<OrganisationUse> uses, long nowMillis) {
-        if (peer.followed()) {
-            quotas.beginAnew(peer.life());
+    void receivedFromRegion(Peer peer, List<OrganisationUse> uses, long nowMillis) {
+        if (peer.startCounting()) {
+            quotas.beginAnew(peer.incarnationName());
         }
-        quotas.regionUsed(peer.life(), uses, nowMillis);
+        quotas.regionUsed(peer.incarnationName(), uses, nowMillis);
     }
 
     /**
-     * Sets which part of the limits this process and those it hears may use.
+     * Sets the share of the limits that this process and those that report to it may use.
      *
-     * @param othersKnown true if the store has told which processes there are, or a peer is heard
-     * @param leaf true if it relies on a hub, so that hearing nobody may only mean a change of hubs
-     * @param heard processes whose figures are known, this one included
-     * @param sharing processes that share limits
-     * @param nowMillis the time
+     * @param othersKnown true if the store has listed the processes, or a peer is linked
+     * @param leaf true if this process relies on a hub, so that receiving from nobody may only mean
+     *     a change of hubs
+     * @param reporting number of processes whose figures are known, this one included
+     * @param sharing number of processes that share limits
+     * @param nowMillis the current time, in milliseconds
      */
-    void share(boolean othersKnown, boolean leaf, int heard, int sharing, long nowMillis) {
-        double part = Math.min(1.0, heard / (double) sharing);
+    void share(boolean othersKnown, boolean leaf, int reporting, int sharing, long nowMillis) {
+        double part = Math.min(1.0, reporting / (double) sharing);
         if (restarted && !othersKnown) {
-            quotas.sharedPart(ALONE_PART, nowMillis);
-        } else if (leaf && heard == 1 && sharing > 1 && changesHub(nowMillis)) {
+            quotas.sharedPart(UNKNOWN_OTHERS_SHARE, nowMillis);
+        } else if (leaf && reporting == 1 && sharing > 1 && changesHub(nowMillis)) {
             quotas.othersGoOn(part, nowMillis);
         } else {
-            if (heard > 1) {
+            if (reporting > 1) {
                 quotas.othersWentOn(nowMillis);
             }
             quotas.sharedPart(part, nowMillis);
-            remember(heard, nowMillis);
+            recordOthers(reporting, nowMillis);
         }
     }
 
     private boolean changesHub(long nowMillis) {
-        boolean known = heardMillis - heardSinceMillis >= KNOWN_MILLIS;
-        return known && nowMillis - heardMillis < HUB_CHANGE_MILLIS;
+        boolean known = othersKnownMillis - othersKnownSinceMillis >= MIN_KNOWN_MILLIS;
+        return known && nowMillis - othersKnownMillis < HUB_CHANGE_MILLIS;
     }
 
-    private void remember(int heard, long nowMillis) {
-        if (heard == 1) {
-            heardSinceMillis = Long.MAX_VALUE;
+    private void recordOthers(int reporting, long nowMillis) {
+        if (reporting == 1) {
+            othersKnownSinceMillis = Long.MAX_VALUE;
             return;
         }
-        heardSinceMillis = Math.min(heardSinceMillis, nowMillis);
-        heardMillis = nowMillis;
+        othersKnownSinceMillis = Math.min(othersKnownSinceMillis, nowMillis);
+        othersKnownMillis = nowMillis;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitPart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitPart.java
@@ -17,7 +17,7 @@
 
 import io.trailladder.core.upstream.LimitReport;
 import io.trailladder.core.upstream.UpstreamLimits;
-import io.trailladder.entry.gateway.NewsInTurn.Pace;
+import io.trailladder.entry.gateway.UpdateRotation.Pace;
 import io.trailladder.wire.NodeMessage.DigestScope;
 import io.trailladder.wire.NodeMessage.DigestSection;
 import java.io.IOException;
@@ -26,54 +26,57 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tells peers which upstreams name a limit, that one has ended, and when one of less than a request
- * a second was used. What a process believes is the same whoever told it, so it is passed on as it
- * is. Without limits nothing is told.
+ * Sends peers the limits that upstreams name, the end of a limit, and when a limit of less than one
+ * request per second was last used. All processes agree on these reports, so they are forwarded
+ * unchanged. Without limits nothing is sent.
  */
 final class LimitPart implements DigestPart {
-    /** Most that one digest tells: so many fit with names of up to 16 bytes. */
-    static final int MOST_TOLD = 80;
+    /** Maximum number of reports in one digest: as many as fit with names of up to 16 bytes. */
+    static final int MAX_PER_DIGEST = 80;
 
-    private static final int LEAST_TIMES = 5;
+    private static final int MIN_SENDS = 5;
 
-    /** Of the older ones, for processes that came later or were cut off. */
-    private static final int MOST_REPEATED = 4;
+    /** Maximum number of older reports, for processes that started later or were disconnected. */
+    private static final int MAX_REPEATED = 4;
 
-    /** How often older ones are told, in milliseconds: most processes were told when it was new. */
-    private static final long REPEAT_MILLIS = 1_000;
+    /**
+     * Interval between two digests with older reports, in milliseconds: most processes received
+     * them when they were new.
+     */
+    private static final long REPEAT_INTERVAL_MILLIS = 1_000;
 
     private final UpstreamLimits limits;
-    private final NewsInTurn news;
+    private final UpdateRotation rotation;
     private long writtenMillis = Long.MIN_VALUE;
     private Optional<DigestSection> written = Optional.empty();
 
     /**
-     * Creates the part, and has it hear what is learned.
+     * Creates the part and subscribes it to changes of the limits.
      *
-     * @param limits what is told
-     * @param nowMillis the time
-     * @param tellSoon has peers told out of turn
+     * @param limits the limits to send
+     * @param nowMillis returns the current time, in milliseconds
+     * @param sendSoon sends digests outside the regular interval
      */
-    static LimitPart of(UpstreamLimits limits, LongSupplier nowMillis, Runnable tellSoon) {
+    static LimitPart of(UpstreamLimits limits, LongSupplier nowMillis, Runnable sendSoon) {
         LimitPart part = new LimitPart(limits);
         limits.onNews(
                 upstream -> {
                     part.learned(upstream, nowMillis.getAsLong());
-                    tellSoon.run();
+                    sendSoon.run();
                 });
         return part;
     }
 
     private LimitPart(UpstreamLimits limits) {
         this.limits = limits;
-        this.news =
-                new NewsInTurn(
+        this.rotation =
+                new UpdateRotation(
                         upstream -> limits.report(upstream).isPresent(),
-                        new Pace(MOST_TOLD, LEAST_TIMES, MOST_REPEATED, REPEAT_MILLIS));
+                        new Pace(MAX_PER_DIGEST, MIN_SENDS, MAX_REPEATED, REPEAT_INTERVAL_MILLIS));
     }
 
     private void learned(String upstream, long nowMillis) {
-        news.began(upstream, nowMillis);
+        rotation.began(upstream, nowMillis);
         writtenMillis = Long.MIN_VALUE;
     }
 
@@ -87,7 +90,7 @@
         return 1;
     }
 
-    /** All peers of a round are told the same. */
+    /** Writes one section for all peers of a round. */
     @Override
     public Optional<DigestSection> write(DigestScope scope, List<String> peers, long nowMillis) {
         if (writtenMillis != nowMillis) {
@@ -99,7 +102,7 @@
 
     private Optional<DigestSection> section(long nowMillis) {
         List<LimitReport> reports =
-                news.next(nowMillis).stream()
+                rotation.next(nowMillis).stream()
                         .flatMap(upstream -> limits.report(upstream).stream())
                         .toList();
         if (reports.isEmpty()) {
@@ -110,7 +113,7 @@
     }
 
     @Override
-    public void told(String peer, DigestSection section, long nowMillis) throws IOException {
+    public void received(String peer, DigestSection section, long nowMillis) throws IOException {
         List<LimitReport> reports =
                 LimitReports.read(section.body(), nowMillis - section.ageMillis());
         reports.forEach(limits::told);
@@ -118,11 +121,11 @@
 
     @Override
     public void linked(String peer, long nowMillis) {
-        news.beginAgain(nowMillis);
+        rotation.restartAll(nowMillis);
         writtenMillis = Long.MIN_VALUE;
     }
 
-    /** What was told stays true when the peer is silent. */
+    /** Keeps the reports: they stay true when the peer does not respond. */
     @Override
     public void forget(String peer) {}
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitReports.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitReports.java
@@ -23,11 +23,12 @@
 import java.util.List;
 
 /**
- * The form in which peers tell each other of upstreams' limits. Times of answers are written as
- * ages, since each process has a clock of its own; that of a use is agreed.
+ * Writes and reads the reports that peers exchange about upstreams' limits. The times of answers
+ * are written as ages, since each process has its own clock; the time of a use is by the clock on
+ * which all agree.
  */
 final class LimitReports {
-    /** Stands for a limit that is not named any more. */
+    /** Marks a limit that the upstream no longer names. */
     private static final double ENDED = -1;
 
     private static final int NUMBERS_BYTES =
@@ -35,9 +36,9 @@
 
     private LimitReports() {}
 
-    /** Writes as many reports, in their order, as fit into so many bytes. */
-    static byte[] write(List<LimitReport> reports, int mostBytes, long nowMillis) {
-        ByteBuffer bytes = ByteBuffer.allocate(mostBytes);
+    /** Writes the reports in their order, as many as fit into the given number of bytes. */
+    static byte[] write(List<LimitReport> reports, int maxBytes, long nowMillis) {
+        ByteBuffer bytes = ByteBuffer.allocate(maxBytes);
         for (LimitReport report : reports) {
             byte[] name = report.upstream().getBytes(StandardCharsets.UTF_8);
             if (bytes.remaining() < NUMBERS_BYTES + name.length) {
@@ -62,10 +63,10 @@
     /**
      * Reads reports.
      *
-     * @param body what was written
-     * @param nowMillis the time to which ages are taken, in milliseconds
+     * @param body the bytes written by {@link #write}
+     * @param nowMillis the time that the ages refer to, in milliseconds
      * @return the reports
-     * @throws IOException if any of it is unsound
+     * @throws IOException if any of them is invalid
      */
     static List<LimitReport> read(byte[] body, long nowMillis) throws IOException {
         return ReportBytes.readAll(ByteBuffer.wrap(body), bytes -> readOne(bytes, nowMillis));
@@ -86,7 +87,10 @@
     private static int length(ByteBuffer bytes) throws IOException {
         int length = bytes.getShort();
         if (length <= 0 || length > bytes.remaining()) {
-            throw new IOException("a name of " + length + " bytes");
+            throw new IOException(
+                    "invalid length of an upstream name: "
+                            + length
+                            + " bytes, expected 1 up to the bytes left");
         }
         return length;
     }
@@ -96,14 +100,17 @@
             return LimitNotice.ABSENT;
         }
         if (!(perSecond >= 0) || Double.isInfinite(perSecond)) {
-            throw new IOException("a limit of " + perSecond + " requests a second");
+            throw new IOException(
+                    "invalid limit: "
+                            + perSecond
+                            + " requests per second, expected a finite number from 0");
         }
         return LimitNotice.of(perSecond);
     }
 
     private static int age(int millis) throws IOException {
         if (millis < 0) {
-            throw new IOException("an age of " + millis + " ms");
+            throw new IOException("invalid age: " + millis + " ms, expected at least 0");
         }
         return millis;
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LinkedPeers.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LinkedPeers.java
@@ -27,22 +27,23 @@
 import java.util.function.LongSupplier;
 
 /**
- * The peers that are linked and not silent, and whose figures count here: to a leaf those of its
- * hub, to a hub those of its leaves, of the other hubs of its region, and of whoever tells for
- * another region.
+ * The peers that are linked and responding, and the selection of those whose figures count at this
+ * process: for a leaf its hub, for a hub its leaves, the other hubs of its region, and the
+ * representatives of other regions.
  */
 final class LinkedPeers {
     /**
-     * How old figures may be for their processes to share limits with this one, in milliseconds:
-     * three digests. Until then both sides of a cut use whole limits.
+     * Maximum age of figures for their processes to share limits with this one, in milliseconds:
+     * three digests. Until then both sides of a network partition use whole limits.
      */
-    private static final long FRESH_MILLIS = 600;
+    private static final long FRESH_MAX_AGE_MILLIS = 600;
 
     /**
-     * Leaves of each hub that keep the usage of all, beside the hubs: with 12 hubs of 80 processes,
-     * 36 keep it, and six that outlive all others hold it in 98 of 100 cases (counted out).
+     * Number of leaves of each hub that store the usage of all, in addition to the hubs. Of 80
+     * processes with 12 hubs, 36 store it; if only six processes survive, one of them stores it in
+     * 98 of 100 cases.
      */
-    private static final int KEEPERS = 2;
+    private static final int USAGE_REPLICAS_PER_HUB = 2;
 
     private final LongSupplier nowMillis;
     private final RegionExchange regions;
@@ -54,12 +55,12 @@
         this.regions = regions;
     }
 
-    /** Sets the links that tell who is a hub of whom. */
-    void linkedBy(Mesh links) {
+    /** Sets the links that determine which process is a hub of which. */
+    void setMesh(Mesh links) {
         mesh = links;
     }
 
-    /** Takes in a peer that has just been linked; what it told before is forgotten. */
+    /** Adds a peer that has just been linked; what it sent before is discarded. */
     Peer linked(NodeHello hello) {
         Peer peer = new Peer(hello, nowMillis.getAsLong());
         peers.put(hello.name(), peer);
@@ -67,15 +68,15 @@
     }
 
     /**
-     * Returns the peer of a message. One that has started again may be linked anew before its old
-     * link is found dead.
+     * Returns the peer that sent a message. A restarted peer may be linked again before its old
+     * link is detected as dead.
      */
     Peer of(NodeHello hello) {
         long now = nowMillis.getAsLong();
-        return peers.compute(hello.name(), (name, known) -> Peer.ofLife(known, hello, now));
+        return peers.compute(hello.name(), (name, known) -> Peer.ofIncarnation(known, hello, now));
     }
 
-    /** Forgets the peers that have told nothing for too long, and returns them. */
+    /** Removes the peers that have sent nothing for too long, and returns them. */
     List<Peer> removeSilent() {
         long oldest = nowMillis.getAsLong() - PeerMesh.HEARD_MILLIS;
         List<Peer> silent = new ArrayList<>();
@@ -100,20 +101,20 @@
         return peers.size();
     }
 
-    /** Tells whether a peer of that name relies on this process as its hub. */
+    /** Returns whether a peer of that name relies on this process as its hub. */
     boolean isLeaf(String name) {
         Peer peer = peers.get(name);
         return peer != null && peer.isLeaf();
     }
 
-    /** Returns all whose figures count. */
+    /** Returns all peers whose figures count. */
     List<Peer> counted() {
         List<Peer> counted = countedHere();
         counted.addAll(regions.counted());
         return counted;
     }
 
-    /** Returns those that count, but for those that tell for other regions. */
+    /** Returns the peers whose figures count, except the representatives of other regions. */
     List<Peer> countedHere() {
         List<Peer> counted = new ArrayList<>(peers.size());
         for (Peer peer : peers.values()) {
@@ -124,9 +125,12 @@
         return counted;
     }
 
-    /** To a leaf only its hub's figures count, and those of peers that take it for a hub. */
+    /**
+     * Returns whether a peer's figures count. At a leaf these are its hub and peers that take it
+     * for their hub.
+     */
     boolean counts(Peer peer) {
-        return peer.isHeard()
+        return peer.hasReported()
                 && !isElsewhere(peer)
                 && (peer.isLeaf() || mesh.isHub() || mesh.isOwnHub(peer.hello()));
     }
@@ -141,9 +145,15 @@
         return leaves;
     }
 
-    /** Returns the leaves that keep the usage of all: the same ones as long as they are linked. */
-    List<Peer> keepers() {
-        return leaves().stream().sorted(Comparator.comparing(Peer::name)).limit(KEEPERS).toList();
+    /**
+     * Returns the leaves that store the usage of all; the selection is stable while they are
+     * linked.
+     */
+    List<Peer> usageReplicas() {
+        return leaves().stream()
+                .sorted(Comparator.comparing(Peer::name))
+                .limit(USAGE_REPLICAS_PER_HUB)
+                .toList();
     }
 
     /** Returns the other hubs of the own region. */
@@ -159,18 +169,22 @@
                 .isPresent();
     }
 
-    /** Returns how many processes some peers spoke for just now, this one included. */
-    int heard(List<Peer> counted) {
-        int heard = 1;
+    /**
+     * Returns the number of processes that the recent digests of some peers cover, plus this one.
+     */
+    int totalProcesses(List<Peer> counted) {
+        int total = 1;
         for (Peer peer : counted) {
-            heard += justHeard(peer);
+            total += recentProcesses(peer);
         }
-        return heard;
+        return total;
     }
 
-    /** Returns how many processes a peer spoke for just now. */
-    int justHeard(Peer peer) {
-        boolean fresh = peer.digestMillis() >= nowMillis.getAsLong() - FRESH_MILLIS;
+    /**
+     * Returns the number of processes that a peer's last digest covers; 0 if the digest is too old.
+     */
+    int recentProcesses(Peer peer) {
+        boolean fresh = peer.digestMillis() >= nowMillis.getAsLong() - FRESH_MAX_AGE_MILLIS;
         return fresh ? peer.processes() : 0;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemberFormat.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemberFormat.java
@@ -24,8 +24,8 @@
 import java.io.IOException;
 
 /**
- * Writes and reads a process's entry in the store field by field: a library that looks the fields
- * up by reflection takes a process that starts some 30 ms of processor time.
+ * Writes and reads the store entry of a process field by field. Data binding by reflection would
+ * cost a starting process some 30 ms of processor time.
  */
 final class MemberFormat {
     private static final String NAME = "name";
@@ -47,14 +47,14 @@
                         .put(CORES, member.cores()));
     }
 
-    /** Reads an entry; tells what is wrong with one that cannot be read. */
+    /** Returns the entry that was read, or the fault of one that cannot be read. */
     static Either<String, GatewayMember> read(byte[] value) {
         try {
             JsonNode node = JsonTree.read(value);
             String name = node.path(NAME).asText();
             String address = node.path(ADDRESS).asText();
             if (name.isEmpty() || address.isEmpty()) {
-                return Either.left("it lacks name or address: " + node);
+                return Either.left("missing name or address: " + node);
             }
             return Either.right(
                     new GatewayMember(
@@ -66,7 +66,7 @@
         } catch (TrailladderException e) {
             return Either.left(e.getMessage());
         } catch (IOException e) {
-            return Either.left("it is no JSON: " + e.getMessage());
+            return Either.left("invalid JSON: " + e.getMessage());
         }
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Membership.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Membership.java
@@ -39,48 +39,49 @@
 import org.tinylog.Logger;
 
 /**
- * This process's own entry in the store, under a lease, and those of the others.
+ * Keeps this process's own entry in the store, under a lease, and reads those of the others.
  *
- * <p>The list is read now and then rather than watched: when many processes start, each would else
- * be told of each.
+ * <p>The list is read periodically rather than watched: when many processes start, each would
+ * otherwise be notified of each other one.
  *
  * @since 0.2
  */
 public final class Membership {
-    /** Prefix of the keys of all processes; their names follow it. */
+    /** Prefix of the keys of all processes; the name of the process follows it. */
     public static final String PREFIX = "trailladder/live/node/";
 
-    private static final long FIRST_LIST_MILLIS = 400;
-    private static final long SETTLING_LIST_MILLIS = 1_000;
-    private static final long LIST_MILLIS = 3_000;
+    private static final long FIRST_LIST_DELAY_MILLIS = 400;
+    private static final long SETTLING_LIST_INTERVAL_MILLIS = 1_000;
+    private static final long HUB_LIST_INTERVAL_MILLIS = 3_000;
 
     /**
-     * How often a leaf with a hub lists, in milliseconds: it is told what its hub reads, and needs
-     * the list itself only to find another hub. Reading the list of 70 processes every 3 s was an
-     * eighth of the processor time of a leaf at rest, and a quarter of all calls.
+     * Interval at which a leaf with a hub reads the list, in milliseconds: it receives what its hub
+     * reads, and needs the list itself only to find another hub. At an interval of 3 s, reading the
+     * list of 70 processes takes an eighth of the processor time of an idle leaf, and makes up a
+     * quarter of all store calls.
      */
-    private static final long LEAF_LIST_MILLIS = 6_000;
+    private static final long LEAF_LIST_INTERVAL_MILLIS = 6_000;
 
-    private static final int SETTLING_LISTS = 3;
+    private static final int SETTLING_LIST_COUNT = 3;
 
-    /** Time to live of the entry, in milliseconds: it outlives an outage of 6 s. */
+    /** Time to live of the entry, in milliseconds: it outlasts an outage of 6 s. */
     private static final long TTL_MILLIS = 10_000;
 
-    private static final long RENEW_MILLIS = 3_000;
-    private static final long HUB_RENEW_MILLIS = 900;
-    private static final long RETRY_MILLIS = 700;
+    private static final long RENEW_INTERVAL_MILLIS = 3_000;
+    private static final long HUB_RENEW_INTERVAL_MILLIS = 900;
+    private static final long RETRY_DELAY_MILLIS = 700;
 
     /**
-     * Over how long processes look after their entries once the store's history was replaced, in
-     * milliseconds for each process: 340 make 600 calls a second.
+     * Period over which processes spread the check of their entries after the store's history was
+     * replaced, in milliseconds per process: 340 processes make 600 calls a second.
      */
-    private static final long SPREAD_MILLIS = 5;
+    private static final long SPREAD_PER_PROCESS_MILLIS = 5;
 
     /**
-     * How long after that a process counts as listed that was listed before, in milliseconds: it
-     * hears of the change within 2 s and writes itself again.
+     * How long after that a process that was listed before still counts as listed, in milliseconds:
+     * it learns of the change within 2 s and writes its entry again.
      */
-    private static final long RETURN_MILLIS = 4_000;
+    private static final long REWRITE_GRACE_MILLIS = 4_000;
 
     /** An entry as it was read. */
     private record Known(long revision, GatewayMember member) {}
@@ -93,28 +94,28 @@
     private final boolean firstStart;
     private final List<GatewayMember> listed = new ArrayList<>();
 
-    /** The entries of the last list by key: one that has not changed is not read anew. */
+    /** The entries of the last list by key; an entry that has not changed is not parsed again. */
     private final Map<String, Known> known = new HashMap<>();
 
     private final byte[] value;
     private final SplittableRandom random;
     private int lists;
     private int round;
-    private long returnsUntilMillis = Long.MIN_VALUE;
+    private long rewriteGraceUntilMillis = Long.MIN_VALUE;
     private long ownRevision;
     private long lease;
     private long writtenLease;
     private boolean stopped;
 
     /**
-     * Creates the entry of a process; it is not yet written.
+     * Creates the entry of a process; it is not written yet.
      *
-     * @param loop the loop whose thread runs it
+     * @param loop the event loop whose thread runs it
      * @param store the store
-     * @param health told of answers and failures
-     * @param mesh told of the others
+     * @param health notified of answers and failures of the store
+     * @param mesh notified of the other processes
      * @param self this process
-     * @param firstStart true if all processes start now, so that few are listed at once
+     * @param firstStart true if all processes are starting now, so that few are listed at first
      * @param random spreads calls that all processes make for the same reason
      */
     public Membership(
@@ -136,17 +137,17 @@
         health.history().onReplaced(this::historyReplaced);
     }
 
-    /** Writes the entry and keeps it, and reads those of the others. */
+    /** Writes the entry and renews its lease, and reads the entries of the others. */
     public void start() {
         grant(round);
         if (firstStart) {
-            loop.schedule(FIRST_LIST_MILLIS, this::list);
+            loop.schedule(FIRST_LIST_DELAY_MILLIS, this::list);
         } else {
             list();
         }
     }
 
-    /** Takes the entry away. */
+    /** Ends the lease, which removes the entry. */
     public void stop() {
         stopped = true;
         if (lease != 0) {
@@ -162,19 +163,19 @@
     }
 
     private void listAfter(String afterKey) {
-        Freshness freshness = lists < SETTLING_LISTS ? Freshness.LATEST : Freshness.RECENT;
-        store.list(PREFIX, afterKey, freshness, this::page);
+        Freshness freshness = lists < SETTLING_LIST_COUNT ? Freshness.LATEST : Freshness.RECENT;
+        store.list(PREFIX, afterKey, freshness, this::pageReceived);
     }
 
-    private void page(Either<StoreFailure, StoreBatch> result) {
+    private void pageReceived(Either<StoreFailure, StoreBatch> result) {
         if (result.isLeft()) {
             health.failed(result.getLeft());
-            loop.schedule(SETTLING_LIST_MILLIS, this::list);
+            loop.schedule(SETTLING_LIST_INTERVAL_MILLIS, this::list);
             return;
         }
         health.answered();
         List<StoreItem> items = result.get().items();
-        items.forEach(this::take);
+        items.forEach(this::add);
         if (result.get().more() && !items.isEmpty()) {
             listAfter(items.get(items.size() - 1).key());
             return;
@@ -184,11 +185,12 @@
             Set<GatewayMember> present = new HashSet<>(listed);
             known.values().removeIf(entry -> !present.contains(entry.member()));
         }
-        mesh.members(loop.nowMillis() < returnsUntilMillis ? withMissing() : List.copyOf(listed));
+        mesh.members(
+                loop.nowMillis() < rewriteGraceUntilMillis ? withMissing() : List.copyOf(listed));
         loop.schedule(listMillis(), this::list);
     }
 
-    /** Returns the processes listed, and those listed before that may write themselves again. */
+    /** Returns the listed processes, and those listed before that may write their entries again. */
     private List<GatewayMember> withMissing() {
         Map<String, GatewayMember> byName = new LinkedHashMap<>();
         mesh.members().forEach(member -> byName.put(member.name(), member));
@@ -196,27 +198,30 @@
         return List.copyOf(byName.values());
     }
 
-    /** Neither the entry nor its lease need be there any more, nor be this process's. */
+    /**
+     * Has the own entry checked: neither it nor its lease need exist in the new history, or belong
+     * to this process.
+     */
     private void historyReplaced() {
         known.clear();
-        returnsUntilMillis = loop.nowMillis() + RETURN_MILLIS;
+        rewriteGraceUntilMillis = loop.nowMillis() + REWRITE_GRACE_MILLIS;
         if (lease != 0 && !stopped) {
             lease = 0;
             round++;
             int current = round;
-            long spread = 1 + SPREAD_MILLIS * mesh.size();
+            long spread = 1 + SPREAD_PER_PROCESS_MILLIS * mesh.size();
             loop.schedule(random.nextLong(spread), () -> readOwn(current));
         }
     }
 
     private long listMillis() {
-        if (lists < SETTLING_LISTS || mesh.lacksHub()) {
-            return SETTLING_LIST_MILLIS;
+        if (lists < SETTLING_LIST_COUNT || mesh.lacksHub()) {
+            return SETTLING_LIST_INTERVAL_MILLIS;
         }
-        return mesh.isHub() ? LIST_MILLIS : LEAF_LIST_MILLIS;
+        return mesh.isHub() ? HUB_LIST_INTERVAL_MILLIS : LEAF_LIST_INTERVAL_MILLIS;
     }
 
-    private void take(StoreItem item) {
+    private void add(StoreItem item) {
         if (item.key().equals(key)) {
             ownRevision = item.revision();
         }
@@ -226,11 +231,14 @@
             return;
         }
         MemberFormat.read(item.value())
-                .peek(member -> take(item, member))
-                .peekLeft(fault -> Logger.warn("entry {} cannot be read: {}", item.key(), fault));
+                .peek(member -> add(item, member))
+                .peekLeft(
+                        fault ->
+                                Logger.warn(
+                                        "process entry {} cannot be read: {}", item.key(), fault));
     }
 
-    private void take(StoreItem item, GatewayMember member) {
+    private void add(StoreItem item, GatewayMember member) {
         listed.add(member);
         known.put(item.key(), new Known(item.revision(), member));
     }
@@ -260,7 +268,7 @@
         ownRevision = result.get();
         writtenLease = lease;
         log("written");
-        renewAfter(RENEW_MILLIS, current);
+        renewAfter(RENEW_INTERVAL_MILLIS, current);
     }
 
     private void renewAfter(long millis, int current) {
@@ -279,35 +287,40 @@
         }
         if (result.isLeft()) {
             health.failed(result.getLeft());
-            renewAfter(RETRY_MILLIS, current);
+            renewAfter(RETRY_DELAY_MILLIS, current);
             return;
         }
         health.answered();
         renewAfter(renewMillis(), current);
     }
 
-    /** Does what a call or a pause was for, unless that was in an earlier history of the store. */
+    /**
+     * Runs a task unless the call or delay before it started in an earlier history of the store.
+     */
     private void ifCurrent(int current, Runnable task) {
         if (current == round && !stopped) {
             task.run();
         }
     }
 
-    /** A hub must know soon that the store is lost, because its leaves rely on it. */
+    /**
+     * Returns the renewal interval. A hub must detect the loss of the store early, because its
+     * leaves rely on it.
+     */
     private long renewMillis() {
-        boolean feeds = mesh.isHub() && mesh.size() > HubTopology.FULL_MESH_MOST;
-        return feeds ? HUB_RENEW_MILLIS : RENEW_MILLIS;
+        boolean hasLeaves = mesh.isHub() && mesh.size() > HubTopology.FULL_MESH_MOST;
+        return hasLeaves ? HUB_RENEW_INTERVAL_MILLIS : RENEW_INTERVAL_MILLIS;
     }
 
     private void retryLater(int current, StoreFailure failure) {
         health.failed(failure);
-        loop.schedule(RETRY_MILLIS, () -> readOwn(current));
+        loop.schedule(RETRY_DELAY_MILLIS, () -> readOwn(current));
     }
 
     /**
-     * After a conflict, a lost answer or a change of the store's history the entry is read before
-     * it is written again. One that stands as it was written last was there all the time, with its
-     * lease.
+     * Reads the entry before it is written again, after a conflict, a lost answer or a change of
+     * the store's history. An entry that is unchanged since it was last written has existed all the
+     * time, with its lease.
      */
     private void readOwn(int current) {
         ifCurrent(
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Peer.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Peer.java
@@ -25,30 +25,33 @@
 import java.util.Collection;
 import java.util.List;
 
-/** One linked peer and what it told last. */
+/** A linked peer and the contents of its last digest. */
 final class Peer {
     private final NodeHello hello;
     private DigestScope scope;
-    private DigestScope followedScope;
+    private DigestScope countedScope;
     private long digestMillis;
     private int processes;
     private int members;
     private List<ServiceDemand> demands = List.of();
     private List<EngineEvidence> evidence = List.of();
-    private long usageTold;
+    private long usageSent;
     private boolean storeReachable;
     private long policyVersion;
     private long directoryRevision;
     private long storeEpoch;
-    private boolean fellBack;
+    private boolean revisionDecreased;
 
     Peer(NodeHello hello, long nowMillis) {
         this.hello = hello;
         this.digestMillis = nowMillis;
     }
 
-    /** Returns a known peer if it is the same life of it, else one that has told nothing yet. */
-    static Peer ofLife(Peer known, NodeHello hello, long nowMillis) {
+    /**
+     * Returns a known peer if it is of the same incarnation, otherwise one that has sent nothing
+     * yet.
+     */
+    static Peer ofIncarnation(Peer known, NodeHello hello, long nowMillis) {
         boolean same = known != null && known.hello.incarnation().equals(hello.incarnation());
         return same ? known : new Peer(hello, nowMillis);
     }
@@ -70,12 +73,13 @@
         return hello.name();
     }
 
-    /** Returns the name of this life of the peer. */
-    String life() {
+    /** Returns the name of this incarnation of the peer. */
+    String incarnationName() {
         return hello.name() + '/' + hello.incarnation();
     }
 
-    void told(NodeDigest digest, long nowMillis) {
+    /** Applies a digest of the peer. */
+    void received(NodeDigest digest, long nowMillis) {
         scope = digest.scope();
         digestMillis = nowMillis;
         processes = digest.processes();
@@ -86,53 +90,53 @@
         }
         storeReachable = digest.storeReachable();
         policyVersion = digest.policyVersion();
-        fellBack = storeEpoch == 0 && digest.directoryRevision() < directoryRevision;
+        revisionDecreased = storeEpoch == 0 && digest.directoryRevision() < directoryRevision;
         directoryRevision = digest.directoryRevision();
     }
 
     /**
-     * Tells whether the revision of a peer that names no epoch was lower in its last digest than
+     * Returns whether the revision of a peer that names no epoch was lower in its last digest than
      * before: the store's history was replaced, and the peer has read the new one.
      */
-    boolean fellBack() {
-        return fellBack;
+    boolean revisionDecreased() {
+        return revisionDecreased;
     }
 
-    /** Records of which epoch of the store the peer's revisions are; not each digest tells it. */
+    /** Records the store epoch of the peer's revisions; not every digest contains it. */
     void storeEpoch(long named) {
         if (named != 0) {
             storeEpoch = named;
         }
     }
 
-    /** Records that the peer told something that is no digest of its own. */
-    void heard(long nowMillis) {
+    /** Records that the peer sent a message other than a digest of its own. */
+    void messageReceived(long nowMillis) {
         digestMillis = nowMillis;
     }
 
     /**
      * Records that the figures of its last digest count.
      *
-     * @return true if those of the digest before did not, or were of other processes
+     * @return true if those of the digest before did not count, or had another scope
      */
-    boolean followed() {
-        boolean anew = followedScope != scope;
-        followedScope = scope;
-        return anew;
+    boolean startCounting() {
+        boolean changed = countedScope != scope;
+        countedScope = scope;
+        return changed;
     }
 
     /** Records that the figures of its last digest do not count. */
-    void passedOver() {
-        followedScope = null;
+    void stopCounting() {
+        countedScope = null;
     }
 
-    /** Tells whether the peer relies on this process as its hub. */
+    /** Returns whether the peer relies on this process as its hub. */
     boolean isLeaf() {
         return scope == DigestScope.OWN;
     }
 
-    /** Tells whether the peer has told anything yet. */
-    boolean isHeard() {
+    /** Returns whether the peer has sent a digest yet. */
+    boolean hasReported() {
         return scope != null;
     }
 
@@ -140,17 +144,17 @@
         return digestMillis;
     }
 
-    /** Returns how many processes the peer spoke for. */
+    /** Returns the number of processes that the peer's last digest covers. */
     int processes() {
         return processes;
     }
 
-    /** Returns how many processes the peer has read in the store. */
+    /** Returns the number of processes that the peer has read in the store. */
     Reading members() {
         return new Reading(members, storeReachable);
     }
 
-    /** Tells whether the platform's store answers the peer. */
+    /** Returns whether the platform's store answers the peer. */
     boolean isStoreReachable() {
         return storeReachable;
     }
@@ -165,7 +169,7 @@
         return directoryRevision;
     }
 
-    /** Returns the epoch that the peer's revisions are of; 0 if it names none. */
+    /** Returns the epoch of the peer's revisions; 0 if it names none. */
     long storeEpoch() {
         return storeEpoch;
     }
@@ -174,17 +178,17 @@
         return demands;
     }
 
-    /** Returns what the peer saw of the speed of upstreams, as it last told. */
+    /** Returns the peer's last reported observations of the speed of upstreams. */
     List<EngineEvidence> evidence() {
         return evidence;
     }
 
-    /** Returns the latest change of usage that the peer was told of. */
-    long usageTold() {
-        return usageTold;
+    /** Returns the sequence number of the latest change of usage that was sent to the peer. */
+    long usageSent() {
+        return usageSent;
     }
 
-    void usageTold(long sequence) {
-        usageTold = sequence;
+    void usageSent(long sequence) {
+        usageSent = sequence;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
@@ -33,26 +33,27 @@
 import java.util.Map;
 
 /**
- * What regions tell each other.
+ * Exchanges digests between regions.
  *
- * <p>Of the hubs of a region that hear one another the first in rank speaks for it: it tells the
- * sums of the region to the hubs of other regions that it is linked to, which pass the message on
- * to the hubs of their own region as it came. A sum is known by who told it first, so it counts
- * once however many ways it comes, and of a region that two speak for only the first in rank
- * counts.
+ * <p>Of the hubs of a region that receive each other's digests the first in rank is its
+ * representative: it sends the sums of the region to the hubs of other regions that it is linked
+ * to, which forward the message unchanged to the hubs of their own region. A sum is identified by
+ * its original sender, so it counts once on however many paths it arrives, and of two
+ * representatives of one region only the first in rank counts.
  */
 final class RegionExchange {
     /**
-     * How old the last message of a hub may be for it to count as there, in milliseconds: three
-     * digests. With the next digest of the one that steps in, a region is heard again within 1.2 s.
+     * Maximum age of the last message of a hub for it to count as present, in milliseconds: three
+     * digests. Including the next digest of its replacement, updates of a region resume within 1.2
+     * s.
      */
-    static final long FRESH_MILLIS = 700;
+    static final long FRESH_MAX_AGE_MILLIS = 700;
 
     /**
-     * How often hubs that do not speak tell other regions which versions they know, in
-     * milliseconds: often enough that their links are not taken for dead.
+     * Interval at which hubs that are not the representative send the versions they know to other
+     * regions, in milliseconds: short enough that their links are not taken for dead.
      */
-    private static final long STANDBY_MILLIS = 600;
+    private static final long STANDBY_INTERVAL_MILLIS = 600;
 
     private final DirectoryKeeper directory;
     private final LimitExchange limits;
@@ -61,23 +62,26 @@
     private final DigestParts parts;
     private final DigestWriter writer;
 
-    /** Those who told for other regions, by name. */
-    private final Map<String, Peer> speakers = new HashMap<>();
+    /** The representatives of other regions, by name. */
+    private final Map<String, Peer> representatives = new HashMap<>();
 
-    /** Who counts for each region; a region that is lost has none. */
-    private final Map<String, Peer> heard = new HashMap<>();
+    /** The representative that counts for each region; a region that is lost has none. */
+    private final Map<String, Peer> countedByRegion = new HashMap<>();
 
-    /** When a hub of the own region that goes first passed a region's message on. */
-    private final Map<String, Long> passedOnMillis = new HashMap<>();
+    /** When a hub of the own region with a better rank last forwarded a region's message. */
+    private final Map<String, Long> forwardedMillis = new HashMap<>();
 
-    /** Whom the hubs of other regions that are linked hear for the own one, and when they said. */
-    private final Map<String, HeardThere> heardThere = new HashMap<>();
+    /** Which representative of the own region counts at each linked hub of another region. */
+    private final Map<String, RemoteView> remoteViews = new HashMap<>();
 
-    private boolean speaking;
+    private boolean representative;
     private long standbyMillis;
 
-    /** Whom a hub of another region hears for the own one. */
-    private record HeardThere(String speaker, long atMillis) {}
+    /**
+     * The representative of the own region that counts at a hub of another region, and when that
+     * was received.
+     */
+    private record RemoteView(String representative, long atMillis) {}
 
     RegionExchange(
             DirectoryKeeper directory,
@@ -94,51 +98,60 @@
         this.writer = writer;
     }
 
-    /** Returns those who tell for other regions and whose figures count here. */
+    /** Returns the representatives of other regions whose figures count at this process. */
     Collection<Peer> counted() {
-        return heard.values();
+        return countedByRegion.values();
     }
 
     /**
-     * Tells whether a peer is no process of the own region, and neither relies on this one nor this
-     * one on it.
+     * Returns whether a peer belongs to another region, is not a leaf of this process, and is not
+     * its hub.
      */
     static boolean isElsewhere(Mesh mesh, RegionView view, Peer peer) {
         return view.isElsewhere(peer.hello()) && !peer.isLeaf() && !mesh.isOwnHub(peer.hello());
     }
 
-    /** Returns how old what each heard region told is, in milliseconds. */
+    /**
+     * Returns the age of the last digest of each region that is being received, in milliseconds.
+     */
     Map<String, Long> ages(long nowMillis) {
         Map<String, Long> ages = new HashMap<>();
-        heard.forEach((region, peer) -> ages.put(region, nowMillis - peer.digestMillis()));
+        countedByRegion.forEach(
+                (region, peer) -> ages.put(region, nowMillis - peer.digestMillis()));
         return ages;
     }
 
-    /** Tells whether this process tells the other regions of its own one. */
-    boolean isSpeaking() {
-        return speaking;
+    /** Returns whether this process represents its region. */
+    boolean isRepresentative() {
+        return representative;
     }
 
-    /** Forgets regions that are silent, and finds out who speaks for the own one. */
+    /**
+     * Removes regions that are not responding, and determines whether this process represents its
+     * own.
+     */
     void tick(Mesh mesh, RegionView view, Collection<Peer> own, long nowMillis) {
-        for (Peer peer : List.copyOf(speakers.values())) {
-            if (nowMillis - peer.digestMillis() > FRESH_MILLIS) {
-                speakers.remove(peer.name());
-                passOver(peer);
-                if (heard.remove(view.region(peer.hello()), peer)) {
+        for (Peer peer : List.copyOf(representatives.values())) {
+            if (nowMillis - peer.digestMillis() > FRESH_MAX_AGE_MILLIS) {
+                representatives.remove(peer.name());
+                stopCounting(peer);
+                if (countedByRegion.remove(view.region(peer.hello()), peer)) {
                     log(view.region(peer.hello()), "lost", peer.name());
                 }
             }
         }
         boolean first = mesh.isHub() && isFirst(view, own, nowMillis);
-        if (first != speaking) {
-            speaking = first;
-            log(view.region(view.self()), first ? "spoken for" : "not spoken for", "by this");
+        if (first != representative) {
+            representative = first;
+            log(
+                    view.region(view.self()),
+                    first ? "spoken for" : "not spoken for",
+                    "by this process");
         }
     }
 
-    /** Tells other regions of the own one. */
-    void tell(
+    /** Sends the state of the own region to other regions. */
+    void send(
             Mesh mesh,
             RegionView view,
             SenderState state,
@@ -155,8 +168,8 @@
         if (elsewhere.isEmpty()) {
             return;
         }
-        if (!speaking) {
-            standBy(mesh, view, state, elsewhere, nowMillis);
+        if (!representative) {
+            sendStandby(mesh, view, state, elsewhere, nowMillis);
             return;
         }
         List<UpstreamUse> uses =
@@ -166,26 +179,29 @@
                         view.region(view.self()),
                         view::isOwnRegion);
         NodeDigest sums = writer.region(state, own, processes, uses, nowMillis);
-        Map<String, Peer> first = firstOfEach(view, elsewhere, nowMillis);
+        Map<String, Peer> usageReceivers = usageReceivers(view, elsewhere, nowMillis);
         for (Peer peer : elsewhere) {
-            boolean hearsUsage = first.containsValue(peer);
+            boolean receivesUsage = usageReceivers.containsValue(peer);
             NodeDigest digest =
-                    hearsUsage ? sums.withUsage(writer.regionNews(peer.usageTold())) : sums;
+                    receivesUsage
+                            ? sums.withUsage(writer.regionUsageChanges(peer.usageSent()))
+                            : sums;
             boolean sent =
                     mesh.send(
                             peer.name(),
-                            new RegionDigest(true, hears(view, peer), view.self(), digest));
-            if (sent && hearsUsage) {
-                peer.usageTold(usage.sequence());
+                            new RegionDigest(
+                                    true, countedRepresentative(view, peer), view.self(), digest));
+            if (sent && receivesUsage) {
+                peer.usageSent(usage.sequence());
             }
         }
     }
 
     /**
-     * Takes over what another region tells.
+     * Applies a digest of another region.
      *
-     * @param sender who sent it
-     * @param hubs those of the own region
+     * @param sender the hub that sent or forwarded the message
+     * @param hubs the other hubs of the own region
      */
     void received(
             Mesh mesh,
@@ -196,7 +212,7 @@
             long nowMillis) {
         NodeHello origin = message.origin();
         if (origin.name().equals(sender.name())) {
-            heardThere.put(sender.name(), new HeardThere(message.hears(), nowMillis));
+            remoteViews.put(sender.name(), new RemoteView(message.hears(), nowMillis));
         }
         if (!view.isElsewhere(origin) || !message.speaks()) {
             return;
@@ -204,108 +220,125 @@
         boolean direct = origin.name().equals(sender.name());
         String region = view.region(origin);
         if (!direct && view.rank(sender) < view.rank(view.self())) {
-            passedOnMillis.put(region, nowMillis);
+            forwardedMillis.put(region, nowMillis);
         }
         Peer peer =
-                speakers.compute(
-                        origin.name(), (name, known) -> Peer.ofLife(known, origin, nowMillis));
-        peer.told(SoundFigures.of(peer.name(), message.digest()), nowMillis);
+                representatives.compute(
+                        origin.name(),
+                        (name, known) -> Peer.ofIncarnation(known, origin, nowMillis));
+        peer.received(ValidFigures.of(peer.name(), message.digest()), nowMillis);
         if (!counts(view, peer, region, nowMillis)) {
-            passOver(peer);
+            stopCounting(peer);
             return;
         }
-        take(view, region, peer, message.digest(), nowMillis);
+        apply(view, region, peer, message.digest(), nowMillis);
         if (direct
-                && nowMillis - passedOnMillis.getOrDefault(region, -FRESH_MILLIS) >= FRESH_MILLIS) {
+                && nowMillis - forwardedMillis.getOrDefault(region, -FRESH_MAX_AGE_MILLIS)
+                        >= FRESH_MAX_AGE_MILLIS) {
             mesh.send(Peer.names(hubs), message);
         }
     }
 
-    /** Of those who tell for a region the first in rank counts that is still heard. */
+    /**
+     * Selects the representative that counts for a region, the first in rank whose digests are
+     * recent, and returns whether it is the given one.
+     */
     private boolean counts(RegionView view, Peer peer, String region, long nowMillis) {
-        Peer before = heard.get(region);
+        Peer before = countedByRegion.get(region);
         if (before == peer) {
             return true;
         }
         if (before != null && before.name().equals(peer.name())) {
-            heard.put(region, peer);
+            countedByRegion.put(region, peer);
             return true;
         }
         boolean better = before == null || view.rank(peer.hello()) < view.rank(before.hello());
-        if (!better && nowMillis - before.digestMillis() <= FRESH_MILLIS) {
+        if (!better && nowMillis - before.digestMillis() <= FRESH_MAX_AGE_MILLIS) {
             return false;
         }
         if (before != null) {
-            passOver(before);
+            stopCounting(before);
         }
-        heard.put(region, peer);
+        countedByRegion.put(region, peer);
         log(region, before == null ? "heard" : "told by another", peer.name());
         return true;
     }
 
-    private void take(
+    private void apply(
             RegionView view, String region, Peer peer, NodeDigest digest, long nowMillis) {
-        LeavingLives.of(digest).forEach(told -> directory.leavingSeenBy(told, peer.name()));
-        digest.usage().forEach(news -> usage.mergeElsewhere(news.life(), news.usage()));
+        LeavingIncarnations.of(digest)
+                .forEach(upstream -> directory.leavingSeenBy(upstream, peer.name()));
+        digest.usage().forEach(history -> usage.mergeElsewhere(history.life(), history.usage()));
         loads.peerUses(
                 peer.name(),
                 RegionUse.spread(digest.uses(), region, directory.all(), view::regionOf));
-        limits.toldByRegion(peer, digest.quotas(), nowMillis);
-        parts.told(peer.name(), digest, nowMillis);
+        limits.receivedFromRegion(peer, digest.quotas(), nowMillis);
+        parts.received(peer.name(), digest, nowMillis);
     }
 
-    private void passOver(Peer peer) {
+    private void stopCounting(Peer peer) {
         loads.peerLost(peer.name());
         parts.forget(peer.name());
-        peer.passedOver();
+        peer.stopCounting();
     }
 
     private boolean isFirst(RegionView view, Collection<Peer> own, long nowMillis) {
         int rank = view.rank(view.self());
         for (Peer peer : own) {
-            boolean fresh = nowMillis - peer.digestMillis() <= FRESH_MILLIS;
-            if (fresh && peer.isHeard() && view.rank(peer.hello()) < rank) {
-                return isMissedElsewhere(view, nowMillis);
+            boolean fresh = nowMillis - peer.digestMillis() <= FRESH_MAX_AGE_MILLIS;
+            if (fresh && peer.hasReported() && view.rank(peer.hello()) < rank) {
+                return isMissingElsewhere(view, nowMillis);
             }
         }
         return true;
     }
 
-    /** A hub that goes first may not reach other regions: then the next one speaks as well. */
-    private boolean isMissedElsewhere(RegionView view, long nowMillis) {
-        heardThere.values().removeIf(there -> nowMillis - there.atMillis() > FRESH_MILLIS);
-        for (HeardThere there : heardThere.values()) {
-            if (there.speaker().isEmpty() || there.speaker().equals(view.self().name())) {
+    /**
+     * Returns whether a linked hub of another region receives no representative of the own region,
+     * or only this process. The first hub in rank may not reach the other regions; the next one is
+     * then a representative as well.
+     */
+    private boolean isMissingElsewhere(RegionView view, long nowMillis) {
+        remoteViews
+                .values()
+                .removeIf(remote -> nowMillis - remote.atMillis() > FRESH_MAX_AGE_MILLIS);
+        for (RemoteView remote : remoteViews.values()) {
+            if (remote.representative().isEmpty()
+                    || remote.representative().equals(view.self().name())) {
                 return true;
             }
         }
         return false;
     }
 
-    private String hears(RegionView view, Peer there) {
-        Peer speaker = heard.get(view.region(there.hello()));
-        return speaker == null ? "" : speaker.name();
+    private String countedRepresentative(RegionView view, Peer remote) {
+        Peer counted = countedByRegion.get(view.region(remote.hello()));
+        return counted == null ? "" : counted.name();
     }
 
-    private void standBy(
+    private void sendStandby(
             Mesh mesh, RegionView view, SenderState state, List<Peer> elsewhere, long nowMillis) {
-        if (nowMillis - standbyMillis >= STANDBY_MILLIS) {
+        if (nowMillis - standbyMillis >= STANDBY_INTERVAL_MILLIS) {
             standbyMillis = nowMillis;
             NodeDigest versions = writer.versions(state);
             for (Peer peer : elsewhere) {
                 mesh.send(
                         peer.name(),
-                        new RegionDigest(false, hears(view, peer), view.self(), versions));
+                        new RegionDigest(
+                                false, countedRepresentative(view, peer), view.self(), versions));
             }
         }
     }
 
-    /** Usage is told to one process of each region, the first in rank that is there. */
-    private static Map<String, Peer> firstOfEach(
+    /**
+     * Returns one process of each region, the first in rank that is present: only that one is sent
+     * changes of usage.
+     */
+    private static Map<String, Peer> usageReceivers(
             RegionView view, List<Peer> elsewhere, long nowMillis) {
         Map<String, Peer> first = new HashMap<>();
         for (Peer peer : elsewhere) {
-            if (nowMillis - peer.digestMillis() <= FRESH_MILLIS) {
+            if (nowMillis - peer.digestMillis() <= FRESH_MAX_AGE_MILLIS) {
                 first.merge(
                         view.region(peer.hello()),
                         peer,
@@ -316,7 +349,7 @@
         return first;
     }
 
-    private static void log(String region, String what, String by) {
-        DecisionLog.write(new Lifecycle("region " + region, what, by));
+    private static void log(String region, String what, String detail) {
+        DecisionLog.write(new Lifecycle("region " + region, what, detail));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionMetrics.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionMetrics.java
@@ -23,20 +23,20 @@
 import java.util.function.ToLongFunction;
 
 /**
- * The figures of a process where there are several regions.
+ * Metrics of a process in a deployment with several regions.
  *
  * @since 0.4
  */
 public final class RegionMetrics {
-    /** Told as the age of a region that is not heard. */
-    private static final double LOST = -1;
+    /** Value of the age of a region whose digests are not being received. */
+    private static final double NOT_RECEIVED = -1;
 
     private final Gauge sent;
     private final Gauge age;
-    private final Gauge speaks;
+    private final Gauge represents;
 
     /**
-     * Creates the figures.
+     * Creates and registers the metrics.
      *
      * @param registry where they are exposed
      */
@@ -50,38 +50,38 @@
         age =
                 Gauge.builder()
                         .name("trailladder_region_age_milliseconds")
-                        .help("Age of what another region told; -1 if it is not heard")
+                        .help("Age of the last digest of another region; -1 if none is received")
                         .labelNames("region")
                         .register(registry);
-        speaks =
+        represents =
                 Gauge.builder()
                         .name("trailladder_region_speaks")
-                        .help("1 if this process tells other regions of its own one")
+                        .help("1 if this process represents its region to other regions")
                         .register(registry);
     }
 
     /**
-     * Records what is known.
+     * Sets the current values.
      *
-     * @param sentBytes tells the bytes sent by distance
-     * @param ages age of what each other region told, in milliseconds; regions not heard are left
-     *     out
+     * @param sentBytes returns the bytes sent by distance
+     * @param ages age of the last digest of each other region, in milliseconds; regions whose
+     *     digests are not received are left out
      * @param regions all other regions
-     * @param speaking true if this process speaks for its own
+     * @param representative true if this process represents its own region
      */
-    public void state(
+    public void update(
             ToLongFunction<Distance> sentBytes,
             Map<String, Long> ages,
             Iterable<String> regions,
-            boolean speaking) {
+            boolean representative) {
         for (Distance distance : Distance.values()) {
             sent.labelValues(distance.name().toLowerCase(Locale.ROOT))
                     .set((double) sentBytes.applyAsLong(distance));
         }
         for (String region : regions) {
             Long known = ages.get(region);
-            age.labelValues(region).set(known == null ? LOST : known.doubleValue());
+            age.labelValues(region).set(known == null ? NOT_RECEIVED : known.doubleValue());
         }
-        speaks.set(speaking ? 1 : 0);
+        represents.set(representative ? 1 : 0);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ReportBytes.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ReportBytes.java
@@ -21,7 +21,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads reports that stand one after the other. */
+/** Reads a sequence of reports from a buffer. */
 final class ReportBytes {
     private ReportBytes() {}
 
@@ -29,12 +29,12 @@
     @FunctionalInterface
     interface Reader<T> {
         /**
-         * Reads a report from where the bytes stand.
+         * Reads a report at the position of the buffer.
          *
-         * @param bytes what was written
+         * @param bytes the buffer
          * @return the report
-         * @throws IOException if it is unsound
-         * @throws BufferUnderflowException if it ends early
+         * @throws IOException if the report is invalid
+         * @throws BufferUnderflowException if the report is truncated
          */
         T read(ByteBuffer bytes) throws IOException;
     }
@@ -42,10 +42,10 @@
     /**
      * Reads all reports.
      *
-     * @param bytes what was written
-     * @param reader reads one
+     * @param bytes the buffer
+     * @param reader reads one report
      * @return the reports
-     * @throws IOException if any of them is unsound
+     * @throws IOException if any of them is invalid
      */
     static <T> List<T> readAll(ByteBuffer bytes, Reader<T> reader) throws IOException {
         List<T> reports = new ArrayList<>();
@@ -54,7 +54,7 @@
                 reports.add(reader.read(bytes));
             }
         } catch (BufferUnderflowException e) {
-            throw new IOException("a report ends early", e);
+            throw new IOException("truncated report", e);
         }
         return reports;
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutParts.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutParts.java
@@ -98,7 +98,7 @@
         if (ordered) {
             view.rollouts(exchange);
             // the old version stops with the record: whoever hears it late sends to nobody
-            keeper.onAdvance(view::tellRollouts);
+            keeper.onAdvance(view::sendRolloutReports);
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TurnOrders.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SendSlotOrders.java
@@ -27,16 +27,16 @@
 import java.util.function.Supplier;
 
 /**
- * Tells which turns at an upstream's limit are this process's: those of the upstream's region share
- * it, in the order of their names.
+ * Determines which send slots of an upstream's limit belong to this process: the processes of the
+ * upstream's region share them, in the order of their names.
  *
- * <p>While more processes are known of than the store lists, the order of names is not known, and
- * each process takes a turn out of so many by its own name. All together then take as many turns as
- * there are, though not one each.
+ * <p>While more processes are known than the store lists, the order of names is not known, and each
+ * process takes one slot out of that many by the hash of its own name. Together they then use as
+ * many slots as there are, though a slot may have several processes or none.
  */
-final class TurnOrders {
-    /** How many processes there are taken to be until the store has told which there are. */
-    private static final int LEAST_UNKNOWN = 10;
+final class SendSlotOrders {
+    /** Minimum number of processes assumed until the store has listed them. */
+    private static final int MIN_ASSUMED_PROCESSES = 10;
 
     private final String self;
     private final Topology topology;
@@ -49,13 +49,13 @@
     /**
      * Creates orders.
      *
-     * @param self this process's name
-     * @param topology where it is
-     * @param members the processes that the store lists; empty if it has told none
-     * @param processes how many there are, as far as is known
-     * @param nowMillis the time
+     * @param self the name of this process
+     * @param topology the location of this process
+     * @param members the processes that the store lists; empty if it has not listed any
+     * @param processes number of processes, as far as known
+     * @param nowMillis the current time, in milliseconds
      */
-    TurnOrders(
+    SendSlotOrders(
             String self,
             Topology topology,
             Supplier<List<GatewayMember>> members,
@@ -69,14 +69,15 @@
     }
 
     /**
-     * Returns which turns at an upstream's limit are this process's.
+     * Returns which send slots of an upstream's limit belong to this process.
      *
      * @param upstream the upstream
-     * @return its place in the order; none in an order of another region's processes
+     * @return the position of this process in the order; no part for an upstream of another region
+     *     that has processes of its own
      */
     TurnOrder of(Upstream upstream) {
         long now = nowMillis.getAsLong();
-        if (now - readMillis >= ClusterView.DIGEST_MILLIS) {
+        if (now - readMillis >= ClusterView.DIGEST_INTERVAL_MILLIS) {
             readMillis = now;
             byRegion.clear();
         }
@@ -85,11 +86,11 @@
 
     private TurnOrder read(String region) {
         List<GatewayMember> listed = members.get();
-        boolean lists = listed.stream().anyMatch(member -> member.name().equals(self));
-        int known = listed.size() + (lists ? 0 : 1);
+        boolean selfListed = listed.stream().anyMatch(member -> member.name().equals(self));
+        int known = listed.size() + (selfListed ? 0 : 1);
         if (listed.isEmpty() || known < processes.getAsInt()) {
-            int least = listed.isEmpty() ? LEAST_UNKNOWN : known;
-            int count = Math.max(least, processes.getAsInt());
+            int min = listed.isEmpty() ? MIN_ASSUMED_PROCESSES : known;
+            int count = Math.max(min, processes.getAsInt());
             return new TurnOrder(Math.floorMod(self.hashCode(), count), count);
         }
         List<GatewayMember> sharing =
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SnapshotExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SnapshotExchange.java
@@ -25,19 +25,23 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 
-/** Takes the policy and the list of upstreams over from peers that have newer ones. */
+/**
+ * Requests the policy and the list of upstreams from peers that have newer ones, and answers such
+ * requests.
+ */
 final class SnapshotExchange {
-    private static final long ASK_MILLIS = 300;
+    /** Minimum time between two requests because of a digest, in milliseconds. */
+    private static final long REQUEST_INTERVAL_MILLIS = 300;
 
     /**
-     * How long a peer's list may be newer before it is asked for although the store answers, in
-     * milliseconds: three digests. By then the store has told the change here too, unless the wait
-     * for changes hears nothing.
+     * How long a peer's list may be newer before it is requested although the store answers, in
+     * milliseconds: three digests. By then the store has delivered the change to this process too,
+     * unless its watch receives nothing.
      */
-    private static final long LAG_MILLIS = 600;
+    private static final long MAX_LAG_MILLIS = 600;
 
-    /** Most peers of which it is remembered what they were asked: those of the largest hub. */
-    private static final int MOST_ASKED = 1_000;
+    /** Maximum number of peers whose requests are tracked: those of the largest hub. */
+    private static final int MAX_TRACKED_PEERS = 1_000;
 
     private static final byte[] NO_BYTES = {};
 
@@ -46,10 +50,10 @@
     private final DirectoryKeeper directory;
     private final StoreHealth store;
     private final GatewayMetrics metrics;
-    private final Map<String, Long> askedAfter = new RecentMap<>(MOST_ASKED);
-    private final Map<String, Long> newerSinceMillis = new RecentMap<>(MOST_ASKED);
+    private final Map<String, Long> requestedAfterRevision = new RecentMap<>(MAX_TRACKED_PEERS);
+    private final Map<String, Long> newerSinceMillis = new RecentMap<>(MAX_TRACKED_PEERS);
     private Runnable onMissed = () -> {};
-    private long askedMillis;
+    private long requestedMillis;
 
     SnapshotExchange(
             LongSupplier nowMillis,
@@ -64,19 +68,22 @@
         this.metrics = metrics;
     }
 
-    /** Has a task run when a peer knew of a change that the store has not told here. */
+    /** Sets the task that runs when a peer supplied a change that the store has not delivered. */
     void onMissed(Runnable task) {
         onMissed = task;
     }
 
-    /** Asks a peer that has just been linked if the store does not tell, or has not told yet. */
+    /**
+     * Requests a snapshot from a peer that has just been linked if the store does not answer, or no
+     * policy is known yet.
+     */
     void linked(Mesh mesh, NodeHello peer) {
         if (!store.isReachable() || policies.version() == 0) {
-            ask(mesh, peer);
+            request(mesh, peer);
         }
     }
 
-    /** Asks a peer whose digest tells of a newer policy or list. */
+    /** Requests a snapshot from a peer whose digest names a newer policy or list. */
     void digest(Mesh mesh, Peer from, NodeDigest digest) {
         NodeHello peer = from.hello();
         long now = nowMillis.getAsLong();
@@ -84,9 +91,9 @@
         boolean newerList =
                 isNewer(from, digest)
                         && (!store.isReachable() || mesh.isFedBy(peer) || isMissed(peer, now));
-        if ((newerPolicy || newerList) && now - askedMillis >= ASK_MILLIS) {
-            askedMillis = now;
-            ask(mesh, peer);
+        if ((newerPolicy || newerList) && now - requestedMillis >= REQUEST_INTERVAL_MILLIS) {
+            requestedMillis = now;
+            request(mesh, peer);
         }
     }
 
@@ -100,16 +107,19 @@
         return newer;
     }
 
-    private boolean isMissed(NodeHello peer, long now) {
-        Long since = newerSinceMillis.putIfAbsent(peer.name(), now);
-        return since != null && now - since >= LAG_MILLIS;
+    private boolean isMissed(NodeHello peer, long nowMillis) {
+        Long since = newerSinceMillis.putIfAbsent(peer.name(), nowMillis);
+        return since != null && nowMillis - since >= MAX_LAG_MILLIS;
     }
 
-    /** Answers a peer with what is newer here; any list is newer than one of another history. */
-    void asked(Mesh mesh, Peer peer, SnapshotAsk ask) {
-        boolean newerPolicy = policies.version() > ask.policyVersion();
+    /**
+     * Answers a peer with what is newer at this process; any list counts as newer than one of
+     * another history.
+     */
+    void requestReceived(Mesh mesh, Peer peer, SnapshotAsk request) {
+        boolean newerPolicy = policies.version() > request.policyVersion();
         boolean sameHistory = store.history().mayBeOf(peer.storeEpoch());
-        long peerRevision = sameHistory ? ask.directoryRevision() : 0;
+        long peerRevision = sameHistory ? request.directoryRevision() : 0;
         boolean newerList = directory.revision() > peerRevision;
         Snapshot snapshot =
                 new Snapshot(
@@ -120,8 +130,8 @@
         mesh.send(peer.name(), snapshot);
     }
 
-    /** Takes a peer's answer over where it is newer; its list only if it is of this history. */
-    void answered(Mesh mesh, Peer from, Snapshot snapshot) {
+    /** Applies what is newer in a peer's answer; its list only if it is of the current history. */
+    void snapshotReceived(Mesh mesh, Peer from, Snapshot snapshot) {
         NodeHello peer = from.hello();
         if (snapshot.policyVersion() > policies.version()
                 && policies.offer(snapshot.policy(), peer.name())) {
@@ -140,21 +150,26 @@
         }
     }
 
-    /** A peer whose list is not newer than the one it was asked about sends an empty one. */
+    /**
+     * Returns whether a snapshot contains a list. A peer whose list is not newer than the revision
+     * in the request sends an empty one.
+     */
     private boolean hasList(NodeHello peer, Snapshot snapshot) {
-        Long after = askedAfter.remove(peer.name());
+        Long after = requestedAfterRevision.remove(peer.name());
         boolean isNewer = after != null && after < snapshot.directoryRevision();
         return isNewer || !snapshot.upstreams().isEmpty();
     }
 
-    /** Tells whether the policy and list here are at least those of a peer. */
-    boolean isLevelWith(Peer peer) {
+    /**
+     * Returns whether the policy and list of this process are at least as new as those of a peer.
+     */
+    boolean isAsRecentAs(Peer peer) {
         return policies.version() >= peer.policyVersion()
                 && directory.revision() >= peer.directoryRevision();
     }
 
-    private void ask(Mesh mesh, NodeHello peer) {
-        askedAfter.put(peer.name(), directory.revision());
+    private void request(Mesh mesh, NodeHello peer) {
+        requestedAfterRevision.put(peer.name(), directory.revision());
         mesh.send(peer.name(), new SnapshotAsk(policies.version(), directory.revision()));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreEpochSection.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreEpochSection.java
@@ -21,8 +21,8 @@
 import java.util.Optional;
 
 /**
- * The section of a digest that tells which history of the store the sender's revisions are of, and
- * the highest fencing token that it knows. Older builds pass it over and send none.
+ * The digest section that contains the store epoch of the sender's revisions and the highest
+ * fencing token that it knows. Older builds ignore it and send none.
  *
  * @param epoch the epoch; 0 if none is known
  * @param token the highest token of a leader; 0 if none is known
@@ -32,10 +32,10 @@
     private static final int VERSION = 1;
     private static final int BYTES = 2 * Long.BYTES;
 
-    /** Tells nothing. */
+    /** A section without epoch and token, which is not written. */
     static final StoreEpochSection NONE = new StoreEpochSection(0, 0);
 
-    /** Writes the section; none for a store that names no epochs. */
+    /** Returns the section; empty for a store that names no epochs. */
     Optional<DigestSection> write() {
         if (epoch == 0) {
             return Optional.empty();
@@ -44,11 +44,11 @@
         return Optional.of(new DigestSection(NAME, VERSION, 0, body));
     }
 
-    /** Reads what a digest tells; a section of another form counts as not told. */
+    /** Reads the section of a digest; a section of another version or length is ignored. */
     static StoreEpochSection of(NodeDigest digest) {
         for (DigestSection section : digest.sections()) {
-            boolean meant = section.name().equals(NAME) && section.version() == VERSION;
-            if (meant && section.body().length == BYTES) {
+            boolean matches = section.name().equals(NAME) && section.version() == VERSION;
+            if (matches && section.body().length == BYTES) {
                 ByteBuffer body = ByteBuffer.wrap(section.body());
                 long epoch = body.getLong();
                 return new StoreEpochSection(epoch, LeaderKey.sound(body.getLong()));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TimePart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TimePart.java
@@ -30,14 +30,17 @@
 import java.util.function.LongSupplier;
 
 /**
- * The time of day that the processes agree on, told with digests. The way of a digest, some
- * milliseconds, is not made up for: it is under a thousandth of a window of usage.
+ * The time of day on which the processes agree, exchanged with digests. The latency of a digest,
+ * some milliseconds, is not compensated for: it is less than a thousandth of a usage window.
  */
 final class TimePart extends Clock implements DigestPart {
     private static final int BYTES = Long.BYTES + Integer.BYTES;
 
-    /** From which difference on the log tells that the own clock is not followed, in ms. */
-    private static final long LOGGED_MILLIS = 200;
+    /**
+     * Minimum difference between the own clock and the agreed time at which the log reports that
+     * the own clock is not followed, in milliseconds.
+     */
+    private static final long LOGGED_DIFFERENCE_MILLIS = 200;
 
     private final Clock own;
     private final LongSupplier steadyMillis;
@@ -45,9 +48,9 @@
     private boolean differs;
 
     /**
-     * Creates the part of a process that has heard nobody.
+     * Creates the part of a process that has received no votes.
      *
-     * @param own the process's own time of day
+     * @param own the time of day of this process
      * @param steadyMillis a clock that never jumps, in milliseconds
      */
     TimePart(Clock own, LongSupplier steadyMillis) {
@@ -77,7 +80,7 @@
     }
 
     @Override
-    public void told(String peer, DigestSection section, long nowMillis) throws IOException {
+    public void received(String peer, DigestSection section, long nowMillis) throws IOException {
         if (section.body().length != BYTES) {
             throw new IOException(section.body().length + " bytes, expected " + BYTES);
         }
@@ -85,7 +88,10 @@
         long offset = body.getLong() - steadyMillis.getAsLong();
         TimeVote vote = new TimeVote(offset, body.getInt());
         if (!vote.isSound()) {
-            throw new IOException("time of " + vote.voters() + " processes");
+            throw new IOException(
+                    "invalid number of voters: "
+                            + vote.voters()
+                            + ", expected a positive number within the maximum");
         }
         agreed.told(peer, vote);
     }
@@ -99,10 +105,10 @@
     public long millis() {
         long ownMillis = own.millis();
         long millis = agreed.millis(steadyMillis.getAsLong(), ownOffset());
-        boolean now = Math.abs(millis - ownMillis) > LOGGED_MILLIS;
-        if (now != differs) {
-            differs = now;
-            String what = now ? "is not followed" : "is followed again";
+        boolean differsNow = Math.abs(millis - ownMillis) > LOGGED_DIFFERENCE_MILLIS;
+        if (differsNow != differs) {
+            differs = differsNow;
+            String what = differsNow ? "is not followed" : "is followed again";
             DecisionLog.write(new Lifecycle("own clock", what, (ownMillis - millis) + " ms ahead"));
         }
         return millis;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UnusableEntries.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UnusableEntries.java
@@ -21,39 +21,43 @@
 import org.tinylog.Logger;
 
 /**
- * The entries that name no upstream because they cannot be used. Each is logged when its fault
- * becomes known, within a bound, since another writer may spoil many at once.
+ * Store entries that cannot be used as upstreams. Each is logged when its fault becomes known, up
+ * to a maximum rate, since another writer may invalidate many at once.
  */
 final class UnusableEntries {
-    /** Most lines in {@link #LOGGED_MILLIS}. */
-    private static final int MOST_LOGGED = 20;
+    /** Maximum number of log lines in {@link #LOG_INTERVAL_MILLIS}. */
+    private static final int MAX_LOGGED_PER_INTERVAL = 20;
 
-    private static final long LOGGED_MILLIS = 10_000;
+    private static final long LOG_INTERVAL_MILLIS = 10_000;
 
     private final Map<String, String> faults = new HashMap<>();
     private long loggedSinceMillis;
     private int logged;
 
-    /** Records what is wrong with an entry. */
+    /** Records the fault of an entry. */
     void add(String id, long revision, String fault, long nowMillis) {
         if (fault.equals(faults.put(id, fault))) {
             return;
         }
-        if (nowMillis - loggedSinceMillis >= LOGGED_MILLIS) {
+        if (nowMillis - loggedSinceMillis >= LOG_INTERVAL_MILLIS) {
             loggedSinceMillis = nowMillis;
             logged = 0;
         }
-        if (logged++ < MOST_LOGGED) {
-            Logger.warn("entry {} at revision {} names no upstream: {}", id, revision, fault);
+        if (logged++ < MAX_LOGGED_PER_INTERVAL) {
+            Logger.warn(
+                    "store entry {} at revision {} is not a valid upstream: {}",
+                    id,
+                    revision,
+                    fault);
         }
     }
 
-    /** Records that an entry is sound, or gone. */
+    /** Records that an entry is valid or has been removed. */
     void remove(String id) {
         faults.remove(id);
     }
 
-    /** Forgets all entries but some. */
+    /** Removes all entries except the given ones. */
     void retain(Collection<String> ids) {
         faults.keySet().retainAll(ids);
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SoundFigures.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ValidFigures.java
@@ -21,16 +21,19 @@
 import io.trailladder.wire.NodeMessage.NodeDigest;
 import java.util.List;
 
-/** Leaves figures of peers out that cannot be true, so that they spoil nobody's model. */
-final class SoundFigures {
-    private SoundFigures() {}
+/**
+ * Removes invalid figures from the digests of peers, so that they do not distort the models of this
+ * process.
+ */
+final class ValidFigures {
+    private ValidFigures() {}
 
     /**
-     * Returns a digest with the figures that can be true; one line tells of those that cannot.
+     * Returns a digest with the valid figures only; the removed ones are logged in one line.
      *
-     * @param peer who sent it
-     * @param digest the digest as it came
-     * @return the digest itself if all its figures are sound
+     * @param peer the peer that sent it
+     * @param digest the digest as received
+     * @return the digest itself if all its figures are valid
      */
     static NodeDigest of(String peer, NodeDigest digest) {
         if (digest.demands().isEmpty() && digest.evidence().isEmpty()) {
@@ -40,8 +43,8 @@
                 digest.demands().stream().filter(ServiceDemand::isSound).toList();
         List<EngineEvidence> evidence =
                 digest.evidence().stream().filter(EngineEvidence::isSound).toList();
-        int told = digest.demands().size() + digest.evidence().size();
-        int refused = told - demands.size() - evidence.size();
+        int received = digest.demands().size() + digest.evidence().size();
+        int refused = received - demands.size() - evidence.size();
         if (refused == 0) {
             return digest;
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ConnectionSharesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ConnectionSharesTest.java
@@ -33,7 +33,7 @@
     void partsAddUpToWhatIsAccepted(
             @ForAll @IntRange(min = 1, max = 340) int processes,
             @ForAll @IntRange(min = 1, max = 1_000) int accepted) {
-        int most = ConnectionShares.part(accepted - UPSTREAM.slots(), processes);
+        int most = ConnectionShares.share(accepted - UPSTREAM.slots(), processes);
         boolean oneEach = accepted - UPSTREAM.slots() < processes;
         assertTrue(most >= 1 && most <= 64);
         assertTrue(oneEach || most * processes + UPSTREAM.slots() <= accepted);
@@ -42,6 +42,6 @@
     @Example
     void withoutABoundAFixedNumberRests() {
         ConnectionShares shares = new ConnectionShares(new PolicyKeeper(new NoFormat()), () -> 340);
-        assertEquals(64, shares.mostResting("m", UPSTREAM));
+        assertEquals(64, shares.maxIdle("m", UPSTREAM));
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashPartTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashPartTest.java
@@ -66,10 +66,10 @@
     void endsSeenByTwoAddUp() throws IOException {
         end(own, 1, 2);
         other.ended("t", request(1), upstream("elsewhere"), 100);
-        otherPart.told("own", section(ownPart), now);
+        otherPart.received("own", section(ownPart), now);
         assertTrue(other.refuses("t", request(1)));
         assertFalse(own.refuses("t", request(1)));
-        ownPart.told("other", section(otherPart), now);
+        ownPart.received("other", section(otherPart), now);
         assertTrue(own.refuses("t", request(1)));
     }
 
@@ -80,10 +80,10 @@
         }
         now += LONG_AGO_MILLIS;
         int atRest = section(ownPart).body().length;
-        ownPart.told("other", section(otherPart), now);
+        ownPart.received("other", section(otherPart), now);
         DigestSection all = section(ownPart);
         assertTrue(all.body().length > 10 * atRest, all.body().length + " bytes");
-        otherPart.told("own", all, now);
+        otherPart.received("own", all, now);
         for (int request = 1; request <= 20; request++) {
             assertTrue(other.refuses("t", request(request)));
         }
@@ -95,8 +95,8 @@
         end(own, 2, 3);
         now += LONG_AGO_MILLIS;
         for (int round = 0; round < 2; round++) {
-            otherPart.told("own", section(ownPart), now);
-            now += ClusterView.DIGEST_MILLIS;
+            otherPart.received("own", section(ownPart), now);
+            now += ClusterView.DIGEST_INTERVAL_MILLIS;
         }
         assertTrue(other.refuses("t", request(1)));
         assertTrue(other.refuses("t", request(2)));
@@ -113,21 +113,21 @@
     @Example
     void unsoundSectionIsRefusedWhole() {
         DigestSection shortOne = new DigestSection("crashes", 1, 0, new byte[3]);
-        assertThrows(IOException.class, () -> ownPart.told("p", shortOne, now));
+        assertThrows(IOException.class, () -> ownPart.received("p", shortOne, now));
         byte[] tooManyEnds = new byte[8 + 13];
         tooManyEnds[8 + 12] = 100;
         DigestSection unsound = new DigestSection("crashes", 1, 0, tooManyEnds);
-        assertThrows(IOException.class, () -> ownPart.told("p", unsound, now));
+        assertThrows(IOException.class, () -> ownPart.received("p", unsound, now));
         assertEquals(0, own.ledger().size());
     }
 
     @Example
     void operatorsWordIsToldToo() throws IOException {
         end(own, 1, 3);
-        otherPart.told("own", section(ownPart), now);
+        otherPart.received("own", section(ownPart), now);
         now += 1_000;
         assertTrue(other.lift(new RequestFingerprint(1)));
-        ownPart.told("other", section(otherPart), now);
+        ownPart.received("other", section(otherPart), now);
         assertFalse(own.refuses("t", request(1)));
     }
 
@@ -136,8 +136,8 @@
         List<RequestFingerprint> found = new ArrayList<>();
         other.onRefused(found::add);
         end(own, 1, 3);
-        otherPart.told("own", section(ownPart), now);
-        otherPart.told("own", section(ownPart), now);
+        otherPart.received("own", section(ownPart), now);
+        otherPart.received("own", section(ownPart), now);
         assertEquals(List.of(new RequestFingerprint(1)), found);
     }
 
@@ -154,7 +154,7 @@
             tellers.add(new CrashPart(watch, 10 + i));
         }
         for (CrashPart teller : tellers) {
-            otherPart.told("teller" + tellers.indexOf(teller), section(teller), now);
+            otherPart.received("teller" + tellers.indexOf(teller), section(teller), now);
         }
         assertFalse(other.refuses("t", request(1)));
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LeavingHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LeavingHistoriesTest.java
@@ -127,31 +127,33 @@
 
     @Example
     void digestsAtRestNameNobody() {
-        LeavingNews news = new LeavingNews(LeavingHistoriesTest::unlessGone);
+        LeavingUpdates news = new LeavingUpdates(LeavingHistoriesTest::unlessGone);
         assertTrue(news.next(0).isEmpty());
         news.began("gone", 0);
         assertTrue(news.next(0).isEmpty(), "one that is not listed any more");
         news.began("listed", 0);
         assertEquals(
-                List.of(new LeavingUpstream("listed", 5)), news.next(NewsInTurn.NEWS_MILLIS - 1));
+                List.of(new LeavingUpstream("listed", 5)),
+                news.next(UpdateRotation.FRESH_MILLIS - 1));
     }
 
     @Example
     void everyLeaverIsNamedInTurn() {
-        LeavingNews news = new LeavingNews(LeavingHistoriesTest::unlessGone);
+        LeavingUpdates news = new LeavingUpdates(LeavingHistoriesTest::unlessGone);
         Set<LeavingUpstream> fresh = new HashSet<>();
         Set<LeavingUpstream> older = new HashSet<>();
         for (int i = 0; i < LEAVERS; i++) {
             news.began(id(i), 0);
         }
-        for (int digest = 0; digest * LeavingNews.MOST_TOLD < LEAVERS; digest++) {
+        for (int digest = 0; digest * LeavingUpdates.MAX_PER_DIGEST < LEAVERS; digest++) {
             List<LeavingUpstream> told = news.next(0);
-            assertTrue(told.size() <= LeavingNews.MOST_TOLD, told.size() + " in one digest");
+            assertTrue(
+                    told.size() <= LeavingUpdates.MAX_PER_DIGEST, told.size() + " in one digest");
             fresh.addAll(told);
         }
-        for (int digest = 0; digest * LeavingNews.MOST_REPEATED < LEAVERS; digest++) {
-            List<LeavingUpstream> told = news.next(NewsInTurn.NEWS_MILLIS);
-            assertTrue(told.size() <= LeavingNews.MOST_REPEATED, told.size() + " at rest");
+        for (int digest = 0; digest * LeavingUpdates.MAX_REPEATED < LEAVERS; digest++) {
+            List<LeavingUpstream> told = news.next(UpdateRotation.FRESH_MILLIS);
+            assertTrue(told.size() <= LeavingUpdates.MAX_REPEATED, told.size() + " at rest");
             older.addAll(told);
         }
         assertEquals(LEAVERS, fresh.size());
@@ -163,15 +165,15 @@
     void livesStandBesideTheNamesThatAllBuildsRead() {
         List<LeavingUpstream> leaving =
                 List.of(new LeavingUpstream("a", 7), new LeavingUpstream("b", 0));
-        DigestSection lives = LeavingLives.section(leaving).orElseThrow();
-        assertEquals(leaving, LeavingLives.of(digest(List.of("a", "b"), List.of(lives))));
+        DigestSection lives = LeavingIncarnations.section(leaving).orElseThrow();
+        assertEquals(leaving, LeavingIncarnations.of(digest(List.of("a", "b"), List.of(lives))));
         List<LeavingUpstream> unknown =
                 List.of(new LeavingUpstream("a", 0), new LeavingUpstream("b", 0));
-        assertEquals(unknown, LeavingLives.of(digest(List.of("a", "b"), List.of())));
+        assertEquals(unknown, LeavingIncarnations.of(digest(List.of("a", "b"), List.of())));
         assertEquals(
                 List.of(new LeavingUpstream("a", 0)),
-                LeavingLives.of(digest(List.of("a"), List.of(lives))));
-        assertTrue(LeavingLives.section(unknown).isEmpty(), "nothing to tell");
+                LeavingIncarnations.of(digest(List.of("a"), List.of(lives))));
+        assertTrue(LeavingIncarnations.section(unknown).isEmpty(), "nothing to tell");
     }
 
     private static NodeDigest digest(List<String> leaving, List<DigestSection> sections) {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitHistoriesTest.java
@@ -244,8 +244,8 @@
         cluster.pass(CALM_MILLIS);
         cluster.demand(15 * LIMIT);
         long begun = cluster.now();
-        cluster.pass(ClusterView.DIGEST_MILLIS);
-        double allowed = LIMIT * (1 + ClusterView.DIGEST_MILLIS / 1_000.0);
+        cluster.pass(ClusterView.DIGEST_INTERVAL_MILLIS);
+        double allowed = LIMIT * (1 + ClusterView.DIGEST_INTERVAL_MILLIS / 1_000.0);
         double granted = cluster.grantedSince(begun);
         assertTrue(
                 granted <= allowed + SimulatedCluster.TOLERANCE_UNITS,
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
@@ -57,7 +57,7 @@
     private static void everyoneHearsAll(SimulatedCluster cluster, int processes) {
         for (String name : cluster.names()) {
             if (cluster.process(name).isRunning()) {
-                assertEquals(processes, cluster.process(name).view().heardProcesses(), name);
+                assertEquals(processes, cluster.process(name).view().totalProcesses(), name);
             }
         }
     }
@@ -166,7 +166,7 @@
         cluster.losePower("p000");
         cluster.pass(1_200);
         for (String name : cluster.namesOf("dc1")) {
-            int heard = cluster.process(name).view().heardProcesses();
+            int heard = cluster.process(name).view().totalProcesses();
             assertTrue(heard >= 36 + 24, name + " hears " + heard);
         }
         cluster.pass(10_000);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
@@ -132,7 +132,7 @@
         limits = new UpstreamLimits(cluster::now, this::turns);
         view.add(LimitPart.of(limits, cluster::now, () -> tellsSoon = true));
         view.add(new CrashPart(crashes, member.name().hashCode() * 31L + life));
-        crashes.onOwnNews(view::tellSoon);
+        crashes.onOwnNews(view::sendDigestsSoon);
         quotas.onMuchUsed(() -> tellsSoon = true);
         view.start(new Links(), () -> false);
         quotas.policy(cluster.policy(), cluster.now());
@@ -218,7 +218,7 @@
     void tellSoon() {
         if (tellsSoon) {
             tellsSoon = false;
-            view.tellSoon();
+            view.sendDigestsSoon();
         }
     }
 
@@ -236,7 +236,7 @@
         if ((now + offsetMillis) % DIAL_MILLIS < 20) {
             maintain(now);
         }
-        if ((now + offsetMillis) % ClusterView.DIGEST_MILLIS < 20) {
+        if ((now + offsetMillis) % ClusterView.DIGEST_INTERVAL_MILLIS < 20) {
             view.tick();
         }
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SoundFiguresTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SoundFiguresTest.java
@@ -50,7 +50,7 @@
     @Example
     void soundDigestIsTakenAsItIs() {
         NodeDigest digest = digest(List.of(new ServiceDemand("s", 1, 2)), List.of(SOUND));
-        assertSame(digest, SoundFigures.of("peer", digest));
+        assertSame(digest, ValidFigures.of("peer", digest));
     }
 
     @Example
@@ -63,7 +63,7 @@
                         new ServiceDemand("s", 1, 2));
         List<EngineEvidence> evidence =
                 List.of(SOUND, new EngineEvidence("bad", absurd, FitSums.NONE, 1, 1));
-        NodeDigest sound = SoundFigures.of("peer", digest(demands, evidence));
+        NodeDigest sound = ValidFigures.of("peer", digest(demands, evidence));
         assertEquals(List.of(new ServiceDemand("s", 1, 2)), sound.demands());
         assertEquals(List.of(SOUND), sound.evidence());
         assertEquals(List.of("left"), sound.leaving());
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/TurnOrdersTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/TurnOrdersTest.java
@@ -44,7 +44,7 @@
     private static TurnOrder order(
             int self, String dataCentre, List<GatewayMember> listed, int processes, String where) {
         Topology topology = Topology.of(dataCentre, REGIONS);
-        return new TurnOrders("g" + self, topology, () -> listed, () -> processes, () -> 0)
+        return new SendSlotOrders("g" + self, topology, () -> listed, () -> processes, () -> 0)
                 .of(upstream(where));
     }
 
