--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
@@ -440,7 +440,7 @@
      * #DIGEST_INTERVAL_MILLIS}.
      */
     public void tick() {
-        removeSilentPeers();
+        removeUnresponsivePeers();
         mesh.regions()
                 .ifPresent(
                         view -> regions.tick(mesh, view, peers.ownHubs(), nowMillis.getAsLong()));
@@ -477,8 +477,8 @@
         }
     }
 
-    private void removeSilentPeers() {
-        for (Peer peer : peers.removeSilent()) {
+    private void removeUnresponsivePeers() {
+        for (Peer peer : peers.removeUnresponsive()) {
             loads.peerLost(peer.name());
             parts.forget(peer.name());
             rollouts.ifPresent(exchange -> exchange.forget(peer.name()));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LinkedPeers.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LinkedPeers.java
@@ -77,16 +77,16 @@
     }
 
     /** Removes the peers that have sent nothing for too long, and returns them. */
-    List<Peer> removeSilent() {
+    List<Peer> removeUnresponsive() {
         long oldest = nowMillis.getAsLong() - PeerMesh.HEARD_MILLIS;
-        List<Peer> silent = new ArrayList<>();
+        List<Peer> unresponsive = new ArrayList<>();
         for (Peer peer : peers.values()) {
             if (peer.digestMillis() < oldest) {
-                silent.add(peer);
+                unresponsive.add(peer);
             }
         }
-        silent.forEach(peer -> peers.remove(peer.name()));
-        return silent;
+        unresponsive.forEach(peer -> peers.remove(peer.name()));
+        return unresponsive;
     }
 
     Collection<Peer> all() {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Membership.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Membership.java
@@ -99,8 +99,14 @@
 
     private final byte[] value;
     private final SplittableRandom random;
-    private int lists;
-    private int round;
+    private int listCount;
+
+    /**
+     * Incremented when the store's history is replaced; calls and delays of earlier rounds are
+     * ignored.
+     */
+    private int historyRound;
+
     private long rewriteGraceUntilMillis = Long.MIN_VALUE;
     private long ownRevision;
     private long lease;
@@ -139,7 +145,7 @@
 
     /** Writes the entry and renews its lease, and reads the entries of the others. */
     public void start() {
-        grant(round);
+        grant(historyRound);
         if (firstStart) {
             loop.schedule(FIRST_LIST_DELAY_MILLIS, this::list);
         } else {
@@ -163,7 +169,7 @@
     }
 
     private void listAfter(String afterKey) {
-        Freshness freshness = lists < SETTLING_LIST_COUNT ? Freshness.LATEST : Freshness.RECENT;
+        Freshness freshness = listCount < SETTLING_LIST_COUNT ? Freshness.LATEST : Freshness.RECENT;
         store.list(PREFIX, afterKey, freshness, this::pageReceived);
     }
 
@@ -180,7 +186,7 @@
             listAfter(items.get(items.size() - 1).key());
             return;
         }
-        lists++;
+        listCount++;
         if (known.size() > listed.size()) {
             Set<GatewayMember> present = new HashSet<>(listed);
             known.values().removeIf(entry -> !present.contains(entry.member()));
@@ -207,15 +213,15 @@
         rewriteGraceUntilMillis = loop.nowMillis() + REWRITE_GRACE_MILLIS;
         if (lease != 0 && !stopped) {
             lease = 0;
-            round++;
-            int current = round;
+            historyRound++;
+            int current = historyRound;
             long spread = 1 + SPREAD_PER_PROCESS_MILLIS * mesh.size();
             loop.schedule(random.nextLong(spread), () -> readOwn(current));
         }
     }
 
     private long listMillis() {
-        if (lists < SETTLING_LIST_COUNT || mesh.lacksHub()) {
+        if (listCount < SETTLING_LIST_COUNT || mesh.lacksHub()) {
             return SETTLING_LIST_INTERVAL_MILLIS;
         }
         return mesh.isHub() ? HUB_LIST_INTERVAL_MILLIS : LEAF_LIST_INTERVAL_MILLIS;
@@ -298,7 +304,7 @@
      * Runs a task unless the call or delay before it started in an earlier history of the store.
      */
     private void ifCurrent(int current, Runnable task) {
-        if (current == round && !stopped) {
+        if (current == historyRound && !stopped) {
             task.run();
         }
     }
