--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
@@ -402,7 +402,7 @@
         }
         boolean leaf = peer.isLeaf();
         digest.usage().forEach(history -> usage.merge(history.life(), history.usage(), leaf));
-        loads.peerUses(peer.name(), digest.uses());
+        loads.setPeerUses(peer.name(), digest.uses());
         limits.received(peer, digest.quotas(), now);
         parts.received(peer.name(), digest, now);
         if (!leaf && !wasHub) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPart.java
@@ -94,7 +94,7 @@
         Map<RequestFingerprint, CrashReport> selected = new LinkedHashMap<>();
         if (!crashes.ledger().isEmpty()) {
             crashes.ledger()
-                    .news(nowMillis - REPEAT_MILLIS, source -> isIncluded(scope, peers, source))
+                    .changedSince(nowMillis - REPEAT_MILLIS, source -> isIncluded(scope, peers, source))
                     .forEach(report -> selected.put(report.request(), report));
             List<CrashReport> suspected = crashes.ledger().suspected();
             if (nowMillis < sendAllUntilMillis) {
@@ -126,8 +126,8 @@
 
     private static boolean isIncluded(DigestScope scope, List<String> peers, String source) {
         return switch (scope) {
-            case OWN -> source.equals(CrashHistory.OWN);
-            case GROUP -> source.equals(CrashHistory.OWN) || peers.contains(source);
+            case OWN -> source.equals(CrashHistory.OWN_SOURCE);
+            case GROUP -> source.equals(CrashHistory.OWN_SOURCE) || peers.contains(source);
             case REST -> true;
         };
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
@@ -19,8 +19,8 @@
 import io.trailladder.core.crash.CrashLedger;
 import io.trailladder.core.crash.CrashReport;
 import io.trailladder.core.crash.CrashVerdict;
-import io.trailladder.core.crash.LeftRequests;
-import io.trailladder.core.crash.LeftRequests.Left;
+import io.trailladder.core.crash.CancelledRequests;
+import io.trailladder.core.crash.CancelledRequests.CancelledRequest;
 import io.trailladder.core.crash.RequestFingerprint;
 import io.trailladder.core.crash.UpstreamEnd;
 import io.trailladder.core.upstream.Upstream;
@@ -44,7 +44,7 @@
     private static final int MOST_LOGGED = 256;
 
     private final CrashLedger ledger = new CrashLedger();
-    private final LeftRequests left = new LeftRequests();
+    private final CancelledRequests left = new CancelledRequests();
     private final LongSupplier nowMillis;
     private final GatewayMetrics metrics;
     private final Map<RequestFingerprint, Long> loggedMillis = new RecentMap<>(MOST_LOGGED);
@@ -75,7 +75,7 @@
     boolean refuses(String tryId, RequestIdentity identity) {
         CrashVerdict verdict = verdict(identity);
         if (verdict == CrashVerdict.TRIED_AGAIN) {
-            ledger.triedAgain(identity.fingerprint());
+            ledger.retried(identity.fingerprint());
             DecisionLog.write(
                     new Lifecycle(
                             "request " + identity.fingerprint(), "sent once more", "try " + tryId));
@@ -101,7 +101,7 @@
         Long logged = loggedMillis.get(request);
         if (logged == null || now - logged >= LOGGED_MILLIS) {
             loggedMillis.put(request, now);
-            DecisionLog.write(new RefusedAsCrashing(tryId, request, ledger.known(request), now));
+            DecisionLog.write(new RefusedAsCrashing(tryId, request, ledger.countedEnds(request), now));
         }
         return true;
     }
@@ -117,10 +117,10 @@
         left.add(left(tryId, identity, upstream, ranMillis));
     }
 
-    private Left left(String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
+    private CancelledRequest left(String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
         long now = nowMillis.getAsLong();
         long life = lifeOf(upstream);
-        return new Left(tryId, identity.fingerprint(), upstream.id(), life, now - ranMillis, now);
+        return new CancelledRequest(tryId, identity.fingerprint(), upstream.id(), life, now - ranMillis, now);
     }
 
     /**
@@ -128,27 +128,27 @@
      * had it too.
      */
     void isGone(Upstream upstream) {
-        for (Left one : left.takeFrom(upstream.id(), nowMillis.getAsLong())) {
+        for (CancelledRequest one : left.takeFrom(upstream.id(), nowMillis.getAsLong())) {
             ended(one);
         }
     }
 
-    private void ended(Left one) {
+    private void ended(CancelledRequest one) {
         RequestFingerprint request = one.request();
         boolean news =
                 ledger.ended(
                         request,
-                        one.life(),
+                        one.incarnation(),
                         one.sentMillis(),
-                        one.leftMillis(),
+                        one.cancelledMillis(),
                         nowMillis.getAsLong());
         DecisionLog.write(
                 new UpstreamEnded(
-                        one.tryId(),
+                        one.attemptId(),
                         request,
                         one.upstream(),
-                        one.leftMillis() - one.sentMillis(),
-                        ledger.known(request).size()));
+                        one.cancelledMillis() - one.sentMillis(),
+                        ledger.countedEnds(request).size()));
         if (news) {
             onOwnNews.run();
             tellIfRefused(request);
@@ -160,8 +160,8 @@
      * upstream that does not tell when it started may be a later life under the same name.
      */
     void answered(Upstream upstream, long sentMillis) {
-        if (ledger.hasSuspects() && upstream.bornMillis() > 0) {
-            ledger.livedAt(lifeOf(upstream), sentMillis);
+        if (ledger.hasSuspects() && upstream.startedMillis() > 0) {
+            ledger.observedAlive(lifeOf(upstream), sentMillis);
         }
     }
 
@@ -172,12 +172,12 @@
      */
     void announcedLeaving(Upstream upstream) {
         if (!ledger.isEmpty()) {
-            ledger.livedAt(lifeOf(upstream), nowMillis.getAsLong());
+            ledger.observedAlive(lifeOf(upstream), nowMillis.getAsLong());
         }
     }
 
     private static long lifeOf(Upstream upstream) {
-        return UpstreamEnd.nameOf(upstream.id(), upstream.bornMillis());
+        return UpstreamEnd.incarnationOf(upstream.id(), upstream.startedMillis());
     }
 
     /**
@@ -202,7 +202,7 @@
 
     /** Takes over what a peer, or the store, tells. */
     void told(String source, CrashReport report) {
-        if (ledger.told(source, report, nowMillis.getAsLong())) {
+        if (ledger.received(source, report, nowMillis.getAsLong())) {
             DecisionLog.write(
                     new Lifecycle(
                             "request " + report.request(),
@@ -233,7 +233,7 @@
         }
         Set<Long> living = new HashSet<>();
         listed.forEach(one -> living.add(lifeOf(one)));
-        ledger.look(living, Math.min(soundSinceMillis, now), now);
+        ledger.cleanUp(living, Math.min(soundSinceMillis, now), now);
         metrics.crashing(ledger.refused().size(), ledger.size());
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestWriter.java
@@ -191,8 +191,8 @@
                 DigestScope.REST,
                 processes,
                 replicatesUsage ? histories(usage.allChangesAfter(leaf.usageSent())) : List.of(),
-                quotas.restUses(leaf.incarnationName(), nowMillis),
-                loads.restUses(leaf.name()),
+                quotas.usesWithoutLeaf(leaf.incarnationName(), nowMillis),
+                loads.usesExcept(leaf.name()),
                 sum(others, nowMillis),
                 evidence(others, nowMillis),
                 parts.sections(DigestScope.REST, Peer.names(others), nowMillis));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryKeeper.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryKeeper.java
@@ -266,7 +266,7 @@
     public boolean leavingSaidBy(Upstream upstream) {
         boolean knownBefore = directory.isLeaving(upstream.id());
         directory
-                .leaving(new LeavingUpstream(upstream.id(), upstream.bornMillis()))
+                .leaving(new LeavingUpstream(upstream.id(), upstream.startedMillis()))
                 .ifPresent(known -> left(known, "draining, said by itself"));
         return !knownBefore && directory.isLeaving(upstream.id());
     }
@@ -278,7 +278,7 @@
      * @return the life; empty if the upstream is not listed, or does not leave
      */
     public Optional<LeavingUpstream> listedLeaving(String id) {
-        return directory.find(id).isEmpty() ? Optional.empty() : directory.leavingLife(id);
+        return directory.find(id).isEmpty() ? Optional.empty() : directory.leavingIncarnation(id);
     }
 
     /**
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DutyRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DutyRunner.java
@@ -120,7 +120,7 @@
             election.started(loop.nowMillis());
         }
         loop.repeat(STEP_MILLIS, this::step);
-        loop.repeat(FORGET_MILLIS, () -> usage.forgetOld(clock.millis()));
+        loop.repeat(FORGET_MILLIS, () -> usage.removeOldWindows(clock.millis()));
     }
 
     /** Gives the lease up if it is held, and asks for none any more. */
@@ -159,7 +159,7 @@
         if (key.isRight() && isOwn(key.get()) && leads()) {
             tokens.raise();
         } else {
-            election.lost(loop.nowMillis());
+            election.leadershipLost(loop.nowMillis());
         }
     }
 
@@ -202,7 +202,7 @@
     /** What was read before this process claimed the key may be told after it. */
     private void keyGone(long revision) {
         if (revision >= claimedRevision) {
-            election.keyGone(loop.nowMillis());
+            election.keyRemoved(loop.nowMillis());
         }
     }
 
@@ -319,7 +319,7 @@
                         health.answered();
                         election.renewed(sentMillis);
                     } else if (result.getLeft() == StoreFailure.LEASE_GONE) {
-                        election.lost(loop.nowMillis());
+                        election.leadershipLost(loop.nowMillis());
                     } else {
                         health.failed(result.getLeft());
                     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/FleetRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/FleetRunner.java
@@ -215,7 +215,7 @@
     /** The tightest objective of the routes that lead to a service, in milliseconds. */
     private double objectiveMillis(String service) {
         return policies.policy().orElseThrow().routes().stream()
-                .filter(route -> route.leadsTo(service) && route.objectiveMillis() > 0)
+                .filter(route -> route.routesTo(service) && route.objectiveMillis() > 0)
                 .mapToLong(Route::objectiveMillis)
                 .min()
                 .orElse(DEFAULT_OBJECTIVE_MILLIS);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderTokens.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderTokens.java
@@ -100,7 +100,7 @@
         long step = FIRST_RAISE << Math.min(raises, MOST_DOUBLINGS);
         raises++;
         // drawn, so that two leaders which know nothing of each other do not take the same
-        election.raise(before + step + random.nextLong(step));
+        election.raiseToken(before + step + random.nextLong(step));
         DecisionLog.write(
                 new Lifecycle("token", "raised", "from " + before + " to " + election.token()));
         record();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeavingIncarnations.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeavingIncarnations.java
@@ -41,11 +41,11 @@
 
     /** Returns the section; empty if no incarnation is known. */
     static Optional<DigestSection> section(List<LeavingUpstream> leaving) {
-        if (leaving.stream().noneMatch(upstream -> upstream.bornMillis() > 0)) {
+        if (leaving.stream().noneMatch(upstream -> upstream.startedMillis() > 0)) {
             return Optional.empty();
         }
         ByteBuffer body = ByteBuffer.allocate(leaving.size() * Long.BYTES);
-        leaving.forEach(upstream -> body.putLong(upstream.bornMillis()));
+        leaving.forEach(upstream -> body.putLong(upstream.startedMillis()));
         return Optional.of(new DigestSection(NAME, VERSION, 0, body.array()));
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitExchange.java
@@ -68,12 +68,12 @@
      */
     void received(Peer peer, List<OrganisationUse> uses, long nowMillis) {
         if (peer.startCounting()) {
-            quotas.beginAnew(peer.incarnationName());
+            quotas.resetIncarnation(peer.incarnationName());
         }
         if (peer.isLeaf()) {
-            quotas.leafUsed(peer.incarnationName(), uses, nowMillis);
+            quotas.recordLeafUse(peer.incarnationName(), uses, nowMillis);
         } else {
-            quotas.peerUsed(peer.incarnationName(), uses, nowMillis);
+            quotas.recordPeerUse(peer.incarnationName(), uses, nowMillis);
         }
     }
 
@@ -86,9 +86,9 @@
      */
     void receivedFromRegion(Peer peer, List<OrganisationUse> uses, long nowMillis) {
         if (peer.startCounting()) {
-            quotas.beginAnew(peer.incarnationName());
+            quotas.resetIncarnation(peer.incarnationName());
         }
-        quotas.regionUsed(peer.incarnationName(), uses, nowMillis);
+        quotas.recordRegionUse(peer.incarnationName(), uses, nowMillis);
     }
 
     /**
@@ -106,10 +106,10 @@
         if (restarted && !othersKnown) {
             quotas.sharedPart(UNKNOWN_OTHERS_SHARE, nowMillis);
         } else if (leaf && reporting == 1 && sharing > 1 && changesHub(nowMillis)) {
-            quotas.othersGoOn(part, nowMillis);
+            quotas.assumeOthersContinue(part, nowMillis);
         } else {
             if (reporting > 1) {
-                quotas.othersWentOn(nowMillis);
+                quotas.othersReceivedAgain(nowMillis);
             }
             quotas.sharedPart(part, nowMillis);
             recordOthers(reporting, nowMillis);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitPart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitPart.java
@@ -59,7 +59,7 @@
      */
     static LimitPart of(UpstreamLimits limits, LongSupplier nowMillis, Runnable sendSoon) {
         LimitPart part = new LimitPart(limits);
-        limits.onNews(
+        limits.onUpdate(
                 upstream -> {
                     part.learned(upstream, nowMillis.getAsLong());
                     sendSoon.run();
@@ -116,7 +116,7 @@
     public void received(String peer, DigestSection section, long nowMillis) throws IOException {
         List<LimitReport> reports =
                 LimitReports.read(section.body(), nowMillis - section.ageMillis());
-        reports.forEach(limits::told);
+        reports.forEach(limits::reportReceived);
     }
 
     @Override
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Membership.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Membership.java
@@ -314,7 +314,7 @@
      * leaves rely on it.
      */
     private long renewMillis() {
-        boolean hasLeaves = mesh.isHub() && mesh.size() > HubTopology.FULL_MESH_MOST;
+        boolean hasLeaves = mesh.isHub() && mesh.size() > HubTopology.FULL_MESH_MAX_PROCESSES;
         return hasLeaves ? HUB_RENEW_INTERVAL_MILLIS : RENEW_INTERVAL_MILLIS;
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
@@ -268,8 +268,8 @@
             RegionView view, String region, Peer peer, NodeDigest digest, long nowMillis) {
         LeavingIncarnations.of(digest)
                 .forEach(upstream -> directory.leavingSeenBy(upstream, peer.name()));
-        digest.usage().forEach(history -> usage.mergeElsewhere(history.life(), history.usage()));
-        loads.peerUses(
+        digest.usage().forEach(history -> usage.mergeFromOtherRegion(history.life(), history.usage()));
+        loads.setPeerUses(
                 peer.name(),
                 RegionUse.spread(digest.uses(), region, directory.all(), view::regionOf));
         limits.receivedFromRegion(peer, digest.quotas(), nowMillis);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutExchange.java
@@ -16,7 +16,7 @@
 package io.trailladder.entry.gateway;
 
 import io.trailladder.core.rollout.Rollout;
-import io.trailladder.core.rollout.RolloutNews;
+import io.trailladder.core.rollout.RolloutUpdate;
 import io.trailladder.core.rollout.RouteEvidence;
 import io.trailladder.entry.gateway.DecisionLog.Lifecycle;
 import io.trailladder.entry.mesh.Mesh;
@@ -75,9 +75,9 @@
      */
     void heard(NodeHello peer, RolloutReport report, boolean sameHistory) {
         Map<Long, List<RouteEvidence>> told = new HashMap<>();
-        for (RolloutNews news : report.rollouts()) {
+        for (RolloutUpdate news : report.rollouts()) {
             List<RouteEvidence> sound =
-                    news.evidence().stream().filter(RouteEvidence::isSound).toList();
+                    news.evidence().stream().filter(RouteEvidence::isValid).toList();
             if (sound.size() < news.evidence().size()) {
                 DecisionLog.write(
                         new Lifecycle("peer " + peer.name(), "figures refused", news.toString()));
@@ -108,11 +108,11 @@
 
     private RolloutReport report(List<String> leaves, boolean withEvidence) {
         long now = nowMillis.getAsLong();
-        List<RolloutNews> news = new ArrayList<>();
+        List<RolloutUpdate> news = new ArrayList<>();
         for (Rollout rollout : keeper.rollouts()) {
             List<RouteEvidence> evidence =
                     withEvidence ? evidence(rollout, leaves) : List.<RouteEvidence>of();
-            news.add(rollout.news(evidence, now));
+            news.add(rollout.update(evidence, now));
         }
         return new RolloutReport(news);
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutKeeper.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutKeeper.java
@@ -15,11 +15,11 @@
  */
 package io.trailladder.entry.gateway;
 
-import io.trailladder.core.rollout.AnswerSeen;
-import io.trailladder.core.rollout.AnswerSort;
+import io.trailladder.core.rollout.AnswerObservation;
+import io.trailladder.core.rollout.AnswerRating;
 import io.trailladder.core.rollout.ExposureLedger;
 import io.trailladder.core.rollout.Rollout;
-import io.trailladder.core.rollout.RolloutNews;
+import io.trailladder.core.rollout.RolloutUpdate;
 import io.trailladder.core.rollout.RolloutOrder;
 import io.trailladder.core.rollout.RolloutPhase;
 import io.trailladder.core.rollout.RolloutStatus;
@@ -159,14 +159,14 @@
         List<String> services = new ArrayList<>();
         gate.rollouts().forEach(rollout -> services.add(rollout.order().service()));
         returns.begin(services, recorded, nowMillis.getAsLong());
-        records.replaceAll((service, record) -> record.at(0));
+        records.replaceAll((service, record) -> record.withRevision(0));
     }
 
     /** Tells whether orders known here were not found yet in the store's new history. */
     boolean awaitsOrders() {
         long now = nowMillis.getAsLong();
         for (String missed : returns.takeMissed(now)) {
-            gate.rollout(missed).ifPresent(rollout -> rollout.renumbered(rollout.order().at(0)));
+            gate.rollout(missed).ifPresent(rollout -> rollout.renumbered(rollout.order().withRevision(0)));
         }
         return returns.awaitsOrders(now);
     }
@@ -217,7 +217,7 @@
         String service = status.service();
         RolloutStatus before = record(service);
         boolean mayBeOlder = returns.record(service).isPresent() && !certain;
-        if (mayBeOlder && returns.isOpen(nowMillis.getAsLong()) && !status.isAlike(before)) {
+        if (mayBeOlder && returns.isOpen(nowMillis.getAsLong()) && !status.equalsIgnoringRevision(before)) {
             returns.stands(service, status.revision());
             return;
         }
@@ -255,19 +255,19 @@
     /** Returns how long requests wait that no version may get now, in milliseconds. */
     long heldMillis(String service) {
         return gate.rollout(service)
-                .map(rollout -> rollout.heldMillis(nowMillis.getAsLong()))
+                .map(rollout -> rollout.waitMillis(nowMillis.getAsLong()))
                 .orElse(0L);
     }
 
     /** Records how a request ended at an upstream. */
-    void answered(String service, Upstream upstream, AnswerSeen answer) {
+    void answered(String service, Upstream upstream, AnswerObservation answer) {
         gate.rollout(service)
                 .filter(rollout -> !rollout.phase().isFinal())
                 .ifPresent(rollout -> advance(rollout, () -> count(rollout, upstream, answer)));
     }
 
-    private void count(Rollout rollout, Upstream upstream, AnswerSeen answer) {
-        AnswerSort sort = rollout.answered(upstream, answer);
+    private void count(Rollout rollout, Upstream upstream, AnswerObservation answer) {
+        AnswerRating sort = rollout.answered(upstream, answer);
         metrics.versionAnswered(rollout.order().service(), upstream.version(), sort);
     }
 
@@ -277,10 +277,10 @@
      * @param sameHistory false if the peer does not say which history of the store its order's
      *     revision is of, though this process knows that there are several
      */
-    void heard(RolloutNews news, boolean sameHistory) {
+    void heard(RolloutUpdate news, boolean sameHistory) {
         RolloutOrder order = news.order();
         Optional<Rollout> known = gate.rollout(order.service());
-        boolean alike = known.filter(rollout -> rollout.order().isAlike(order)).isPresent();
+        boolean alike = known.filter(rollout -> rollout.order().equalsIgnoringRevision(order)).isPresent();
         boolean numbered = sameHistory || !alike || !returns.hasBegun();
         if (numbered) {
             ordered(order, "peer", Written.BEFORE, sameHistory);
@@ -289,7 +289,7 @@
                 .filter(rollout -> !numbered || rollout.order().revision() == order.revision())
                 .ifPresent(
                         rollout ->
-                                advance(rollout, () -> rollout.heard(news, nowMillis.getAsLong())));
+                                advance(rollout, () -> rollout.received(news, nowMillis.getAsLong())));
     }
 
     /**
@@ -330,7 +330,7 @@
     private boolean isKnown(Rollout known, RolloutOrder order, boolean certain) {
         long now = nowMillis.getAsLong();
         String service = order.service();
-        if (returns.isOpen(now) && known.order().isAlike(order)) {
+        if (returns.isOpen(now) && known.order().equalsIgnoringRevision(order)) {
             known.renumbered(order);
             returns.foundOrder(service);
             return true;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutReturns.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutReturns.java
@@ -64,7 +64,7 @@
     /** Tells whether an order in a list is one that was replaced, which a copy may still hold. */
     boolean isEarlier(RolloutOrder order) {
         RolloutOrder before = earlier.get(order.service());
-        return before != null && before.isAlike(order);
+        return before != null && before.equalsIgnoringRevision(order);
     }
 
     /** Tells whether the history was replaced since this process started. */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRunner.java
@@ -16,9 +16,9 @@
 package io.trailladder.entry.gateway;
 
 import io.trailladder.core.rollout.Rollout;
-import io.trailladder.core.rollout.RolloutLead;
-import io.trailladder.core.rollout.RolloutLead.Fleet;
-import io.trailladder.core.rollout.RolloutLead.Step;
+import io.trailladder.core.rollout.RolloutController;
+import io.trailladder.core.rollout.RolloutController.Fleet;
+import io.trailladder.core.rollout.RolloutController.Step;
 import io.trailladder.core.rollout.RolloutStatus;
 import io.trailladder.core.rollout.RolloutStatus.State;
 import io.trailladder.core.rollout.RouteEvidence;
@@ -63,7 +63,7 @@
     private final UpstreamLoads loads;
     private final BooleanSupplier leads;
     private final Function<Rollout, List<RouteEvidence>> evidence;
-    private final Map<Rollout, RolloutLead> deciders = new HashMap<>();
+    private final Map<Rollout, RolloutController> deciders = new HashMap<>();
     private final Map<String, String> logged = new HashMap<>();
     private final Map<String, Long> toldMillis = new HashMap<>();
     private final Set<String> writing = new HashSet<>();
@@ -132,7 +132,7 @@
     }
 
     private void lead(Rollout rollout) {
-        RolloutLead decider = deciders.computeIfAbsent(rollout, RolloutLead::new);
+        RolloutController decider = deciders.computeIfAbsent(rollout, RolloutController::new);
         String service = rollout.order().service();
         RolloutStatus status = keeper.record(service);
         List<RouteEvidence> seen = evidence.apply(rollout);
@@ -199,7 +199,7 @@
         if (!writing.contains(lost.service())) {
             String subject = "roll-out of " + lost.service() + " to " + lost.version();
             DecisionLog.write(new Lifecycle(subject, "recorded again", lost.state().name()));
-            write(lost.at(0));
+            write(lost.withRevision(0));
         }
     }
 
@@ -220,7 +220,7 @@
         if (result.isRight()) {
             health.answered();
             writing.remove(service);
-            keeper.recorded(next.at(result.get()), true);
+            keeper.recorded(next.withRevision(result.get()), true);
             return;
         }
         health.failed(result.getLeft());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SendSlotOrders.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SendSlotOrders.java
@@ -17,7 +17,7 @@
 
 import io.trailladder.core.membership.GatewayMember;
 import io.trailladder.core.topology.Topology;
-import io.trailladder.core.upstream.TurnOrder;
+import io.trailladder.core.upstream.SendSlotOrder;
 import io.trailladder.core.upstream.Upstream;
 import java.util.HashMap;
 import java.util.List;
@@ -43,7 +43,7 @@
     private final Supplier<List<GatewayMember>> members;
     private final IntSupplier processes;
     private final LongSupplier nowMillis;
-    private final Map<String, TurnOrder> byRegion = new HashMap<>();
+    private final Map<String, SendSlotOrder> byRegion = new HashMap<>();
     private long readMillis = Long.MIN_VALUE / 2;
 
     /**
@@ -75,7 +75,7 @@
      * @return the position of this process in the order; no part for an upstream of another region
      *     that has processes of its own
      */
-    TurnOrder of(Upstream upstream) {
+    SendSlotOrder of(Upstream upstream) {
         long now = nowMillis.getAsLong();
         if (now - readMillis >= ClusterView.DIGEST_INTERVAL_MILLIS) {
             readMillis = now;
@@ -84,34 +84,34 @@
         return byRegion.computeIfAbsent(topology.region(upstream.dataCentre()), this::read);
     }
 
-    private TurnOrder read(String region) {
+    private SendSlotOrder read(String region) {
         List<GatewayMember> listed = members.get();
         boolean selfListed = listed.stream().anyMatch(member -> member.name().equals(self));
         int known = listed.size() + (selfListed ? 0 : 1);
         if (listed.isEmpty() || known < processes.getAsInt()) {
             int min = listed.isEmpty() ? MIN_ASSUMED_PROCESSES : known;
             int count = Math.max(min, processes.getAsInt());
-            return new TurnOrder(Math.floorMod(self.hashCode(), count), count);
+            return new SendSlotOrder(Math.floorMod(self.hashCode(), count), count);
         }
         List<GatewayMember> sharing =
                 listed.stream().filter(member -> isIn(member, region)).toList();
         if (sharing.isEmpty()) {
             return order(listed);
         }
-        return region.equals(topology.region()) ? order(sharing) : TurnOrder.NO_PART;
+        return region.equals(topology.region()) ? order(sharing) : SendSlotOrder.NO_SHARE;
     }
 
     private boolean isIn(GatewayMember member, String region) {
         return topology.region(member.dataCentre()).equals(region);
     }
 
-    private TurnOrder order(List<GatewayMember> sharing) {
+    private SendSlotOrder order(List<GatewayMember> sharing) {
         int before = 0;
         int others = 0;
         for (GatewayMember member : sharing) {
             before += member.name().compareTo(self) < 0 ? 1 : 0;
             others += member.name().equals(self) ? 0 : 1;
         }
-        return new TurnOrder(before, others + 1);
+        return new SendSlotOrder(before, others + 1);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreHistory.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreHistory.java
@@ -16,7 +16,7 @@
 package io.trailladder.entry.gateway;
 
 import io.trailladder.core.store.StoreEpoch;
-import io.trailladder.core.store.StoreEpoch.Named;
+import io.trailladder.core.store.StoreEpoch.Observation;
 import io.trailladder.entry.gateway.DecisionLog.Lifecycle;
 import io.trailladder.entry.port.CoordinationStore.EpochListener;
 import io.trailladder.wire.NodeMessage.UpstreamNews;
@@ -104,18 +104,18 @@
 
     private boolean named(String source, long named) {
         long before = epoch.current();
-        Named meaning = epoch.named(named);
-        if (meaning == Named.NEW) {
+        Observation meaning = epoch.observe(named);
+        if (meaning == Observation.NEW) {
             metrics.count(GatewayMetrics.Event.STORE_EPOCH_CHANGED);
             String detail = "from " + before + ", told by " + source;
             DecisionLog.write(new Lifecycle("store epoch", Long.toString(named), detail));
             onReplaced.forEach(Runnable::run);
-        } else if (meaning != Named.CURRENT) {
+        } else if (meaning != Observation.CURRENT) {
             metrics.count(GatewayMetrics.Event.STORE_EPOCH_PASSED_OVER);
             logSome("store epoch", meaning + " epoch " + named + " of " + source);
         }
         // an answer whose epoch is spoiled counts as one that names none
-        return meaning != Named.OLD;
+        return meaning != Observation.OLD;
     }
 
     /** Logs the first, second, fourth, eighth: what is passed over comes in rows. */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TimePart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TimePart.java
@@ -87,18 +87,18 @@
         ByteBuffer body = ByteBuffer.wrap(section.body());
         long offset = body.getLong() - steadyMillis.getAsLong();
         TimeVote vote = new TimeVote(offset, body.getInt());
-        if (!vote.isSound()) {
+        if (!vote.isValid()) {
             throw new IOException(
                     "invalid number of voters: "
                             + vote.voters()
                             + ", expected a positive number within the maximum");
         }
-        agreed.told(peer, vote);
+        agreed.reported(peer, vote);
     }
 
     @Override
     public void forget(String peer) {
-        agreed.forget(peer);
+        agreed.remove(peer);
     }
 
     @Override
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ValidFigures.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ValidFigures.java
@@ -40,7 +40,7 @@
             return digest;
         }
         List<ServiceDemand> demands =
-                digest.demands().stream().filter(ServiceDemand::isSound).toList();
+                digest.demands().stream().filter(ServiceDemand::isValid).toList();
         List<EngineEvidence> evidence =
                 digest.evidence().stream().filter(EngineEvidence::isSound).toList();
         int received = digest.demands().size() + digest.evidence().size();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/Placements.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/Placements.java
@@ -225,7 +225,7 @@
      */
     public synchronized boolean noticed(String upstream) {
         boolean known = directory.leaving().contains(upstream);
-        directory.noticed(upstream);
+        directory.leavingNoticed(upstream);
         return !known;
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ClusterViewTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ClusterViewTest.java
@@ -65,7 +65,7 @@
                         false);
         created.start(new TwoProcesses(), () -> false);
         RateSpec limit = new RateSpec(LIMIT, LIMIT, true, 1);
-        quotas.policy(
+        quotas.applyPolicy(
                 new ServingPolicy(
                         1,
                         List.of(),
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashHistoriesTest.java
@@ -175,7 +175,7 @@
     /** An upstream ends: whoever had a request there sees it, if it runs itself. */
     private void ends(Run run) {
         ends++;
-        if (ends == CrashLedger.REFUSED_FROM) {
+        if (ends == CrashLedger.REFUSAL_MIN_ENDS) {
             thirdEndMillis = cluster.now();
         }
         sees(run.process(), BAD, run.upstream(), cluster.now() - run.sentMillis());
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashReportsProperties.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashReportsProperties.java
@@ -40,7 +40,7 @@
         List<CrashReport> reports = new ArrayList<>();
         for (int i = random.nextInt(20); i > 0; i--) {
             List<UpstreamEnd> ends = new ArrayList<>();
-            for (int e = random.nextInt(CrashHistory.MOST_ENDS + 1); e > 0; e--) {
+            for (int e = random.nextInt(CrashHistory.MAX_ENDS + 1); e > 0; e--) {
                 long at = NOW - random.nextInt(1_000_000);
                 ends.add(
                         new UpstreamEnd(
@@ -74,7 +74,7 @@
     void anyBytesAreReadOrRefused(@ForAll byte[] bytes) {
         try {
             for (CrashReport report : CrashReports.read(ByteBuffer.wrap(bytes), NOW)) {
-                assertTrue(report.ends().size() <= CrashHistory.MOST_ENDS);
+                assertTrue(report.ends().size() <= CrashHistory.MAX_ENDS);
                 report.ends().forEach(end -> assertTrue(end.atMillis() <= NOW));
             }
         } catch (IOException e) {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/EventSplitterProperties.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/EventSplitterProperties.java
@@ -42,21 +42,21 @@
         for (int from = 0; from < bytes.length; from += part) {
             int to = Math.min(bytes.length, from + part);
             byte[] piece = java.util.Arrays.copyOfRange(bytes, from, to);
-            for (StreamEvent event : splitter.take(piece)) {
+            for (StreamEvent event : splitter.append(piece)) {
                 ids.add(event.id());
                 whole.writeBytes(event.bytes());
             }
         }
         assertEquals(List.of("1", "2", "3"), ids);
         assertArrayEquals(bytes, whole.toByteArray());
-        assertEquals(0, splitter.rest().length);
+        assertEquals(0, splitter.remainder().length);
     }
 
     @Example
     void idIsOfTheFirstLineThatNamesIt() {
         EventSplitter splitter = new EventSplitter();
         byte[] bytes = "data: id: 7\nid\nid:8 \nid: 9\n\ni\n\n".getBytes(StandardCharsets.UTF_8);
-        List<StreamEvent> events = splitter.take(bytes);
+        List<StreamEvent> events = splitter.append(bytes);
         assertEquals(List.of("8", ""), events.stream().map(StreamEvent::id).toList());
         assertEquals(0, splitter.pendingBytes());
     }
@@ -65,7 +65,7 @@
     void halfAnEventIsKeptBack() {
         EventSplitter splitter = new EventSplitter();
         byte[] bytes = "id: 1\ndata: a\n\nid: 2\nda".getBytes(StandardCharsets.UTF_8);
-        assertEquals(1, splitter.take(bytes).size());
-        assertEquals("id: 2\nda", new String(splitter.rest(), StandardCharsets.UTF_8));
+        assertEquals(1, splitter.append(bytes).size());
+        assertEquals("id: 2\nda", new String(splitter.remainder(), StandardCharsets.UTF_8));
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitExchangeTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitExchangeTest.java
@@ -74,7 +74,7 @@
         RateSpec limit = new RateSpec(perSecond, perSecond, true, 1);
         OrganisationSpec organisation =
                 new OrganisationSpec(ORGANISATION, List.of("k"), OptionalInt.empty(), limit);
-        quotas.policy(
+        quotas.applyPolicy(
                 new ServingPolicy(
                         1, List.of(), List.of(), List.of(organisation), RequestBounds.DEFAULTS),
                 0);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitReportsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitReportsTest.java
@@ -85,7 +85,7 @@
     void anyBytesAreReadOrRefused(@ForAll byte[] bytes) {
         try {
             for (LimitReport report : LimitReports.read(bytes, NOW_MILLIS)) {
-                assertTrue(report.heardMillis() <= NOW_MILLIS);
+                assertTrue(report.receivedMillis() <= NOW_MILLIS);
                 assertTrue(report.limit().perSecond() >= 0);
             }
         } catch (IOException e) {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/QuotasTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/QuotasTest.java
@@ -52,9 +52,9 @@
     @Example
     void restartGivesLessThanAFirstStart() {
         Quotas first = new Quotas(true, EXACT);
-        first.policy(policy(1_000, 1_000), 0);
+        first.applyPolicy(policy(1_000, 1_000), 0);
         Quotas restarted = new Quotas(false, EXACT);
-        restarted.policy(policy(1_000, 1_000), 0);
+        restarted.applyPolicy(policy(1_000, 1_000), 0);
         assertEquals(1_000, passedAtOnce(first));
         assertEquals(600, passedAtOnce(restarted));
     }
@@ -62,31 +62,31 @@
     @Example
     void restartNeverGivesMoreThanASecondOfALargeBurst() {
         Quotas restarted = new Quotas(false, EXACT);
-        restarted.policy(policy(1_000, 5_000), 0);
+        restarted.applyPolicy(policy(1_000, 5_000), 0);
         assertEquals(1_000, passedAtOnce(restarted));
     }
 
     @Example
     void peersUseCountsOnceHoweverOftenItIsTold() {
         Quotas quotas = new Quotas(true, EXACT);
-        quotas.policy(policy(1_000, 1_000), 0);
-        quotas.peerUsed("p/1", List.of(new OrganisationUse(ORGANISATION, 0, 0, 1_000)), 0);
-        quotas.peerUsed("p/1", List.of(new OrganisationUse(ORGANISATION, 400, 400, 600)), 0);
-        quotas.peerUsed("p/1", List.of(new OrganisationUse(ORGANISATION, 400, 400, 600)), 0);
+        quotas.applyPolicy(policy(1_000, 1_000), 0);
+        quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 0, 0, 1_000)), 0);
+        quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 400, 400, 600)), 0);
+        quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 400, 400, 600)), 0);
         assertEquals(600, passedAtOnce(quotas));
     }
 
     @Example
     void lowerLimitBindsAtOnce() {
         Quotas quotas = new Quotas(true, EXACT);
-        quotas.policy(policy(1_000, 1_000), 0);
-        quotas.policy(policy(10, 50), 0);
+        quotas.applyPolicy(policy(1_000, 1_000), 0);
+        quotas.applyPolicy(policy(10, 50), 0);
         assertTrue(passedAtOnce(quotas) <= 50);
     }
 
     private static Quotas limited(double burst) {
         Quotas quotas = new Quotas(true, EXACT);
-        quotas.policy(policy(0.001, burst), 0);
+        quotas.applyPolicy(policy(0.001, burst), 0);
         return quotas;
     }
 
@@ -96,13 +96,13 @@
         Quotas hub = limited(1_000);
         Quotas otherHub = limited(1_000);
         Quotas otherLeaf = limited(1_000);
-        otherHub.peerUsed("hub/1", hub.groupUses(0), 0);
-        otherLeaf.peerUsed("hub2/1/rest", otherHub.restUses("leaf2/1", 0), 0);
+        otherHub.recordPeerUse("hub/1", hub.groupUses(0), 0);
+        otherLeaf.recordPeerUse("hub2/1/rest", otherHub.usesWithoutLeaf("leaf2/1", 0), 0);
         leaf.tryTake(ORGANISATION, 400, 0);
-        hub.leafUsed("leaf/1", leaf.ownUses(0), 0);
-        leaf.peerUsed("hub/1/rest", hub.restUses("leaf/1", 0), 0);
-        otherHub.peerUsed("hub/1", hub.groupUses(0), 0);
-        otherLeaf.peerUsed("hub2/1/rest", otherHub.restUses("leaf2/1", 0), 0);
+        hub.recordLeafUse("leaf/1", leaf.ownUses(0), 0);
+        leaf.recordPeerUse("hub/1/rest", hub.usesWithoutLeaf("leaf/1", 0), 0);
+        otherHub.recordPeerUse("hub/1", hub.groupUses(0), 0);
+        otherLeaf.recordPeerUse("hub2/1/rest", otherHub.usesWithoutLeaf("leaf2/1", 0), 0);
         assertEquals(600, passedAtOnce(leaf));
         assertEquals(600, passedAtOnce(hub));
         assertEquals(600, passedAtOnce(otherHub));
@@ -114,12 +114,12 @@
         Quotas leaf = limited(1_000);
         Quotas first = limited(1_000);
         Quotas second = limited(1_000);
-        second.peerUsed("first/1", first.groupUses(0), 0);
+        second.recordPeerUse("first/1", first.groupUses(0), 0);
         leaf.tryTake(ORGANISATION, 300, 0);
-        first.leafUsed("leaf/1", leaf.ownUses(0), 0);
-        second.peerUsed("first/1", first.groupUses(0), 0);
+        first.recordLeafUse("leaf/1", leaf.ownUses(0), 0);
+        second.recordPeerUse("first/1", first.groupUses(0), 0);
         leaf.tryTake(ORGANISATION, 200, 0);
-        second.leafUsed("leaf/1", leaf.ownUses(0), 0);
+        second.recordLeafUse("leaf/1", leaf.ownUses(0), 0);
         assertEquals(500, passedAtOnce(second));
     }
 
@@ -128,15 +128,15 @@
         Quotas leaf = limited(1_000);
         Quotas first = limited(1_000);
         Quotas second = limited(1_000);
-        second.peerUsed("first/1", first.groupUses(0), 0);
-        leaf.peerUsed("first/1", first.restUses("leaf/1", 0), 0);
-        leaf.beginAnew("second/1");
-        leaf.peerUsed("second/1", second.restUses("leaf/1", 0), 0);
+        second.recordPeerUse("first/1", first.groupUses(0), 0);
+        leaf.recordPeerUse("first/1", first.usesWithoutLeaf("leaf/1", 0), 0);
+        leaf.resetIncarnation("second/1");
+        leaf.recordPeerUse("second/1", second.usesWithoutLeaf("leaf/1", 0), 0);
         first.tryTake(ORGANISATION, 400, 0);
-        second.peerUsed("first/1", first.groupUses(0), 0);
-        leaf.peerUsed("second/1", second.restUses("leaf/1", 0), 0);
-        leaf.beginAnew("first/1");
-        leaf.peerUsed("first/1", first.restUses("leaf/1", 0), 0);
+        second.recordPeerUse("first/1", first.groupUses(0), 0);
+        leaf.recordPeerUse("second/1", second.usesWithoutLeaf("leaf/1", 0), 0);
+        leaf.resetIncarnation("first/1");
+        leaf.recordPeerUse("first/1", first.usesWithoutLeaf("leaf/1", 0), 0);
         assertEquals(600, passedAtOnce(leaf));
     }
 
@@ -145,14 +145,14 @@
         Quotas leaf = limited(1_000);
         Quotas first = limited(1_000);
         Quotas second = limited(1_000);
-        first.peerUsed("second/1", second.groupUses(0), 0);
+        first.recordPeerUse("second/1", second.groupUses(0), 0);
         leaf.tryTake(ORGANISATION, 100, 0);
-        first.leafUsed("leaf/1", leaf.ownUses(0), 0);
+        first.recordLeafUse("leaf/1", leaf.ownUses(0), 0);
         leaf.tryTake(ORGANISATION, 300, 0);
-        second.leafUsed("leaf/1", leaf.ownUses(0), 0);
-        first.peerUsed("second/1", second.groupUses(0), 0);
-        first.beginAnew("leaf/1");
-        first.leafUsed("leaf/1", leaf.ownUses(0), 0);
+        second.recordLeafUse("leaf/1", leaf.ownUses(0), 0);
+        first.recordPeerUse("second/1", second.groupUses(0), 0);
+        first.resetIncarnation("leaf/1");
+        first.recordLeafUse("leaf/1", leaf.ownUses(0), 0);
         assertEquals(600, passedAtOnce(first));
     }
 
@@ -160,10 +160,10 @@
     @Example
     void firstUseOfALifeThatWasHeardBeforeCounts() {
         Quotas quotas = limited(1_000);
-        quotas.peerUsed("p/1", List.of(), 0);
-        quotas.peerUsed("q/1", List.of(), 0);
-        quotas.peerUsed("p/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
-        quotas.peerUsed("q/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
+        quotas.recordPeerUse("p/1", List.of(), 0);
+        quotas.recordPeerUse("q/1", List.of(), 0);
+        quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
+        quotas.recordPeerUse("q/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
         assertEquals(400, passedAtOnce(quotas));
     }
 
@@ -171,9 +171,9 @@
     @Example
     void firstUseOfALifeThatWasNotHeardBeforeTellsTheLevel() {
         Quotas quotas = limited(1_000);
-        quotas.peerUsed("p/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
-        quotas.beginAnew("p/1");
-        quotas.peerUsed("p/1", List.of(new OrganisationUse(ORGANISATION, 350, 350, 650)), 0);
+        quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
+        quotas.resetIncarnation("p/1");
+        quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 350, 350, 650)), 0);
         assertEquals(650, passedAtOnce(quotas));
     }
 
@@ -181,7 +181,7 @@
     void peersAreToldOutOfTurnOnceMuchWasLetPass() {
         Quotas quotas = limited(1_000);
         int[] told = {0};
-        quotas.onMuchUsed(() -> told[0]++);
+        quotas.onMuchUnreported(() -> told[0]++);
         for (int i = 0; i < 4; i++) {
             quotas.tryTake(ORGANISATION, 10, 0);
         }
@@ -196,8 +196,8 @@
     @Example
     void limitWithoutABurstTellsNoMoreOften() {
         Quotas quotas = new Quotas(true, EXACT);
-        quotas.policy(policy(1_000, 0), 0);
-        quotas.onMuchUsed(() -> fail("10 of 1,000 a second are little"));
+        quotas.applyPolicy(policy(1_000, 0), 0);
+        quotas.onMuchUnreported(() -> fail("10 of 1,000 a second are little"));
         quotas.tryTake(ORGANISATION, 10, 0);
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RolloutKeeperTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RolloutKeeperTest.java
@@ -18,7 +18,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.trailladder.core.rollout.Rollout;
-import io.trailladder.core.rollout.RolloutNews;
+import io.trailladder.core.rollout.RolloutUpdate;
 import io.trailladder.core.rollout.RolloutOrder;
 import io.trailladder.core.rollout.RolloutPhase;
 import io.trailladder.core.rollout.RolloutStatus;
@@ -44,7 +44,7 @@
                     new GatewayMetrics());
 
     private void told(RolloutOrder order, RolloutPhase phase) {
-        keeper.heard(new RolloutNews(order, phase, 10_000, 1, List.of()), true);
+        keeper.heard(new RolloutUpdate(order, phase, 10_000, 1, List.of()), true);
     }
 
     private Optional<State> lost() {
@@ -60,7 +60,7 @@
         keeper.recorded(new RolloutStatus("m", "v2", State.IN_PROGRESS, 401), true);
         told(ORDER, RolloutPhase.ROLLED_BACK);
         keeper.historyReplaced();
-        told(ORDER.at(12), RolloutPhase.ROLLED_BACK);
+        told(ORDER.withRevision(12), RolloutPhase.ROLLED_BACK);
         assertEquals(Optional.of(State.ROLLED_BACK), lost());
     }
 
@@ -69,11 +69,11 @@
         told(ORDER, RolloutPhase.SAMPLING);
         keeper.recorded(new RolloutStatus("m", "v2", State.IN_PROGRESS, 401), true);
         keeper.historyReplaced();
-        told(ORDER.at(12), RolloutPhase.SAMPLING);
+        told(ORDER.withRevision(12), RolloutPhase.SAMPLING);
         assertEquals(Optional.of(State.IN_PROGRESS), lost());
         keeper.recorded(new RolloutStatus("m", "v2", State.IN_PROGRESS, 13), true);
         assertEquals(Optional.empty(), lost());
-        told(ORDER.at(12), RolloutPhase.ROLLED_BACK);
+        told(ORDER.withRevision(12), RolloutPhase.ROLLED_BACK);
         assertEquals(Optional.of(State.ROLLED_BACK), lost());
         keeper.recorded(new RolloutStatus("m", "v2", State.ROLLED_BACK, 14), true);
         assertEquals(Optional.empty(), lost());
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
@@ -25,7 +25,7 @@
 import io.trailladder.core.policy.ServingPolicy;
 import io.trailladder.core.topology.Topology;
 import io.trailladder.core.upstream.DemandMeter;
-import io.trailladder.core.upstream.TurnOrder;
+import io.trailladder.core.upstream.SendSlotOrder;
 import io.trailladder.core.upstream.Upstream;
 import io.trailladder.core.upstream.UpstreamDirectory;
 import io.trailladder.core.upstream.UpstreamLimits;
@@ -133,9 +133,9 @@
         view.add(LimitPart.of(limits, cluster::now, () -> tellsSoon = true));
         view.add(new CrashPart(crashes, member.name().hashCode() * 31L + life));
         crashes.onOwnNews(view::sendDigestsSoon);
-        quotas.onMuchUsed(() -> tellsSoon = true);
+        quotas.onMuchUnreported(() -> tellsSoon = true);
         view.start(new Links(), () -> false);
-        quotas.policy(cluster.policy(), cluster.now());
+        quotas.applyPolicy(cluster.policy(), cluster.now());
         startedMillis = cluster.now();
         listAtMillis = startedMillis;
         heardMillis.clear();
@@ -181,9 +181,9 @@
         return limits;
     }
 
-    private TurnOrder turns(Upstream upstream) {
+    private SendSlotOrder turns(Upstream upstream) {
         List<String> names = cluster.names();
-        return new TurnOrder(names.indexOf(member.name()), names.size());
+        return new SendSlotOrder(names.indexOf(member.name()), names.size());
     }
 
     CrashWatch crashes() {
@@ -203,7 +203,7 @@
     }
 
     void policyChanged() {
-        quotas.policy(cluster.policy(), cluster.now());
+        quotas.applyPolicy(cluster.policy(), cluster.now());
     }
 
     /** Tells how many requests come now, if so many are expected on average. */
@@ -303,7 +303,7 @@
         if (planned) {
             plan = planner.plan(view.isNeeded(), now);
         }
-        boolean few = planner.size() <= HubTopology.FULL_MESH_MOST && topology.isOneRegion();
+        boolean few = planner.size() <= HubTopology.FULL_MESH_MAX_PROCESSES && topology.isOneRegion();
         if (planned && !few) {
             cluster.closeUnwanted(member.name(), plan.dial());
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StartingRequestsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StartingRequestsTest.java
@@ -32,8 +32,8 @@
     private long now;
     private boolean informed;
 
-    private final StartingRequests<String> starting =
-            new StartingRequests<>(
+    private final StartupRequestQueue<String> starting =
+            new StartupRequestQueue<>(
                     () -> now,
                     (delay, task) ->
                             timers.computeIfAbsent(now + delay, at -> new ArrayList<>()).add(task),
@@ -41,7 +41,7 @@
                     new Outcome());
 
     /** Notes what becomes of requests. */
-    private final class Outcome implements StartingRequests.Outcome<String> {
+    private final class Outcome implements StartupRequestQueue.Outcome<String> {
         @Override
         public void accepted(String request) {
             accepted.add(request);
@@ -91,15 +91,15 @@
     @Example
     void requestIsRefusedWhenItWasHeldForTooLong() {
         starting.hold("r1");
-        passTo(StartingRequests.HOLD_MILLIS - 1);
+        passTo(StartupRequestQueue.MAX_HOLD_MILLIS - 1);
         assertTrue(refused.isEmpty());
-        passTo(StartingRequests.HOLD_MILLIS + 20);
+        passTo(StartupRequestQueue.MAX_HOLD_MILLIS + 20);
         assertEquals(List.of("r1"), refused);
     }
 
     @Example
     void processThatStillKnowsNothingLongAfterItsStartRefusesAtOnce() {
-        passTo(StartingRequests.STARTING_MILLIS);
+        passTo(StartupRequestQueue.STARTUP_WINDOW_MILLIS);
         starting.hold("r1");
         assertEquals(List.of("r1"), refused);
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/UpstreamLimitNewsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/UpstreamLimitNewsTest.java
@@ -48,7 +48,7 @@
         List<String> names = cluster.names();
         for (int i = 0; i < upstreams; i++) {
             SimulatedProcess process = cluster.process(names.get(i % names.size()));
-            process.limits().answered(upstream(i), limit, cluster.now() - 1, cluster.now());
+            process.limits().answerReceived(upstream(i), limit, cluster.now() - 1, cluster.now());
             process.tellSoon();
         }
     }
