--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
@@ -190,11 +190,11 @@
         topology = Topology.of(settings.self().dataCentre(), settings.regions().byDataCentre());
         limits = new UpstreamLimits(clock::millis, turnOrders(name)::of);
         availability = new UpstreamAvailability(directory, backoffs, limits);
-        view.add(LimitPart.of(limits, loop::nowMillis, () -> loop.execute(view::tellSoon)));
+        view.add(LimitPart.of(limits, loop::nowMillis, () -> loop.execute(view::sendDigestsSoon)));
         view.add(clock);
         view.add(new CrashPart(crashes, random.nextLong()));
-        crashes.onOwnNews(() -> loop.execute(view::tellSoon));
-        quotas.onMuchUnreported(() -> loop.execute(view::tellSoon));
+        crashes.onOwnNews(() -> loop.execute(view::sendDigestsSoon));
+        quotas.onMuchUnreported(() -> loop.execute(view::sendDigestsSoon));
         GatewayMember self = settings.self();
         regionMetrics =
                 topology.isOneRegion()
@@ -230,7 +230,7 @@
                         settings.timing(),
                         random.split(),
                         metrics);
-        view.epochNews().tokens(duties::highestToken, duties::tokenTold);
+        view.epochUpdates().tokens(duties::highestToken, duties::tokenTold);
         crashRecords =
                 new CrashRecords(
                         loop,
@@ -292,7 +292,7 @@
                                 mesh::regionSize,
                                 List.of(limits.cost())),
                         quotas,
-                        new RetryBudgets(settings.retries(), view::entries),
+                        new RetryBudgets(settings.retries(), view::sharingProcesses),
                         usage,
                         demand,
                         engines,
@@ -352,7 +352,7 @@
         metricsServer.start(settings.listen().metrics());
         mesh.start(settings.listen().peers());
         view.start(mesh, duties::leads);
-        loop.repeat(ClusterView.DIGEST_MILLIS, view::tick);
+        loop.repeat(ClusterView.DIGEST_INTERVAL_MILLIS, view::tick);
         loop.repeat(PRUNE_INTERVAL_MILLIS, this::pruneRemovedUpstreams);
         loop.repeat(ROLE_CHECK_INTERVAL_MILLIS, this::updateStoreWatches);
         loop.repeat(STORE_USE_LOG_INTERVAL_MILLIS, this::logStoreUse);
@@ -400,9 +400,13 @@
                 });
     }
 
-    private TurnOrders turnOrders(String name) {
-        return new TurnOrders(
-                name, topology, () -> mesh.members(), () -> view.entries(), loop::nowMillis);
+    private SendSlotOrders turnOrders(String name) {
+        return new SendSlotOrders(
+                name,
+                topology,
+                () -> mesh.members(),
+                () -> view.sharingProcesses(),
+                loop::nowMillis);
     }
 
     private MemoryManager memoryManager(GatewaySettings.Limits limits) {
@@ -575,11 +579,11 @@
     private void updateMetrics() {
         regionMetrics.ifPresent(
                 regional ->
-                        regional.state(
+                        regional.update(
                                 mesh::sentBytes,
                                 view.regions().ages(loop.nowMillis()),
                                 topology.otherRegions(),
-                                view.regions().isSpeaking()));
+                                view.regions().isRepresentative()));
         memoryManager.recordState(callerServer.refused());
         metrics.upstreamList(
                 storeHealth.history().epoch(),
@@ -597,8 +601,8 @@
         metrics.state(
                 policyManager.version(),
                 directory.all().size(),
-                view.heardPeers(),
-                view.entries(),
+                view.respondingPeers(),
+                view.sharingProcesses(),
                 intake.open(),
                 duties.leads(),
                 connector.opened());
@@ -639,7 +643,7 @@
         boolean timedOut = elapsedMillis >= settings.timing().graceMillis() - END_MARGIN_MILLIS;
         if (idle || timedOut) {
             intake.stopAll();
-            view.tellPeers();
+            view.sendDigests();
             membership.stop();
             logStoreUse();
             DecisionLog.write(
