--- a/trailladder-core/src/main/java/io/trailladder/core/RecentMap.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/RecentMap.java
@@ -19,31 +19,31 @@
 import java.util.Map;
 
 /**
- * A map of bounded size; the entries unused for longest are forgotten first.
+ * A map of bounded size that removes the least recently used entries first.
  *
- * @param <K> the keys
- * @param <V> the values
+ * @param <K> the type of the keys
+ * @param <V> the type of the values
  * @since 0.2
  */
 public final class RecentMap<K, V> extends LinkedHashMap<K, V> {
     private static final long serialVersionUID = 1L;
-    private static final int FIRST_CAPACITY = 16;
+    private static final int INITIAL_CAPACITY = 16;
     private static final float LOAD_FACTOR = 0.75f;
 
-    private final int mostEntries;
+    private final int maxEntries;
 
     /**
      * Creates an empty map.
      *
-     * @param mostEntries how many entries it holds
+     * @param maxEntries maximum number of entries
      */
-    public RecentMap(int mostEntries) {
-        super(FIRST_CAPACITY, LOAD_FACTOR, true);
-        this.mostEntries = mostEntries;
+    public RecentMap(int maxEntries) {
+        super(INITIAL_CAPACITY, LOAD_FACTOR, true);
+        this.maxEntries = maxEntries;
     }
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-        return size() > mostEntries;
+        return size() > maxEntries;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/FleetPlanner.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/FleetPlanner.java
@@ -184,7 +184,7 @@
         for (String dataCentre : dataCentres.keySet()) {
             there += open.contains(dataCentre) ? 0 : count(serving, dataCentre, true);
         }
-        int each = ceil((need.get().comfortable() - there) / open.size());
+        int each = ceil((need.get().recommended() - there) / open.size());
         int bounded = Math.max(target, Math.min(scaling.max(), each));
         open.forEach(dataCentre -> byDataCentre.put(dataCentre, bounded));
         return byDataCentre;
@@ -241,8 +241,8 @@
                 need.map(
                                 known ->
                                         Math.max(
-                                                ceil(known.comfortable() / all),
-                                                ceil(known.staffed() / others)))
+                                                ceil(known.recommended() / all),
+                                                ceil(known.withMargin() / others)))
                         .orElseGet(() -> Math.max(perDataCentre.value(), providedPerDataCentre()));
         return Math.max(Math.max(1, scaling.min()), Math.min(scaling.max(), wanted));
     }
@@ -255,9 +255,9 @@
             ScalingSpec scaling, List<Upstream> serving, Optional<FleetNeed> need, int coming) {
         int reclaimable = count(serving, true);
         int most = scaling.max() * dataCentres.size();
-        int least = ceil(need.map(FleetNeed::tight).orElse(LEAST_WITHOUT_LOAD));
+        int least = ceil(need.map(FleetNeed::minimum).orElse(LEAST_WITHOUT_LOAD));
         int afterLoss = least - (reclaimable - mostInOneDataCentre(serving));
-        int bridged = need.map(known -> ceil(known.staffed()) - reclaimable - coming).orElse(0);
+        int bridged = need.map(known -> ceil(known.withMargin()) - reclaimable - coming).orElse(0);
         return Math.max(0, Math.min(most, Math.max(bridged, afterLoss)));
     }
 
--- a/trailladder-core/src/main/java/io/trailladder/core/request/CallMachine.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/request/CallMachine.java
@@ -22,10 +22,10 @@
 import java.util.Set;
 
 /**
- * Decides whether a call of a plain service may be sent again after it failed.
+ * Decides whether a call to a plain service may be sent again after an attempt failed.
  *
- * <p>A call of which no byte left may always go to another upstream. One that may have run is sent
- * again only if it is repeatable and the retry budget allows.
+ * <p>A call of which no byte was sent may always be sent to another upstream. A call that may have
+ * run is sent again only if it is repeatable and the retry budget allows it.
  *
  * @since 0.1
  */
@@ -35,14 +35,14 @@
     private final boolean repeatable;
     private final RetryBudget budget;
     private final Set<String> failedUpstreams = new HashSet<>();
-    private boolean maybeRan;
+    private boolean mayHaveRun;
     private int attempts;
 
     /**
      * Creates the machine of one call.
      *
      * @param repeatable false if the call must run at most once
-     * @param budget its organisation's retry budget
+     * @param budget the retry budget of the call's organisation
      */
     public CallMachine(boolean repeatable, RetryBudget budget) {
         this.repeatable = repeatable;
@@ -52,24 +52,24 @@
     /**
      * Returns the upstreams that must not be chosen.
      *
-     * @return those that failed this call
+     * @return the upstreams that failed this call
      */
     public Set<String> excluded() {
         return Set.copyOf(failedUpstreams);
     }
 
     /**
-     * Is told that an attempt failed.
+     * Records a failed attempt and decides whether there is another.
      *
      * @param upstream the upstream's name
      * @param sent true if any byte may have reached the upstream
      * @param kind why it failed
      * @return the final answer, or empty if the call is to be sent to another upstream
      */
-    public Optional<Failure> broken(String upstream, boolean sent, Kind kind) {
+    public Optional<Failure> attemptFailed(String upstream, boolean sent, Kind kind) {
         attempts++;
         failedUpstreams.add(upstream);
-        maybeRan |= sent;
+        mayHaveRun |= sent;
         boolean allowed = !sent || (repeatable && budget.tryRetry());
         if (allowed && attempts < MAX_ATTEMPTS) {
             return Optional.empty();
@@ -78,22 +78,22 @@
     }
 
     /**
-     * Returns the final answer if no upstream can take the call.
+     * Returns the final answer to a call that no upstream can take.
      *
-     * @param retryAfterMillis when asking again may help, in milliseconds
+     * @param retryAfterMillis time after which a retry by the caller may succeed, in milliseconds
      * @return the final answer
      */
     public Failure notPlaced(long retryAfterMillis) {
         return failure(Kind.NO_CAPACITY, retryAfterMillis);
     }
 
-    /** Records a whole answer. */
+    /** Records a complete answer. */
     public void succeeded() {
         budget.succeeded();
     }
 
     private Failure failure(Kind kind, long retryAfterMillis) {
-        Outcome outcome = maybeRan ? Outcome.UNKNOWN : Outcome.NOT_RUN;
+        Outcome outcome = mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN;
         return new Failure(outcome, kind, retryAfterMillis);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/request/GenerationMachine.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/request/GenerationMachine.java
@@ -31,11 +31,11 @@
 import java.util.Set;
 
 /**
- * Takes one accepted model request from its acceptance to its final answer.
+ * State machine of one model request from its acceptance to its final answer.
  *
- * <p>Every attempt has a number. Tokens of an older attempt, tokens that came before and tokens
- * after a gap never reach the answer. An answer is whole only when the upstream named its length
- * and every token up to it is there.
+ * <p>Every attempt has a number. Tokens of an earlier attempt, duplicate tokens and tokens after a
+ * gap are never added to the answer. An answer is complete only when the upstream has reported its
+ * length and every token up to that length has been received.
  *
  * <pre>{@code
  * GenerationMachine machine = new GenerationMachine(settings, budget, log, now);
@@ -52,21 +52,21 @@
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
     /**
-     * Bounds of one request.
+     * The bounds of one request.
      *
-     * @param maxTokens most tokens the answer may have
-     * @param queueMillis how long it may wait for its first upstream, in milliseconds
-     * @param patienceMillis how long it may wait for another upstream once it had one, in
-     *     milliseconds
+     * @param maxTokens maximum number of tokens of the answer
+     * @param queueMillis maximum wait for the first upstream, in milliseconds
+     * @param replacementMillis maximum wait for another upstream after one failed, or after the
+     *     request was resumed with tokens from another entry, in milliseconds
      * @param tokenMillis expected time between two tokens, in milliseconds
      * @param exportMillis expected time of a KV export, in milliseconds
-     * @param repeatable false if no second attempt may begin once an upstream may have seen the
-     *     first; only an exported KV cache may then be gone on with elsewhere
+     * @param repeatable false if no second attempt may begin once an upstream may have received the
+     *     first; the request can then continue at another upstream only from an exported KV cache
      */
     public record Settings(
             int maxTokens,
             long queueMillis,
-            long patienceMillis,
+            long replacementMillis,
             int tokenMillis,
             long exportMillis,
             boolean repeatable) {}
@@ -89,19 +89,19 @@
     private String upstream = "";
     private String nextUpstream = "";
     private boolean everSent;
-    private boolean retryPaid = true;
+    private boolean retryGranted = true;
     private int failures;
     private long waitingSinceMillis;
     private long moveDeadlineMillis;
     private long droppedFrames;
 
     /**
-     * Creates the machine of a request that was accepted.
+     * Creates the machine of an accepted request.
      *
      * @param settings its bounds
-     * @param budget its organisation's retry budget
-     * @param log the answer so far; not empty if another entry began it
-     * @param nowMillis the time
+     * @param budget the retry budget of the request's organisation
+     * @param log the answer so far; not empty if another entry received the first tokens
+     * @param nowMillis the current time, in milliseconds
      */
     public GenerationMachine(Settings settings, RetryBudget budget, AnswerLog log, long nowMillis) {
         this.settings = settings;
@@ -113,20 +113,20 @@
     }
 
     /**
-     * Begins.
+     * Begins with the placement of the request.
      *
-     * @return what is to be done
+     * @return the actions to carry out
      */
     public List<GenerationAction> start() {
         return List.of(new Place(failedUpstreams));
     }
 
     /**
-     * Begins a request that another entry had accepted and may have sent.
+     * Resumes a request that another entry accepted and may have sent.
      *
-     * @return what is to be done
+     * @return the actions to carry out
      */
-    public List<GenerationAction> goOn() {
+    public List<GenerationAction> resume() {
         if (phase == Phase.ENDED) {
             return List.of();
         }
@@ -135,11 +135,11 @@
     }
 
     /**
-     * Is told that an upstream was chosen.
+     * Handles the choice of an upstream.
      *
      * @param chosen the upstream's name
-     * @param nowMillis the time
-     * @return what is to be done
+     * @param nowMillis the current time, in milliseconds
+     * @return the actions to carry out
      */
     public List<GenerationAction> placed(String chosen, long nowMillis) {
         if (phase == Phase.MOVING) {
@@ -154,11 +154,12 @@
     }
 
     /**
-     * Is told that no upstream can take the request now.
+     * Handles the case that no upstream can take the request now.
      *
-     * @param retryAfterMillis when the caller may ask again, if the request gives up
-     * @param nowMillis the time
-     * @return what is to be done
+     * @param retryAfterMillis time after which the caller may retry if the request fails now, in
+     *     milliseconds
+     * @param nowMillis the current time, in milliseconds
+     * @return the actions to carry out
      */
     public List<GenerationAction> notPlaced(long retryAfterMillis, long nowMillis) {
         if (phase == Phase.MOVING) {
@@ -171,27 +172,27 @@
             Kind kind = failures > 0 ? Kind.UPSTREAM_BROKEN : Kind.NO_CAPACITY;
             return fail(kind, retryAfterMillis);
         }
-        // every upstream that failed may be tried again rather than none
+        // better to retry the upstreams that failed than none
         failedUpstreams.clear();
         return List.of(new WakeAt(nowMillis + PLACEMENT_RETRY_MILLIS));
     }
 
     /**
-     * Is told of one token.
+     * Handles one token.
      *
-     * @param ofAttempt the attempt that made it
-     * @param position its position in the whole answer, from 0
+     * @param ofAttempt the attempt that generated it
+     * @param position the position of the token in the whole answer, from 0
      * @param text the token
-     * @param nowMillis the time
-     * @return what is to be done
+     * @param nowMillis the current time, in milliseconds
+     * @return the actions to carry out
      */
     public List<GenerationAction> token(int ofAttempt, int position, String text, long nowMillis) {
-        if (ofAttempt != attempt || !takesTokens() || position < log.size()) {
+        if (ofAttempt != attempt || !acceptsTokens() || position < log.size()) {
             droppedFrames++;
             return List.of();
         }
         if (position > log.size() || log.size() >= settings.maxTokens()) {
-            return broken(ofAttempt, true, nowMillis);
+            return attemptFailed(ofAttempt, true, nowMillis);
         }
         everSent = true;
         log.append(text);
@@ -199,20 +200,20 @@
     }
 
     /**
-     * Is told that the upstream ended the answer.
+     * Handles the upstream's end of the answer.
      *
      * @param ofAttempt the attempt
-     * @param tokens how many tokens the whole answer has
-     * @param nowMillis the time
-     * @return what is to be done
+     * @param tokens number of tokens of the whole answer
+     * @param nowMillis the current time, in milliseconds
+     * @return the actions to carry out
      */
     public List<GenerationAction> ended(int ofAttempt, int tokens, long nowMillis) {
-        if (ofAttempt != attempt || !takesTokens()) {
+        if (ofAttempt != attempt || !acceptsTokens()) {
             droppedFrames++;
             return List.of();
         }
         if (tokens != log.size()) {
-            return broken(ofAttempt, true, nowMillis);
+            return attemptFailed(ofAttempt, true, nowMillis);
         }
         phase = Phase.ENDED;
         log.complete();
@@ -221,15 +222,15 @@
     }
 
     /**
-     * Is told that an attempt failed.
+     * Handles the failure of an attempt.
      *
      * @param ofAttempt the attempt
      * @param sent true if any byte may have reached the upstream
-     * @param nowMillis the time
-     * @return what is to be done
+     * @param nowMillis the current time, in milliseconds
+     * @return the actions to carry out
      */
-    public List<GenerationAction> broken(int ofAttempt, boolean sent, long nowMillis) {
-        if (ofAttempt != attempt || !takesTokens()) {
+    public List<GenerationAction> attemptFailed(int ofAttempt, boolean sent, long nowMillis) {
+        if (ofAttempt != attempt || !acceptsTokens()) {
             return List.of();
         }
         List<GenerationAction> actions = new ArrayList<>();
@@ -241,21 +242,21 @@
         failedUpstreams.add(upstream);
         failures++;
         attempt++;
-        boolean announced = phase != Phase.RUNNING;
+        boolean moving = phase != Phase.RUNNING;
         phase = Phase.PLACING;
         waitingSinceMillis = nowMillis;
-        retryPaid = announced || !sent;
-        actions.add(new WakeAt(nowMillis + (announced ? 0 : backoffMillis())));
+        retryGranted = moving || !sent;
+        actions.add(new WakeAt(nowMillis + (moving ? 0 : backoffMillis())));
         return actions;
     }
 
     /**
-     * Is told that an upstream is leaving.
+     * Handles the notice that an upstream is leaving.
      *
      * @param leaving the upstream's name
-     * @param noticeMillis how long it will still run, in milliseconds
-     * @param nowMillis the time
-     * @return what is to be done
+     * @param noticeMillis time for which it will still run, in milliseconds
+     * @param nowMillis the current time, in milliseconds
+     * @return the actions to carry out
      */
     public List<GenerationAction> leaving(String leaving, long noticeMillis, long nowMillis) {
         if (phase == Phase.EXPORTING && leaving.equals(nextUpstream)) {
@@ -275,11 +276,11 @@
     }
 
     /**
-     * Is told how an export ended.
+     * Handles the end of an export.
      *
      * @param ofAttempt the attempt whose cache was exported
-     * @param kvHandle where it can be imported from; empty if the export failed
-     * @return what is to be done
+     * @param kvHandle handle from which the cache can be imported; empty if the export failed
+     * @return the actions to carry out
      */
     public List<GenerationAction> exported(int ofAttempt, String kvHandle) {
         if (phase != Phase.EXPORTING || ofAttempt != attempt) {
@@ -289,14 +290,14 @@
     }
 
     /**
-     * Is told that a time asked for with {@link WakeAt} has come.
+     * Handles a time that was requested with {@link WakeAt}.
      *
-     * @param nowMillis the time
-     * @return what is to be done
+     * @param nowMillis the current time, in milliseconds
+     * @return the actions to carry out
      */
     public List<GenerationAction> tick(long nowMillis) {
         return switch (phase) {
-            case PLACING -> placeAgain(nowMillis);
+            case PLACING -> retryPlacement(nowMillis);
             case MOVING -> List.of(new Place(Set.of(upstream)));
             case EXPORTING ->
                     nowMillis >= moveDeadlineMillis ? switchTo(nextUpstream, "") : List.of();
@@ -305,20 +306,20 @@
     }
 
     /**
-     * Ends the request with a failure, for reasons outside of it.
+     * Ends the request with a failure whose cause is outside the request.
      *
-     * @param kind why
-     * @param retryAfterMillis when asking again may help, in milliseconds
-     * @return what is to be done
+     * @param kind the cause
+     * @param retryAfterMillis time after which a retry by the caller may succeed, in milliseconds
+     * @return the actions to carry out
      */
     public List<GenerationAction> abort(Kind kind, long retryAfterMillis) {
         return phase == Phase.ENDED ? List.of() : fail(kind, retryAfterMillis);
     }
 
     /**
-     * Ends the request because nobody wants its answer.
+     * Ends the request because its caller no longer waits for the answer.
      *
-     * @return what is to be done
+     * @return the actions to carry out
      */
     public List<GenerationAction> cancelled() {
         if (phase == Phase.ENDED) {
@@ -329,12 +330,12 @@
     }
 
     /**
-     * Tells whether an upstream that was placed is kept for later.
+     * Returns whether an upstream that was placed is the one that the request is being moved to.
      *
      * @param placed the upstream's name
-     * @return true while the KV cache is exported to go on there
+     * @return true while the KV cache is being exported so that the request can continue there
      */
-    public boolean wants(String placed) {
+    public boolean isMoveTarget(String placed) {
         return phase == Phase.EXPORTING && placed.equals(nextUpstream);
     }
 
@@ -357,33 +358,33 @@
     }
 
     /**
-     * Tells whether the request has had its final answer.
+     * Returns whether the request has ended.
      *
-     * @return true after Complete, Fail or a cancel
+     * @return true after {@link Complete}, {@link Fail} or a cancellation
      */
     public boolean isEnded() {
         return phase == Phase.ENDED;
     }
 
     /**
-     * Returns how many frames were dropped as late or doubled.
+     * Returns the number of frames that were dropped as late or duplicate.
      *
-     * @return a count
+     * @return the number of dropped frames
      */
     public long droppedFrames() {
         return droppedFrames;
     }
 
-    private List<GenerationAction> placeAgain(long nowMillis) {
-        boolean patient = nowMillis - waitingSinceMillis < waitLimitMillis();
-        if (!retryPaid) {
-            retryPaid = budget.tryRetry();
+    private List<GenerationAction> retryPlacement(long nowMillis) {
+        boolean withinWaitLimit = nowMillis - waitingSinceMillis < waitLimitMillis();
+        if (!retryGranted) {
+            retryGranted = budget.tryRetry();
         }
-        if (!retryPaid && patient) {
+        if (!retryGranted && withinWaitLimit) {
             return List.of(new WakeAt(nowMillis + PLACEMENT_RETRY_MILLIS));
         }
-        if (!retryPaid) {
-            return fail(Kind.UPSTREAM_BROKEN, settings.patienceMillis());
+        if (!retryGranted) {
+            return fail(Kind.UPSTREAM_BROKEN, settings.replacementMillis());
         }
         return List.of(new Place(failedUpstreams));
     }
@@ -417,11 +418,11 @@
     }
 
     private long waitLimitMillis() {
-        boolean accepted = failures > 0 || log.size() > 0;
-        return accepted ? settings.patienceMillis() : settings.queueMillis();
+        boolean hadUpstream = failures > 0 || log.size() > 0;
+        return hadUpstream ? settings.replacementMillis() : settings.queueMillis();
     }
 
-    private boolean takesTokens() {
+    private boolean acceptsTokens() {
         return phase == Phase.RUNNING || phase == Phase.MOVING || phase == Phase.EXPORTING;
     }
 
--- a/trailladder-core/src/main/java/io/trailladder/core/routing/PrefixMemory.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/routing/PrefixLocations.java
@@ -19,36 +19,37 @@
 import java.util.Map;
 
 /**
- * Remembers which upstream was last sent which prompt prefix, in bounded memory.
+ * Records which prompt prefixes were recently sent to which upstreams, in bounded memory.
  *
- * <p>A hint only: an engine may have dropped the prefix since.
+ * <p>The record is only a hint, as an engine may have dropped the prefix since.
  *
  * @since 0.1
  */
-public final class PrefixMemory {
-    private final Map<Place, Boolean> places;
+public final class PrefixLocations {
+    private final Map<Location, Boolean> locations;
 
     /** A prefix at an upstream. */
-    private record Place(long prefix, String upstream) {}
+    private record Location(long prefix, String upstream) {}
 
     /**
-     * Creates a memory.
+     * Creates an empty record.
      *
-     * @param capacity how many prefixes are remembered; the oldest are forgotten first
+     * @param capacity maximum number of recorded pairs of prefix and upstream; those least recently
+     *     sent are dropped first
      */
-    public PrefixMemory(int capacity) {
-        places = new RecentMap<>(capacity);
+    public PrefixLocations(int capacity) {
+        locations = new RecentMap<>(capacity);
     }
 
     /**
-     * Records that an upstream was sent a prompt.
+     * Records that a prompt was sent to an upstream.
      *
      * @param blocks the prompt's blocks
      * @param upstream the upstream's name
      */
     public void sent(PromptBlocks blocks, String upstream) {
         for (int i = 0; i < blocks.size(); i++) {
-            places.put(new Place(blocks.hash(i), upstream), Boolean.TRUE);
+            locations.put(new Location(blocks.hash(i), upstream), Boolean.TRUE);
         }
     }
 
@@ -59,22 +60,22 @@
      * @param upstream the upstream's name
      */
     public void dropped(long prefix, String upstream) {
-        places.remove(new Place(prefix, upstream));
+        locations.remove(new Location(prefix, upstream));
     }
 
     /**
-     * Returns how many leading tokens of a prompt an upstream probably holds.
+     * Returns how many leading tokens of a prompt an upstream probably has cached.
      *
      * @param blocks the prompt's blocks
      * @param upstream the upstream's name
-     * @return tokens, 0 if none
+     * @return the number of tokens; 0 if none
      */
     public int cachedTokens(PromptBlocks blocks, String upstream) {
         int low = 0;
         int high = blocks.size();
         while (low < high) {
             int middle = (low + high + 1) >>> 1;
-            if (places.containsKey(new Place(blocks.hash(middle - 1), upstream))) {
+            if (locations.containsKey(new Location(blocks.hash(middle - 1), upstream))) {
                 low = middle;
             } else {
                 high = middle - 1;
--- a/trailladder-core/src/main/java/io/trailladder/core/routing/Router.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/routing/Router.java
@@ -31,21 +31,21 @@
 /**
  * Chooses the upstream with the lowest predicted time to the first token, within one data centre.
  *
- * <p>Weighs a bounded number of upstreams: the prefix's homes on a hash ring, and some at random,
- * so that a decision's cost hardly grows with the number of upstreams.
+ * <p>Evaluates a bounded number of upstreams, the preferred ones of the prefix on a hash ring and
+ * some random ones, so that the cost of a decision hardly grows with the number of upstreams.
  *
  * @since 0.1
  */
 public final class Router {
-    private static final int HOMES = 3;
+    private static final int PREFERRED_UPSTREAMS = 3;
     private static final int RANDOM_CHOICES = 5;
     private static final int RANDOM_TRIES = 20;
-    private static final int REMEMBERED_PREFIXES = 50_000;
+    private static final int MAX_PREFIXES = 50_000;
 
     private final String dataCentre;
     private final LocalUpstreamDirectory directory;
     private final SplittableRandom random;
-    private final PrefixMemory prefixes = new PrefixMemory(REMEMBERED_PREFIXES);
+    private final PrefixLocations prefixes = new PrefixLocations(MAX_PREFIXES);
     private final Map<String, LocalUpstreamLoad> loads = new HashMap<>();
     private final Map<String, UpstreamRing> rings = new HashMap<>();
     private long ringsVersion = -1;
@@ -53,9 +53,9 @@
     /**
      * Creates a router.
      *
-     * @param dataCentre the data centre it chooses in
-     * @param directory the upstreams known
-     * @param seed seed of its random choices
+     * @param dataCentre the data centre of the upstreams to choose from
+     * @param directory the known upstreams
+     * @param seed seed of the random choices
      */
     public Router(String dataCentre, LocalUpstreamDirectory directory, long seed) {
         this.dataCentre = dataCentre;
@@ -66,15 +66,15 @@
     /**
      * Chooses an upstream.
      *
-     * @param query what is asked for
-     * @param nowMillis the time
-     * @return the choice with its reasons
+     * @param query the request to be routed
+     * @param nowMillis the current time, in milliseconds
+     * @return the choice with the evaluated candidates
      */
     public RoutingDecision choose(RoutingQuery query, long nowMillis) {
         List<Candidate> candidates = new ArrayList<>();
         Candidate best = null;
         for (String id : sample(query)) {
-            Candidate candidate = weigh(id, query, nowMillis);
+            Candidate candidate = evaluate(id, query, nowMillis);
             candidates.add(candidate);
             boolean eligible = candidate.reason() == Reason.SLOWER;
             if (eligible && (best == null || candidate.totalMillis() < best.totalMillis())) {
@@ -89,11 +89,11 @@
     }
 
     /**
-     * Records that a request was sent as decided.
+     * Records that a request was sent to an upstream.
      *
      * @param query the request
      * @param upstream the upstream's name
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void sent(RoutingQuery query, String upstream, long nowMillis) {
         int cached = cachedTokens(query, upstream);
@@ -104,29 +104,29 @@
     }
 
     /**
-     * Returns the load of one upstream, to be told of reports and ends.
+     * Returns the load of one upstream, to which reports and ends of requests are to be recorded.
      *
      * @param upstream the upstream's name
-     * @return its load
+     * @return the load of the upstream
      */
     public LocalUpstreamLoad load(String upstream) {
         return loads.computeIfAbsent(upstream, id -> new LocalUpstreamLoad());
     }
 
     /**
-     * Returns the memory of prefixes, to be told of cache events.
+     * Returns the record of prefixes, which is to be updated on cache events.
      *
-     * @return the memory
+     * @return the record of prefixes
      */
-    public PrefixMemory prefixes() {
+    public PrefixLocations prefixes() {
         return prefixes;
     }
 
     /**
-     * Tells whether any upstream here could ever take the request.
+     * Returns whether any upstream in the data centre serves a target.
      *
      * @param target the model or service
-     * @return true if one serves it and is not leaving
+     * @return true if one serves the target and is not leaving
      */
     public boolean serves(String target) {
         refreshRings();
@@ -134,7 +134,7 @@
         return ring != null && ring.upstreams().stream().anyMatch(this::takesNewWork);
     }
 
-    private Candidate weigh(String id, RoutingQuery query, long nowMillis) {
+    private Candidate evaluate(String id, RoutingQuery query, long nowMillis) {
         LocalUpstreamLoad load = load(id);
         int cached = cachedTokens(query, id);
         return new Candidate(
@@ -142,10 +142,11 @@
                 load.queueMillis(query.maxTokens(), nowMillis),
                 load.prefillMillis(query.promptTokens() - cached),
                 cached,
-                fitness(id, load, query, nowMillis));
+                eligibility(id, load, query, nowMillis));
     }
 
-    private Reason fitness(String id, LocalUpstreamLoad load, RoutingQuery query, long nowMillis) {
+    private Reason eligibility(
+            String id, LocalUpstreamLoad load, RoutingQuery query, long nowMillis) {
         if (!takesNewWork(id)) {
             return Reason.LEAVING;
         }
@@ -168,16 +169,20 @@
         }
         List<String> all = ring.upstreams();
         if (query.blocks() != null) {
-            sample.addAll(ring.homes(query.blocks().hash(0), HOMES, this::takesNewWork));
+            sample.addAll(
+                    ring.preferred(
+                            query.blocks().hash(0), PREFERRED_UPSTREAMS, this::takesNewWork));
         }
-        if (all.size() <= HOMES + RANDOM_CHOICES) {
+        if (all.size() <= PREFERRED_UPSTREAMS + RANDOM_CHOICES) {
             int start = random.nextInt(all.size());
             for (int i = 0; i < all.size(); i++) {
                 sample.add(all.get((start + i) % all.size()));
             }
             return sample;
         }
-        for (int i = 0; i < RANDOM_TRIES && sample.size() < HOMES + RANDOM_CHOICES; i++) {
+        for (int i = 0;
+                i < RANDOM_TRIES && sample.size() < PREFERRED_UPSTREAMS + RANDOM_CHOICES;
+                i++) {
             String id = all.get(random.nextInt(all.size()));
             if (takesNewWork(id)) {
                 sample.add(id);
@@ -190,7 +195,10 @@
         return directory.state(id).map(UpstreamState::takesNewWork).orElse(false);
     }
 
-    /** Rings hold leaving upstreams too, so that a wave of notices rebuilds nothing. */
+    /**
+     * Rebuilds the rings if the list of upstreams has changed. The rings contain leaving upstreams
+     * too, so that many notices at once cause no rebuild.
+     */
     private void refreshRings() {
         if (ringsVersion == directory.listVersion()) {
             return;
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/CrossingRule.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/CrossingRule.java
@@ -179,7 +179,7 @@
     }
 
     private static double placeMillis(Candidate candidate) {
-        return candidate.engine().placeMillis(candidate.running(), candidate.upstream().slots());
+        return candidate.engine().slotWaitMillis(candidate.running(), candidate.upstream().slots());
     }
 
     private static boolean isPrompted(Candidate candidate) {
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/PlaceForecast.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/PlaceForecast.java
@@ -67,6 +67,6 @@
             Upstream upstream, UpstreamLoads loads, EngineEstimate engine) {
         double oneEnds = engine.runMillis() / Math.max(1, upstream.slots());
         return Math.max(
-                oneEnds, engine.placeMillis(loads.requests(upstream.id()), upstream.slots()));
+                oneEnds, engine.slotWaitMillis(loads.requests(upstream.id()), upstream.slots()));
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/claim/AtMostOnceProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/claim/AtMostOnceProperties.java
@@ -39,15 +39,16 @@
 import net.jqwik.api.Property;
 
 /**
- * A key is granted at most once, whatever entries are killed, frozen and woken, and whatever
- * messages and proposals are late or lost. Message order, faults and time are drawn from the seed.
+ * Checks that a key is granted at most once while entries are killed, frozen and resumed, and
+ * messages and proposals are delayed or lost. Message order, faults and time are derived from the
+ * seed.
  */
 class AtMostOnceProperties {
     private static final long RETENTION = 1_000_000;
     private static final int KEYS = 6;
     private static final int RANGES = 2;
 
-    /** Entries, the platform's map, and the messages between them. */
+    /** Entries, the platform's map, and the messages in transit. */
     private static final class Cluster {
         final Random random;
         final Map<String, ClaimRegistry> entries = new HashMap<>();
@@ -119,7 +120,7 @@
                                 perform(
                                         all.backup(),
                                         entries.get(all.backup())
-                                                .allSent(
+                                                .receiveAll(
                                                         from,
                                                         all.range(),
                                                         all.epoch(),
@@ -135,12 +136,12 @@
             return key(Integer.parseInt(requestId.substring(requestId.indexOf('/') + 1)));
         }
 
-        void ask(int key) {
+        void requestClaim(int key) {
             String holder = any();
             String owner = entries.get(holder).map().get(key(key).range(RANGES)).owner();
             String requestId = "r" + requests++ + "/" + key;
             Claim claim = new Claim(key(key), 7, holder, requestId, now + RETENTION);
-            deliver(owner, () -> perform(owner, entries.get(owner).ask(claim, now)));
+            deliver(owner, () -> perform(owner, entries.get(owner).request(claim, now)));
         }
 
         void plan(String name) {
@@ -177,7 +178,7 @@
 
         void readMap(String name) {
             if (!frozen.contains(name)) {
-                perform(name, entries.get(name).mapRead(platform, now));
+                perform(name, entries.get(name).updateMap(platform, now));
             }
         }
 
@@ -186,7 +187,7 @@
             switch (random.nextInt(16)) {
                 case 0 -> plan(any());
                 case 1 -> readMap(any());
-                case 2, 3 -> ask(random.nextInt(KEYS));
+                case 2, 3 -> requestClaim(random.nextInt(KEYS));
                 case 4 -> {
                     if (random.nextInt(6) == 0) {
                         frozen.add(any());
@@ -259,8 +260,8 @@
             }
         }
         for (int key = 0; key < KEYS; key++) {
-            cluster.ask(key);
-            cluster.ask(key);
+            cluster.requestClaim(key);
+            cluster.requestClaim(key);
             drain(cluster);
         }
         assertEquals(KEYS, cluster.grants.size());
--- a/trailladder-core/src/test/java/io/trailladder/core/duty/FleetPlannerTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/duty/FleetPlannerTest.java
@@ -244,9 +244,9 @@
     /** Few upstreams keep a whole need after a loss, many only a margin over the least. */
     @Example
     void marginAfterALossShrinksWithTheSizeOfTheFleet() {
-        assertEquals(1.9, new FleetNeed(1.9, 1).staffed(), 1e-9);
-        assertEquals(6, new FleetNeed(8, 4).staffed(), 1e-9);
-        assertEquals(42, new FleetNeed(72, 36).staffed(), 1e-9);
+        assertEquals(1.9, new FleetNeed(1.9, 1).withMargin(), 1e-9);
+        assertEquals(6, new FleetNeed(8, 4).withMargin(), 1e-9);
+        assertEquals(42, new FleetNeed(72, 36).withMargin(), 1e-9);
     }
 
     /** A step of three times is met by reclaimable ones in one order, not one by one. */
--- a/trailladder-core/src/test/java/io/trailladder/core/engine/EngineModelProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/engine/EngineModelProperties.java
@@ -28,12 +28,15 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
 
-/** The model on simulated engines: it learns any speed and is not led astray. */
+/**
+ * Checks that the model estimates the speed of simulated engines, and that outliers and invalid
+ * evidence do not distort the estimate.
+ */
 class EngineModelProperties {
     private static final int REQUESTS_PER_SECOND = 20;
     private static final int SECONDS = 10;
 
-    /** An engine with the times that the model is to find. */
+    /** An engine with the times that the model is to estimate. */
     private record SimulatedEngine(double firstMillis, double tokensPerMilli, double slowFactor) {
         long firstEvent(int tokens, SplittableRandom random) {
             double jitter = 5 * random.nextDouble();
@@ -58,40 +61,44 @@
     }
 
     @Property(tries = 1_000, seed = "20261202")
-    void anySpeedIsFoundWithinTenSeconds(
+    void anySpeedIsEstimatedWithinTenSeconds(
             @ForAll @DoubleRange(min = 5, max = 400) double speed,
             @ForAll @DoubleRange(min = 0, max = 200) double first,
             @ForAll @LongRange(min = 0, max = 1_000) long seed) {
         EngineModel model = new EngineModel();
         serve(model, List.of(new SimulatedEngine(first, speed, 1)), 0, seed);
-        double found = tokensPerMilli(model, SECONDS * 1_000L);
-        assertTrue(found > 0.75 * speed && found < 1.35 * speed, speed + " found as " + found);
+        double estimated = tokensPerMilli(model, SECONDS * 1_000L);
+        assertTrue(
+                estimated > 0.75 * speed && estimated < 1.35 * speed,
+                speed + " estimated as " + estimated);
     }
 
     @Example
-    void veryFastEnginesAreFoundWithinTenSecondsToo() {
-        anySpeedIsFoundWithinTenSeconds(337.81, 3.72, 2);
-        anySpeedIsFoundWithinTenSeconds(400, 4.91, 2);
+    void veryFastEnginesAreEstimatedWithinTenSeconds() {
+        anySpeedIsEstimatedWithinTenSeconds(337.81, 3.72, 2);
+        anySpeedIsEstimatedWithinTenSeconds(400, 4.91, 2);
     }
 
     @Property(tries = 1_000, seed = "20261202")
-    void oneSlowUpstreamOfTenDoesNotSpoilTheFiguresOfHalfAMinute(
+    void oneSlowUpstreamInTenDoesNotDistortTheEstimate(
             @ForAll @DoubleRange(min = 20, max = 200) double speed,
             @ForAll @LongRange(min = 0, max = 1_000) long seed) {
-        SimulatedEngine sound = new SimulatedEngine(30, speed, 1);
+        SimulatedEngine usual = new SimulatedEngine(30, speed, 1);
         SimulatedEngine slow = new SimulatedEngine(30, speed, 8);
         EngineModel model = new EngineModel();
         List<SimulatedEngine> engines =
-                List.of(sound, sound, sound, sound, sound, sound, sound, sound, sound, slow);
+                List.of(usual, usual, usual, usual, usual, usual, usual, usual, usual, slow);
         for (int i = 0; i < 3; i++) {
             serve(model, engines, 1_000L * i * SECONDS, seed + i);
         }
-        double found = tokensPerMilli(model, 3 * SECONDS * 1_000L);
-        assertTrue(found > 0.6 * speed && found < 1.4 * speed, speed + " found as " + found);
+        double estimated = tokensPerMilli(model, 3 * SECONDS * 1_000L);
+        assertTrue(
+                estimated > 0.6 * speed && estimated < 1.4 * speed,
+                speed + " estimated as " + estimated);
     }
 
     @Property(tries = 1_000, seed = "20261202")
-    void aChangeOfSpeedIsFollowed(@ForAll @LongRange(min = 0, max = 1_000) long seed) {
+    void estimateFollowsAChangeOfSpeed(@ForAll @LongRange(min = 0, max = 1_000) long seed) {
         EngineModel model = new EngineModel();
         serve(model, List.of(new SimulatedEngine(30, 100, 1)), 0, seed);
         for (int i = 1; i <= 6; i++) {
@@ -109,11 +116,11 @@
     }
 
     @Example
-    void whatPeersSawIsKnownRightAfterAStart() {
+    void peerEvidenceIsUsedRightAfterAStart() {
         EngineModel peer = new EngineModel();
         serve(peer, List.of(new SimulatedEngine(30, 150, 1)), 0, 1);
         EngineModel started = new EngineModel();
-        started.others(peer.evidence(SECONDS * 1_000L));
+        started.peerEvidence(peer.evidence(SECONDS * 1_000L));
         assertEquals(150, tokensPerMilli(started, SECONDS * 1_000L), 25);
     }
 
@@ -122,8 +129,8 @@
         EngineModel peer = new EngineModel();
         serve(peer, List.of(new SimulatedEngine(30, 150, 1)), 0, 1);
         EngineModel model = new EngineModel();
-        model.others(peer.evidence(10_000));
-        model.others(peer.evidence(10_000));
+        model.peerEvidence(peer.evidence(10_000));
+        model.peerEvidence(peer.evidence(10_000));
         double once = peer.evidence(10_000).get(0).runs();
         assertEquals(once, model.estimate("s", 10_000).observations(), 0.01);
     }
@@ -141,24 +148,24 @@
             model.paused("s", tokens.get(i), times.get(i).doubleValue(), now);
         }
         EngineEstimate estimate = model.estimate("s", now + 1_000);
-        assertTrue(estimate.millisPerToken() >= EngineModel.LEAST_MILLIS_PER_TOKEN);
-        assertTrue(estimate.millisPerToken() <= EngineModel.MOST_MILLIS_PER_TOKEN);
+        assertTrue(estimate.millisPerToken() >= EngineModel.MIN_MILLIS_PER_TOKEN);
+        assertTrue(estimate.millisPerToken() <= EngineModel.MAX_MILLIS_PER_TOKEN);
         assertTrue(estimate.firstMillis() >= 0 && estimate.runMillis() >= 1);
         assertTrue(estimate.pauseMillisPerRequest() >= 0);
-        assertTrue(model.evidence(now + 1_000).stream().allMatch(EngineEvidence::isSound));
+        assertTrue(model.evidence(now + 1_000).stream().allMatch(EngineEvidence::isValid));
     }
 
     @Example
-    void absurdEvidenceIsNotSound() {
+    void outOfRangeEvidenceIsInvalid() {
         FitSums notANumber = new FitSums(Double.NaN, 1, 1, 1, 1);
         FitSums negative = new FitSums(1, -1, 1, 1, 1);
-        FitSums absurd = new FitSums(1, 1e300, 1, 1, 1);
-        for (FitSums sums : List.of(notANumber, negative, absurd)) {
-            assertFalse(new EngineEvidence("s", sums, FitSums.NONE, 1, 1).isSound());
-            assertFalse(new EngineEvidence("s", FitSums.NONE, sums, 1, 1).isSound());
+        FitSums tooLarge = new FitSums(1, 1e300, 1, 1, 1);
+        for (FitSums sums : List.of(notANumber, negative, tooLarge)) {
+            assertFalse(new EngineEvidence("s", sums, FitSums.NONE, 1, 1).isValid());
+            assertFalse(new EngineEvidence("s", FitSums.NONE, sums, 1, 1).isValid());
         }
-        assertFalse(new EngineEvidence("s", FitSums.NONE, FitSums.NONE, 1, 1e9).isSound());
-        assertFalse(new EngineEvidence(null, FitSums.NONE, FitSums.NONE, 1, 1).isSound());
-        assertTrue(EngineEvidence.none("s").isSound());
+        assertFalse(new EngineEvidence("s", FitSums.NONE, FitSums.NONE, 1, 1e9).isValid());
+        assertFalse(new EngineEvidence(null, FitSums.NONE, FitSums.NONE, 1, 1).isValid());
+        assertTrue(EngineEvidence.none("s").isValid());
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/engine/SimulatedFleet.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/engine/SimulatedFleet.java
@@ -42,8 +42,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The core's decisions on simulated engines in virtual time: one gateway chooses upstreams, learns
- * their speed, and orders as many as it believes are needed.
+ * Runs the core's decisions on simulated engines in virtual time: one gateway chooses upstreams,
+ * estimates their speed, and orders as many as the estimate requires.
  */
 final class SimulatedFleet {
     private static final String SERVICE = "s";
@@ -55,11 +55,11 @@
      * @param tokensPerMilli prompt tokens it reads in a millisecond
      * @param slots requests it works on at once
      * @param tokenMillis time between two tokens of an answer, in milliseconds
-     * @param perSecond requests a second
-     * @param promptTokens mean prompt
-     * @param answerTokens length of an answer
+     * @param perSecond requests per second
+     * @param promptTokens mean length of a prompt, in tokens
+     * @param answerTokens length of an answer, in tokens
      * @param objectiveMillis time for the first event, in milliseconds
-     * @param scaling bounds and prices
+     * @param scaling bounds and prices of the fleet
      */
     record Kind(
             double tokensPerMilli,
@@ -70,31 +70,34 @@
             int answerTokens,
             long objectiveMillis,
             ScalingSpec scaling) {
-        /** Upstreams that this load keeps wholly busy, by either measure. */
-        double leastUpstreams() {
+        /**
+         * Returns the number of upstreams that this load keeps fully busy, reading and generating
+         * together.
+         */
+        double minUpstreams() {
             double reading = perSecond / 1_000 * promptTokens / tokensPerMilli;
-            double places = perSecond / 1_000 * answerTokens * tokenMillis / slots;
-            return reading + places;
+            double generating = perSecond / 1_000 * answerTokens * tokenMillis / slots;
+            return reading + generating;
         }
     }
 
-    /** One engine: reads prompts one after the other, and answers in its places. */
+    /** An engine that reads prompts one after the other, and generates answers in its slots. */
     private static final class Engine {
-        private final PriorityQueue<Double> placesFreeAt = new PriorityQueue<>();
-        private double readsUntil;
+        private final PriorityQueue<Double> slotsFreeAt = new PriorityQueue<>();
+        private double readingUntil;
 
         double firstEventAt(Kind kind, double now, int tokens) {
-            double place = now;
-            if (placesFreeAt.size() >= kind.slots()) {
-                place = Math.max(now, placesFreeAt.remove());
+            double slotFreeAt = now;
+            if (slotsFreeAt.size() >= kind.slots()) {
+                slotFreeAt = Math.max(now, slotsFreeAt.remove());
             }
-            readsUntil = Math.max(place, readsUntil) + tokens / kind.tokensPerMilli();
-            return readsUntil;
+            readingUntil = Math.max(slotFreeAt, readingUntil) + tokens / kind.tokensPerMilli();
+            return readingUntil;
         }
     }
 
-    /** Something that happens later. */
-    private record Due(double at, Runnable task) {}
+    /** A task to be run at a later time. */
+    private record Event(double at, Runnable task) {}
 
     private final Kind kind;
     private final SplittableRandom random;
@@ -105,7 +108,8 @@
     private final FleetPlanner planner = new FleetPlanner(SERVICE, false);
     private final UpstreamSelector selector = new UpstreamSelector("a", directory, loads, model);
     private final Map<String, Engine> engines = new HashMap<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparing(Due::at));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(Comparator.comparing(Event::at));
     private final Route route;
     private double now;
     private double running = -1;
@@ -137,17 +141,17 @@
         }
     }
 
-    /** Plays some seconds; what is measured counts from the given second on. */
-    void play(int seconds, int measuredFrom) {
+    /** Simulates some seconds; requests and fleet sizes are measured from the given second on. */
+    void simulate(int seconds, int measuredFrom) {
         for (int step = 0; step < seconds * 1_000 / STEP_MILLIS; step++) {
             double from = step * (double) STEP_MILLIS;
             arrivals(from, from >= measuredFrom * 1_000.0);
-            until(from + STEP_MILLIS);
+            runUntil(from + STEP_MILLIS);
             order(from >= measuredFrom * 1_000.0);
         }
     }
 
-    double inTimePart() {
+    double inTimeFraction() {
         return (double) inTime / Math.max(1, served);
     }
 
@@ -155,7 +159,7 @@
         return fleetSum / Math.max(1, fleetCount);
     }
 
-    double believedTokensPerMilli() {
+    double estimatedTokensPerMilli() {
         return 1 / model.estimate(SERVICE, Math.round(now)).millisPerToken();
     }
 
@@ -164,13 +168,13 @@
         int count = (int) expected + (random.nextDouble() < expected % 1 ? 1 : 0);
         for (int i = 0; i < count; i++) {
             double at = from + random.nextDouble() * STEP_MILLIS;
-            due.add(new Due(at, () -> send(measured)));
+            events.add(new Event(at, () -> send(measured)));
         }
     }
 
-    private void until(double end) {
-        while (!due.isEmpty() && due.peek().at() < end) {
-            Due next = due.remove();
+    private void runUntil(double end) {
+        while (!events.isEmpty() && events.peek().at() < end) {
+            Event next = events.remove();
             now = next.at();
             next.task().run();
         }
@@ -189,12 +193,13 @@
         Engine engine = engines.get(upstream);
         double first = engine.firstEventAt(kind, now, tokens);
         double end = first + kind.answerTokens() * kind.tokenMillis();
-        engine.placesFreeAt.add(end);
+        engine.slotsFreeAt.add(end);
         loads.sent(upstream, tokens);
         demand.sent(SERVICE, tokens, nowMillis);
         long took = Math.round(first - now);
-        due.add(new Due(first, () -> firstEvent(upstream, tokens, choice.waitingTokens(), took)));
-        due.add(new Due(end, () -> ended(upstream, Math.round(end - nowMillis))));
+        events.add(
+                new Event(first, () -> firstEvent(upstream, tokens, choice.waitingTokens(), took)));
+        events.add(new Event(end, () -> ended(upstream, Math.round(end - nowMillis))));
         if (measured) {
             served++;
             inTime += took <= kind.objectiveMillis() ? 1 : 0;
@@ -213,12 +218,12 @@
 
     private void order(boolean measured) {
         long nowMillis = Math.round(now);
-        int underWay = loads.requests(directory.all());
-        running = running < 0 ? underWay : running + 0.06 * (underWay - running);
+        int inFlight = loads.requests(directory.all());
+        running = running < 0 ? inFlight : running + 0.06 * (inFlight - running);
         Optional<FleetNeed> need = need(nowMillis);
         List<UpstreamOrder> orders =
                 planner.plan(kind.scaling(), directory.all(), need, Set.of(), nowMillis);
-        orders.forEach(this::follow);
+        orders.forEach(this::carryOut);
         if (measured) {
             fleetSum += directory.serving(SERVICE).size();
             fleetCount++;
@@ -231,26 +236,26 @@
         if (engine.observations() < 15 || demands.isEmpty()) {
             return Optional.empty();
         }
-        ServiceDemand told = demands.get(0);
+        ServiceDemand first = demands.get(0);
         ServiceLoad load =
-                new ServiceLoad(told.tokensPerMilli(), told.squaredTokensPerMilli(), running);
+                new ServiceLoad(first.tokensPerMilli(), first.squaredTokensPerMilli(), running);
         return Optional.of(
                 FleetSizer.need(load, engine, kind.slots(), (double) kind.objectiveMillis()));
     }
 
-    private void follow(UpstreamOrder order) {
-        List<Upstream> there = new ArrayList<>();
+    private void carryOut(UpstreamOrder order) {
+        List<Upstream> existing = new ArrayList<>();
         for (Upstream upstream : directory.serving(SERVICE)) {
             if (upstream.dataCentre().equals(order.dataCentre())
                     && upstream.reclaimable() == order.reclaimable()) {
-                there.add(upstream);
+                existing.add(upstream);
             }
         }
-        for (int i = there.size(); i < order.count(); i++) {
+        for (int i = existing.size(); i < order.count(); i++) {
             add(order.dataCentre(), order.reclaimable());
         }
-        for (int i = order.count(); i < there.size(); i++) {
-            directory.removed(there.get(i).id());
+        for (int i = order.count(); i < existing.size(); i++) {
+            directory.removed(existing.get(i).id());
         }
     }
 
--- a/trailladder-core/src/test/java/io/trailladder/core/table/HandlingPolicyTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/table/HandlingPolicyTest.java
@@ -22,7 +22,7 @@
 import java.util.Optional;
 import net.jqwik.api.Example;
 
-/** A body is read only where the organisation's data may be handled. */
+/** Checks that a body is read only where the organisation's data may be handled. */
 class HandlingPolicyTest {
     private static Row row(String target, String... dataCentres) {
         return new Row(
@@ -58,7 +58,7 @@
     @Example
     void callerMustNameTheModelIfNoDataCentreIsCommon() {
         assertEquals(
-                new Handling.NameTarget(),
+                new Handling.TargetRequired(),
                 decide(Optional.empty(), row("m1", "baires-a"), row("m2", "baires-b")));
         assertEquals(
                 new Handling.Elsewhere(List.of("baires-b")),
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
@@ -451,7 +451,7 @@
             evidenceOf = counted;
             List<EngineEvidence> told = new ArrayList<>();
             counted.forEach(peer -> told.addAll(peer.evidence()));
-            engines.others(told);
+            engines.peerEvidence(told);
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/FleetRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/FleetRunner.java
@@ -197,7 +197,7 @@
 
     private Optional<FleetNeed> need(String service, ServiceLoad load, List<Upstream> upstreams) {
         EngineEstimate engine = engines.estimate(service, loop.nowMillis());
-        if (!load.isKnown() || !engine.isLearned()) {
+        if (!load.isSignificant() || !engine.isLearned()) {
             return Optional.empty();
         }
         int slots = upstreams.stream().mapToInt(Upstream::slots).min().orElse(1);
@@ -209,7 +209,7 @@
                         .sum();
         ServiceLoad served = load.withBacklog(places, engine.runMillis());
         FleetNeed need = FleetSizer.need(served, engine, slots, objectiveMillis(service));
-        return Optional.of(need.beside(limits.count(serving)));
+        return Optional.of(need.plusUpstreams(limits.count(serving)));
     }
 
     /** The tightest objective of the routes that lead to a service, in milliseconds. */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SoundFigures.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SoundFigures.java
@@ -39,7 +39,7 @@
         List<ServiceDemand> demands =
                 digest.demands().stream().filter(ServiceDemand::isSound).toList();
         List<EngineEvidence> evidence =
-                digest.evidence().stream().filter(EngineEvidence::isSound).toList();
+                digest.evidence().stream().filter(EngineEvidence::isValid).toList();
         int told = digest.demands().size() + digest.evidence().size();
         int refused = told - demands.size() - evidence.size();
         if (refused == 0) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
@@ -126,7 +126,7 @@
         if (log.isComplete()) {
             onEnd.accept(this);
         } else {
-            perform(machine.goOn());
+            perform(machine.resume());
         }
     }
 
@@ -229,7 +229,7 @@
      * @return true if its leaving concerns this request
      */
     public synchronized boolean runsAt(String upstream) {
-        return machine.upstream().equals(upstream) || machine.wants(upstream);
+        return machine.upstream().equals(upstream) || machine.isMoveTarget(upstream);
     }
 
     /**
@@ -312,7 +312,7 @@
 
     @Override
     public synchronized void placed(LocalUpstream upstream) {
-        if (reserved != null && machine.wants(reserved.id())) {
+        if (reserved != null && machine.isMoveTarget(reserved.id())) {
             // placed twice: once from the queue and once at once; the first one counts
             context.placements().release(upstream.id());
             return;
@@ -482,7 +482,7 @@
     }
 
     private void releaseUnused() {
-        boolean wanted = machine.wants(reserved == null ? "" : reserved.id());
+        boolean wanted = machine.isMoveTarget(reserved == null ? "" : reserved.id());
         if (reserved != null && !wanted) {
             context.placements().release(reserved.id());
             reserved = null;
@@ -535,7 +535,7 @@
         public void failed(boolean sent, boolean garbage) {
             synchronized (GenerationRunner.this) {
                 List<GenerationAction> actions =
-                        machine.broken(dispatch.attempt(), sent, MonotonicClock.millis());
+                        machine.attemptFailed(dispatch.attempt(), sent, MonotonicClock.millis());
                 if (!actions.isEmpty()) {
                     context.placements().went(upstream.id(), false);
                     context.metrics().count(Event.RETRY);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/ServiceRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/ServiceRunner.java
@@ -179,7 +179,7 @@
                 failure instanceof HttpFailureException http
                         ? http
                         : (HttpFailureException) failure.getCause();
-        Optional<Failure> last = machine.broken(upstream.id(), cause.sent(), kind(cause));
+        Optional<Failure> last = machine.attemptFailed(upstream.id(), cause.sent(), kind(cause));
         if (last.isEmpty()) {
             place();
         } else {
