--- a/trailladder-bench/src/main/java/io/trailladder/bench/CoreSlopes.java
+++ b/trailladder-bench/src/main/java/io/trailladder/bench/CoreSlopes.java
@@ -152,7 +152,7 @@
     /** Takes a notice of a leaving upstream and rebuilds what depends on the list. */
     @Benchmark
     public boolean membershipEvent(Routing state) {
-        state.directory.noticed("other-" + state.next++);
+        state.directory.leavingNoticed("other-" + state.next++);
         return state.router.serves("modelo-hipo");
     }
 
--- a/trailladder-core/src/test/java/io/trailladder/core/routing/RouterTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/routing/RouterTest.java
@@ -55,7 +55,7 @@
     void leavingUpstreamGetsNoNewWorkThoughTheListStillCallsItLive() {
         List<LocalUpstream> list = List.of(engine("a1", "baires-a"), engine("a2", "baires-a"));
         directory.listed(list, List.of());
-        directory.noticed("a1");
+        directory.leavingNoticed("a1");
         directory.listed(list, List.of());
         for (int i = 0; i < 50; i++) {
             assertEquals(Optional.of("a2"), router.choose(query(PROMPT + i), i).chosen());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AnswerRelay.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AnswerRelay.java
@@ -105,7 +105,7 @@
             relayBytes(splitter.remainder());
             begin();
             exchange.end();
-        } else if (history.hasAnswerBegun()) {
+        } else if (history.hasAnswerStarted()) {
             exchange.abort();
         } else {
             respondBuffered();
@@ -142,7 +142,7 @@
         for (StreamEvent event : events) {
             relayBytes(event.bytes());
             if (!event.id().isEmpty()) {
-                history.eventPassed(event.id());
+                history.eventForwarded(event.id());
             }
         }
         return events.size();
@@ -156,8 +156,8 @@
     }
 
     private void begin() {
-        if (!history.hasAnswerBegun()) {
-            history.answerBegun();
+        if (!history.hasAnswerStarted()) {
+            history.answerStarted();
             exchange.begin(status, headers.endToEnd(), -1);
             onFirstByte.run();
         }
