--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
@@ -473,7 +473,7 @@
             evidencePeers = counted;
             List<EngineEvidence> reported = new ArrayList<>();
             counted.forEach(peer -> reported.addAll(peer.evidence()));
-            engines.others(reported);
+            engines.peerEvidence(reported);
         }
     }
 
