--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
@@ -69,8 +69,8 @@
     private static final long SOON_MILLIS = 50;
 
     private final LongSupplier nowMillis;
-    private final PolicyKeeper policies;
-    private final DirectoryKeeper directory;
+    private final PolicyManager policies;
+    private final DirectoryManager directory;
     private final StoreHealth store;
     private final LimitExchange limits;
     private final UpstreamLoads loads;
@@ -108,8 +108,8 @@
      */
     public ClusterView(
             LongSupplier nowMillis,
-            PolicyKeeper policies,
-            DirectoryKeeper directory,
+            PolicyManager policies,
+            DirectoryManager directory,
             StoreHealth store,
             Quotas quotas,
             UpstreamLoads loads,
@@ -131,10 +131,10 @@
         this.snapshots = new SnapshotExchange(nowMillis, policies, directory, store, metrics);
         this.regions = new RegionExchange(directory, limits, loads, usage, parts, writer);
         this.peers = new LinkedPeers(nowMillis, regions);
-        this.leavingNews = new LeavingNews(directory::listedLeaving);
+        this.leavingNews = new LeavingNews(directory::leavingIncarnation);
         this.epochNews = new EpochNews(store.history());
         directory.onLeaving(upstream -> remember(upstream.id()));
-        directory.onNews(this::passOn);
+        directory.onUpdate(this::passOn);
         // before anything of the new history is passed on, so that nobody takes it for the old one
         store.history().onReplaced(this::historyReplaced);
     }
@@ -299,7 +299,7 @@
         return peers.counted().stream()
                 .filter(peer -> !peer.isLeaf() && mesh.isFedBy(peer.hello()))
                 .filter(peer -> peer.isStoreReachable() && peer.digestMillis() >= oldest)
-                .filter(peer -> store.history().mayBeOf(peer.storeEpoch()))
+                .filter(peer -> store.history().mayMatch(peer.storeEpoch()))
                 .anyMatch(peer -> before || snapshots.isLevelWith(peer));
     }
 
@@ -316,7 +316,7 @@
         parts.linked(peer.name(), nowMillis.getAsLong());
         epochNews.tellNext();
         tell(List.of(peer));
-        rollouts.ifPresent(exchange -> exchange.tell(mesh, List.of(peer)));
+        rollouts.ifPresent(exchange -> exchange.send(mesh, List.of(peer)));
         snapshots.linked(mesh, hello);
     }
 
@@ -342,16 +342,16 @@
     private void rolloutReport(Peer from, RolloutReport report) {
         StoreHistory history = store.history();
         boolean sameHistory = from.storeEpoch() == history.epoch();
-        if (history.mayBeOf(from.storeEpoch())) {
-            rollouts.ifPresent(exchange -> exchange.heard(from.hello(), report, sameHistory));
+        if (history.mayMatch(from.storeEpoch())) {
+            rollouts.ifPresent(exchange -> exchange.receive(from.hello(), report, sameHistory));
         }
     }
 
     private void upstreamNews(Peer from, UpstreamNews news) {
-        if (store.history().mayBeOf(from.storeEpoch())) {
-            directory.fromPeer(news);
+        if (store.history().mayMatch(from.storeEpoch())) {
+            directory.applyFromPeer(news);
         } else {
-            store.history().newsPassedOver(news, directory.revision());
+            store.history().updateIgnored(news, directory.revision());
         }
     }
 
@@ -376,13 +376,13 @@
         epochNews.told(peer, StoreEpochSection.of(digest));
         peer.told(SoundFigures.of(peer.name(), digest), now);
         evidenceTold |= !digest.evidence().isEmpty();
-        LeavingLives.of(digest).forEach(told -> directory.leavingSeenBy(told, peer.name()));
+        LeavingLives.of(digest).forEach(told -> directory.leavingReportedBy(told, peer.name()));
         boolean feeds = mesh.isFedBy(peer.hello());
         if (peer.fellBack() && feeds) {
             directory.historyReplaced();
         }
         if (feeds && peer.isStoreReachable() && snapshots.isLevelWith(peer)) {
-            directory.heard();
+            directory.confirmedCurrent();
         }
         snapshots.digest(mesh, peer, digest);
         if (!peers.counts(peer)) {
@@ -441,7 +441,7 @@
 
     /** Tells the peers how far roll-outs have come. */
     void tellRollouts() {
-        rollouts.ifPresent(exchange -> exchange.tell(mesh, peers.all()));
+        rollouts.ifPresent(exchange -> exchange.send(mesh, peers.all()));
     }
 
     /** Adds up what peers saw of upstreams, if any has told more or other peers count. */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ConnectionShares.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ConnectionShares.java
@@ -26,7 +26,7 @@
  * an upstream resets connections, also those of processes that have none yet.
  */
 final class ConnectionShares {
-    private final PolicyKeeper policies;
+    private final PolicyManager policies;
     private final IntSupplier processes;
 
     /**
@@ -35,7 +35,7 @@
      * @param policies tells what services accept
      * @param processes how many processes there are, this one included
      */
-    ConnectionShares(PolicyKeeper policies, IntSupplier processes) {
+    ConnectionShares(PolicyManager policies, IntSupplier processes) {
         this.policies = policies;
         this.processes = processes;
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPart.java
@@ -111,7 +111,7 @@
             return Optional.empty();
         }
         byte[] reports =
-                CrashReports.write(
+                CrashReportCodec.write(
                         new ArrayList<>(told.values()),
                         DigestSection.MOST_BYTES - Long.BYTES,
                         nowMillis);
@@ -135,12 +135,12 @@
             throw new IOException(body.remaining() + " bytes, expected " + Long.BYTES);
         }
         long peerLife = body.getLong();
-        List<CrashReport> reports = CrashReports.read(body, nowMillis - section.ageMillis());
+        List<CrashReport> reports = CrashReportCodec.read(body, nowMillis - section.ageMillis());
         Long before = lives.put(peer, peerLife);
         if (before == null || before != peerLife) {
             allUntilMillis = nowMillis + NEWS_MILLIS;
         }
-        reports.forEach(report -> crashes.told(peer, report));
+        reports.forEach(report -> crashes.receiveReport(peer, report));
     }
 
     @Override
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
@@ -32,37 +32,37 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** Watches for requests that end the upstreams that run them, and has them refused. */
+/** Detects requests that end the upstreams that run them, and has them refused. */
 public final class CrashWatch {
-    /** How often the watch looks through what it remembers, in milliseconds. */
-    static final long LOOK_MILLIS = 1_000;
+    /** How often {@link #check} is to be called, in milliseconds. */
+    static final long CHECK_INTERVAL_MILLIS = 1_000;
 
-    /** How often a refused request's ends are logged, in milliseconds; its tries may be many. */
-    private static final long LOGGED_MILLIS = 10_000;
+    /** Min. time between two log lines about one refused request, in milliseconds. */
+    private static final long LOG_INTERVAL_MILLIS = 10_000;
 
-    /** Most requests of which it is known when their ends were last logged. */
-    private static final int MOST_LOGGED = 256;
+    /** Max. number of requests whose last log line is remembered. */
+    private static final int MAX_LOGGED_REQUESTS = 256;
 
     private final CrashLedger ledger = new CrashLedger();
     private final LeftRequests left = new LeftRequests();
     private final LongSupplier nowMillis;
     private final GatewayMetrics metrics;
-    private final Map<RequestFingerprint, Long> loggedMillis = new RecentMap<>(MOST_LOGGED);
-    private Runnable onOwnNews = () -> {};
+    private final Map<RequestFingerprint, Long> loggedMillis = new RecentMap<>(MAX_LOGGED_REQUESTS);
+    private Runnable onNewEnd = () -> {};
     private Consumer<RequestFingerprint> onRefused = request -> {};
-    private long soundSinceMillis = Long.MAX_VALUE;
+    private long listValidSinceMillis = Long.MAX_VALUE;
 
     CrashWatch(LongSupplier nowMillis, GatewayMetrics metrics) {
         this.nowMillis = nowMillis;
         this.metrics = metrics;
     }
 
-    /** Has a task run when an end was seen here that was not known. */
-    void onOwnNews(Runnable task) {
-        onOwnNews = task;
+    /** Sets the task that runs when this process observes an end that was not known. */
+    void onNewEnd(Runnable task) {
+        onNewEnd = task;
     }
 
-    /** Has a listener told of each request that is refused from now on. */
+    /** Sets the listener that is called with each request that is refused from then on. */
     void onRefused(Consumer<RequestFingerprint> listener) {
         onRefused = listener;
     }
@@ -71,7 +71,7 @@
         return ledger;
     }
 
-    /** Tells whether a request that has just come is refused. */
+    /** Returns whether a request that has just arrived is refused; counts and logs the refusal. */
     boolean refuses(String tryId, RequestIdentity identity) {
         CrashVerdict verdict = verdict(identity);
         if (verdict == CrashVerdict.TRIED_AGAIN) {
@@ -80,12 +80,15 @@
                     new Lifecycle(
                             "request " + identity.fingerprint(), "sent once more", "try " + tryId));
         }
-        return verdict == CrashVerdict.REFUSED && refused(tryId, identity);
+        return verdict == CrashVerdict.REFUSED && recordRefusal(tryId, identity);
     }
 
-    /** Tells whether a request whose attempt has failed is not to be sent again. */
-    boolean refusesFurther(String tryId, RequestIdentity identity) {
-        return verdict(identity) != CrashVerdict.SERVED && refused(tryId, identity);
+    /**
+     * Returns whether a request whose attempt has failed must not be sent again; counts and logs
+     * the refusal.
+     */
+    boolean refusesRetry(String tryId, RequestIdentity identity) {
+        return verdict(identity) != CrashVerdict.SERVED && recordRefusal(tryId, identity);
     }
 
     private CrashVerdict verdict(RequestIdentity identity) {
@@ -94,104 +97,114 @@
                 : CrashVerdict.SERVED;
     }
 
-    private boolean refused(String tryId, RequestIdentity identity) {
+    /** Counts and logs a refusal; always returns true. */
+    private boolean recordRefusal(String tryId, RequestIdentity identity) {
         metrics.count(GatewayMetrics.Event.REFUSED_AS_CRASHING);
         RequestFingerprint request = identity.fingerprint();
         long now = nowMillis.getAsLong();
         Long logged = loggedMillis.get(request);
-        if (logged == null || now - logged >= LOGGED_MILLIS) {
+        if (logged == null || now - logged >= LOG_INTERVAL_MILLIS) {
             loggedMillis.put(request, now);
             DecisionLog.write(new RefusedAsCrashing(tryId, request, ledger.known(request), now));
         }
         return true;
     }
 
-    /** Records that an upstream ended, or its connection did, while it had a request. */
-    void ended(String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
-        ended(left(tryId, identity, upstream, ranMillis));
-        isGone(upstream);
+    /** Records that an upstream ended, or its connection did, while it ran a request. */
+    void recordEnd(String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
+        recordEnd(left(tryId, identity, upstream, ranMillis));
+        upstreamLost(upstream);
     }
 
-    /** Records that a request was taken back from an upstream, which may end under it yet. */
-    void tookBack(String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
+    /**
+     * Records that an attempt was abandoned. Its upstream may still end because of the request, see
+     * {@link #upstreamLost}.
+     */
+    void attemptAbandoned(
+            String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
         left.add(left(tryId, identity, upstream, ranMillis));
     }
 
     private Left left(String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
         long now = nowMillis.getAsLong();
-        long life = lifeOf(upstream);
-        return new Left(tryId, identity.fingerprint(), upstream.id(), life, now - ranMillis, now);
+        long incarnation = incarnationOf(upstream);
+        return new Left(
+                tryId, identity.fingerprint(), upstream.id(), incarnation, now - ranMillis, now);
     }
 
     /**
-     * Records that an upstream has ended, or seems to: requests that were taken back from it lately
-     * had it too.
+     * Records that an upstream has ended or appears to have ended. The end counts against requests
+     * that were abandoned at that upstream shortly before.
      */
-    void isGone(Upstream upstream) {
-        for (Left one : left.takeFrom(upstream.id(), nowMillis.getAsLong())) {
-            ended(one);
+    void upstreamLost(Upstream upstream) {
+        for (Left abandoned : left.takeFrom(upstream.id(), nowMillis.getAsLong())) {
+            recordEnd(abandoned);
         }
     }
 
-    private void ended(Left one) {
-        RequestFingerprint request = one.request();
-        boolean news =
+    private void recordEnd(Left attempt) {
+        RequestFingerprint request = attempt.request();
+        boolean isNew =
                 ledger.ended(
                         request,
-                        one.life(),
-                        one.sentMillis(),
-                        one.leftMillis(),
+                        attempt.life(),
+                        attempt.sentMillis(),
+                        attempt.leftMillis(),
                         nowMillis.getAsLong());
         DecisionLog.write(
                 new UpstreamEnded(
-                        one.tryId(),
+                        attempt.tryId(),
                         request,
-                        one.upstream(),
-                        one.leftMillis() - one.sentMillis(),
+                        attempt.upstream(),
+                        attempt.leftMillis() - attempt.sentMillis(),
                         ledger.known(request).size()));
-        if (news) {
-            onOwnNews.run();
-            tellIfRefused(request);
+        if (isNew) {
+            onNewEnd.run();
+            notifyIfRefused(request);
         }
     }
 
     /**
-     * Records that an upstream has answered a request, so that it lived when that was sent. An
-     * upstream that does not tell when it started may be a later life under the same name.
+     * Records that an upstream has answered a request, so that it was running when the request was
+     * sent. An upstream that does not report its start time is ignored, since it may be a later
+     * incarnation under the same name.
      */
     void answered(Upstream upstream, long sentMillis) {
         if (ledger.hasSuspects() && upstream.bornMillis() > 0) {
-            ledger.livedAt(lifeOf(upstream), sentMillis);
+            ledger.livedAt(incarnationOf(upstream), sentMillis);
         }
     }
 
     /**
-     * Records that an upstream has announced that it leaves, which one that has ended cannot. Three
-     * connections that broke to upstreams that left soon after would have a harmless request
-     * refused otherwise.
+     * Records that an upstream has announced that it leaves, which shows that it had not ended.
+     * Without this, three connections that broke to upstreams that left soon after would have a
+     * harmless request refused.
      */
     void announcedLeaving(Upstream upstream) {
         if (!ledger.isEmpty()) {
-            ledger.livedAt(lifeOf(upstream), nowMillis.getAsLong());
+            ledger.livedAt(incarnationOf(upstream), nowMillis.getAsLong());
         }
     }
 
-    private static long lifeOf(Upstream upstream) {
+    private static long incarnationOf(Upstream upstream) {
         return UpstreamEnd.nameOf(upstream.id(), upstream.bornMillis());
     }
 
     /**
-     * Records that a request ran whole, which clears it of a single end too: those of several
-     * processes would add up otherwise, although it ran whole between them.
+     * Records that a request ran to completion, which clears even a single end. Otherwise single
+     * ends seen by several processes would add up, although the request completed in between.
      */
-    void ranWhole(RequestIdentity identity) {
+    void ranToCompletion(RequestIdentity identity) {
         if (!ledger.isEmpty() && ledger.cleared(identity.fingerprint(), nowMillis.getAsLong())) {
             DecisionLog.write(
-                    new Lifecycle("request " + identity.fingerprint(), "cleared", "it ran whole"));
+                    new Lifecycle(
+                            "request " + identity.fingerprint(),
+                            "cleared",
+                            "it ran to completion"));
         }
     }
 
-    /** Clears a request because an operator says so; returns false if nothing was known of it. */
+    /** Clears a request on an operator's request; returns false if no end of it was known. */
     boolean lift(RequestFingerprint request) {
         boolean lifted = ledger.cleared(request, nowMillis.getAsLong());
         if (lifted) {
@@ -200,40 +213,41 @@
         return lifted;
     }
 
-    /** Takes over what a peer, or the store, tells. */
-    void told(String source, CrashReport report) {
+    /** Applies a report from a peer or from the store. */
+    void receiveReport(String source, CrashReport report) {
         if (ledger.told(source, report, nowMillis.getAsLong())) {
             DecisionLog.write(
                     new Lifecycle(
                             "request " + report.request(),
                             "refused from now",
-                            report.ends().size() + " ends, told by " + source));
-            tellIfRefused(report.request());
+                            report.ends().size() + " ends, reported by " + source));
+            notifyIfRefused(report.request());
         }
     }
 
-    private void tellIfRefused(RequestFingerprint request) {
+    private void notifyIfRefused(RequestFingerprint request) {
         if (ledger.verdict(request, nowMillis.getAsLong()) == CrashVerdict.REFUSED) {
             onRefused.accept(request);
         }
     }
 
     /**
-     * Looks through what is remembered. To be called every {@link #LOOK_MILLIS}.
+     * Updates the recorded ends from the list of upstreams, and the metrics. To be called every
+     * {@link #CHECK_INTERVAL_MILLIS} milliseconds.
      *
-     * @param listed the upstreams that are listed
-     * @param sound true if the list is sound: the store answers, and no entries are missing that
-     *     may come back
+     * @param listed the listed upstreams
+     * @param listValid true if the list is valid: the store answers, and no entries are missing
+     *     that may reappear
      */
-    void look(Collection<Upstream> listed, boolean sound) {
+    void check(Collection<Upstream> listed, boolean listValid) {
         long now = nowMillis.getAsLong();
-        soundSinceMillis = sound ? Math.min(soundSinceMillis, now) : Long.MAX_VALUE;
+        listValidSinceMillis = listValid ? Math.min(listValidSinceMillis, now) : Long.MAX_VALUE;
         if (ledger.isEmpty()) {
             return;
         }
-        Set<Long> living = new HashSet<>();
-        listed.forEach(one -> living.add(lifeOf(one)));
-        ledger.look(living, Math.min(soundSinceMillis, now), now);
+        Set<Long> listedIncarnations = new HashSet<>();
+        listed.forEach(upstream -> listedIncarnations.add(incarnationOf(upstream)));
+        ledger.look(listedIncarnations, Math.min(listValidSinceMillis, now), now);
         metrics.crashing(ledger.refused().size(), ledger.size());
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryKeeper.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryManager.java
@@ -34,16 +34,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * The list of upstreams as the store tells it, or as a peer does while the store cannot be reached.
+ * Maintains the list of upstreams from the store, or from peers while the store cannot be reached.
  *
  * @since 0.2
  */
-public final class DirectoryKeeper implements StoreWatcher.Listener {
+public final class DirectoryManager implements StoreWatcher.Listener {
     private static final byte[] NO_BYTES = {};
 
     /**
-     * How long entries that lapsed while the store was away may take to come back, in milliseconds:
-     * about two seconds by the platform's contract, and a message's way.
+     * How long entries that expired while the store was unreachable may take to reappear, in
+     * milliseconds: about two seconds by the platform's contract, plus a message's latency.
      */
     static final long RETURN_MILLIS = 2_200;
 
@@ -54,23 +54,23 @@
     private final List<Consumer<Upstream>> onLeaving = new ArrayList<>();
     private final Map<String, byte[]> entries = new HashMap<>();
     private final UnusableEntries unusable = new UnusableEntries();
-    private final GoneEntries gone = new GoneEntries();
-    private Consumer<UpstreamNews> onNews = news -> {};
-    private Consumer<UpstreamNews> onPassedOver = news -> {};
+    private final GoneEntries removedEntries = new GoneEntries();
+    private Consumer<UpstreamNews> onUpdate = update -> {};
+    private Consumer<UpstreamNews> onIgnoredUpdate = update -> {};
     private long revision;
     private boolean known;
-    private long heardMillis;
+    private long confirmedMillis;
     private long returnsUntilMillis = Long.MIN_VALUE;
 
     /**
-     * Creates a keeper.
+     * Creates a manager without a list.
      *
-     * @param format how entries are written
-     * @param directory the directory to keep
-     * @param nowMillis tells the time
+     * @param format decodes entries
+     * @param directory the directory to update
+     * @param nowMillis supplies the time, in milliseconds
      * @param afterReturn runs a task {@value #RETURN_MILLIS} milliseconds later
      */
-    public DirectoryKeeper(
+    public DirectoryManager(
             PlatformFormat format,
             UpstreamDirectory directory,
             LongSupplier nowMillis,
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Has entries that are missing from now on taken for gone only if they do not come back soon:
-     * the store was away, and entries lapse meanwhile though their upstreams live.
+     * Begins a period of {@value #RETURN_MILLIS} milliseconds in which missing entries do not yet
+     * count as removed: entries expire while the store is unreachable, though their upstreams run.
      */
     public void storeRegained() {
         returnsUntilMillis = nowMillis.getAsLong() + RETURN_MILLIS;
@@ -91,37 +91,38 @@
     }
 
     /**
-     * Has the next list, from the store or a peer, count as newer than the one here, whatever its
-     * revision: the store's history is another one. Entries that are missing there may come back.
+     * Makes the next list from the store or a peer count as newer than the current one, whatever
+     * its revision, since the store's history was replaced. Entries that are missing there may
+     * reappear.
      */
     public void historyReplaced() {
         revision = 0;
-        gone.historyReplaced();
+        removedEntries.historyReplaced();
         storeRegained();
         afterReturn.accept(() -> afterReturn.accept(this::endDoubt));
     }
 
     /**
-     * Tells whether a list was ever read.
+     * Returns whether a list was ever received.
      *
-     * @return true if upstreams are known
+     * @return true if a list is known
      */
     public boolean isKnown() {
         return known;
     }
 
     /**
-     * Tells whether the list holds upstreams that may be gone: the store was away, and it is not
-     * yet clear which of them come back.
+     * Returns whether the list may contain upstreams that have ended: the store was unreachable,
+     * and their entries may still reappear.
      *
-     * @return false if the list is what the store has
+     * @return false if the list is the same as in the store
      */
     public boolean awaitsReturns() {
         return nowMillis.getAsLong() < returnsUntilMillis;
     }
 
     /**
-     * Has a listener told of every upstream that begins to leave or is gone.
+     * Adds a listener that is called with every upstream that begins to leave or is removed.
      *
      * @param listener the listener
      */
@@ -130,37 +131,37 @@
     }
 
     /**
-     * Has a listener told of every change that the store or a peer tells.
+     * Sets the listener that is called with every change from the store or a peer.
      *
      * @param listener the listener
      */
-    public void onNews(Consumer<UpstreamNews> listener) {
-        onNews = listener;
+    public void onUpdate(Consumer<UpstreamNews> listener) {
+        onUpdate = listener;
     }
 
     /**
-     * Has a listener told of every change that a peer tells and that is not taken over, though the
-     * list here differs from it, because the list counts as newer.
+     * Sets the listener that is called with every change from a peer that differs from the list but
+     * is ignored, because the list counts as newer.
      *
      * @param listener the listener
      */
-    public void onPassedOver(Consumer<UpstreamNews> listener) {
-        onPassedOver = listener;
+    public void onIgnoredUpdate(Consumer<UpstreamNews> listener) {
+        onIgnoredUpdate = listener;
     }
 
     @Override
-    public void heard() {
-        heardMillis = nowMillis.getAsLong();
+    public void confirmedCurrent() {
+        confirmedMillis = nowMillis.getAsLong();
     }
 
     /**
-     * Returns how long ago the store, or a peer that passes its changes on, last showed that the
+     * Returns how long ago the store, or a peer that forwards its changes, last showed that the
      * list is current.
      *
-     * @return a time, in milliseconds
+     * @return the age, in milliseconds
      */
     public long ageMillis() {
-        return nowMillis.getAsLong() - heardMillis;
+        return nowMillis.getAsLong() - confirmedMillis;
     }
 
     @Override
@@ -177,46 +178,46 @@
         String id = idOf(item.key());
         byte[] value = item.gone() ? NO_BYTES : item.value();
         apply(id, value);
-        onNews.accept(new UpstreamNews(before, revision, new UpstreamEntry(id, value)));
+        onUpdate.accept(new UpstreamNews(before, revision, new UpstreamEntry(id, value)));
     }
 
     /**
-     * Takes over a change that a peer tells, if nothing between it and the list here is missing.
+     * Applies a change from a peer if no earlier change is missing in the list.
      *
-     * @param news the change
+     * @param update the change
      */
-    public void fromPeer(UpstreamNews news) {
-        if (news.after() <= revision && news.revision() > revision) {
-            revision = news.revision();
-            heard();
-            apply(news.upstream().id(), news.upstream().value());
-            onNews.accept(news);
-        } else if (news.revision() <= revision && differs(news.upstream())) {
-            onPassedOver.accept(news);
+    public void applyFromPeer(UpstreamNews update) {
+        if (update.after() <= revision && update.revision() > revision) {
+            revision = update.revision();
+            confirmedCurrent();
+            apply(update.upstream().id(), update.upstream().value());
+            onUpdate.accept(update);
+        } else if (update.revision() <= revision && differs(update.upstream())) {
+            onIgnoredUpdate.accept(update);
         }
     }
 
-    private boolean differs(UpstreamEntry told) {
-        return !Arrays.equals(entries.getOrDefault(told.id(), NO_BYTES), told.value());
+    private boolean differs(UpstreamEntry entry) {
+        return !Arrays.equals(entries.getOrDefault(entry.id(), NO_BYTES), entry.value());
     }
 
     private void apply(String id, byte[] value) {
         if (value.length == 0) {
-            remember(id, entries.remove(id));
+            rememberRemoved(id, entries.remove(id));
             unusable.remove(id);
             if (!mayReturn(id)) {
-                directory.removed(id).ifPresent(upstream -> left(upstream, "gone"));
+                directory.removed(id).ifPresent(upstream -> notifyLeaving(upstream, "removed"));
             }
             return;
         }
         entries.put(id, value);
-        gone.written(id);
+        removedEntries.written(id);
         read(id, value).ifPresent(this::changed);
     }
 
     private void changed(Upstream upstream) {
         boolean isNew = directory.find(upstream.id()).isEmpty();
-        directory.changed(upstream).ifPresent(leaving -> left(leaving, "draining"));
+        directory.changed(upstream).ifPresent(leaving -> notifyLeaving(leaving, "draining"));
         if (isNew) {
             DecisionLog.write(
                     new Belief("upstream " + upstream.id(), upstream.address(), "store", revision));
@@ -224,14 +225,14 @@
     }
 
     /**
-     * Takes a peer's list over if it is newer.
+     * Applies a peer's list if it is newer.
      *
      * @param upstreams the entries
      * @param peerRevision the revision of the peer's list
      * @param peer the peer's name
-     * @return true if it says something else than the list here did
+     * @return true if the peer's list is newer and its entries differ from the current ones
      */
-    public boolean fromPeer(List<UpstreamEntry> upstreams, long peerRevision, String peer) {
+    public boolean applyFromPeer(List<UpstreamEntry> upstreams, long peerRevision, String peer) {
         if (peerRevision <= revision) {
             return false;
         }
@@ -248,51 +249,53 @@
     }
 
     /**
-     * Records that a peer knows of an upstream that leaves.
+     * Records that a peer reports an upstream as leaving.
      *
-     * @param told the life that leaves
+     * @param reported the incarnation that leaves
      * @param peer the peer's name
      */
-    public void leavingSeenBy(LeavingUpstream told, String peer) {
-        directory.leaving(told).ifPresent(upstream -> left(upstream, "draining, told by " + peer));
+    public void leavingReportedBy(LeavingUpstream reported, String peer) {
+        directory
+                .leaving(reported)
+                .ifPresent(upstream -> notifyLeaving(upstream, "draining, reported by " + peer));
     }
 
     /**
-     * Records that an upstream has said in an answer that it leaves.
+     * Records that an upstream has announced in an answer that it leaves.
      *
      * @param upstream the upstream
-     * @return true if that is news
+     * @return true if it was not known to leave before
      */
-    public boolean leavingSaidBy(Upstream upstream) {
+    public boolean leavingAnnouncedBy(Upstream upstream) {
         boolean knownBefore = directory.isLeaving(upstream.id());
         directory
                 .leaving(new LeavingUpstream(upstream.id(), upstream.bornMillis()))
-                .ifPresent(known -> left(known, "draining, said by itself"));
+                .ifPresent(known -> notifyLeaving(known, "draining, announced in an answer"));
         return !knownBefore && directory.isLeaving(upstream.id());
     }
 
     /**
-     * Tells which life of an upstream leaves.
+     * Returns which incarnation of a listed upstream leaves.
      *
      * @param id the upstream's name
-     * @return the life; empty if the upstream is not listed, or does not leave
+     * @return the incarnation; empty if the upstream is not listed or does not leave
      */
-    public Optional<LeavingUpstream> listedLeaving(String id) {
+    public Optional<LeavingUpstream> leavingIncarnation(String id) {
         return directory.find(id).isEmpty() ? Optional.empty() : directory.leavingLife(id);
     }
 
     /**
-     * Finds an upstream, leaving or not.
+     * Returns a listed upstream, whether it leaves or not.
      *
      * @param id its name
-     * @return the upstream
+     * @return the upstream; empty if it is not listed
      */
     public Optional<Upstream> find(String id) {
         return directory.find(id);
     }
 
     /**
-     * Returns all listed upstreams, leaving ones too.
+     * Returns all listed upstreams, including leaving ones.
      *
      * @return a copy
      */
@@ -301,10 +304,10 @@
     }
 
     /**
-     * Tells whether an upstream has announced that it leaves.
+     * Returns whether an upstream has announced that it leaves.
      *
      * @param id the upstream's name
-     * @return false if its entry is only gone
+     * @return false also if its entry was removed without an announcement
      */
     public boolean isLeaving(String id) {
         return directory.isLeaving(id);
@@ -320,9 +323,9 @@
     }
 
     /**
-     * Returns the list as the platform wrote it.
+     * Returns the entries as the platform wrote them.
      *
-     * @return the entries
+     * @return a copy of the list
      */
     public List<UpstreamEntry> entries() {
         List<UpstreamEntry> all = new ArrayList<>();
@@ -333,11 +336,11 @@
     private void replaceAll(Map<String, byte[]> listed, long atRevision, String source) {
         revision = atRevision;
         known = true;
-        heard();
+        confirmedCurrent();
         entries.forEach(
                 (id, value) -> {
                     if (!listed.containsKey(id)) {
-                        remember(id, value);
+                        rememberRemoved(id, value);
                     }
                 });
         entries.clear();
@@ -346,7 +349,7 @@
         List<Upstream> upstreams = new ArrayList<>();
         entries.forEach(
                 (id, value) -> {
-                    if (!gone.isDoubted(id, value)) {
+                    if (!removedEntries.isDoubted(id, value)) {
                         read(id, value).ifPresent(upstreams::add);
                     }
                 });
@@ -354,7 +357,9 @@
         directory.all().stream()
                 .filter(upstream -> !entries.containsKey(upstream.id()) && mayReturn(upstream.id()))
                 .forEach(upstreams::add);
-        directory.replaceAll(upstreams).forEach(upstream -> left(upstream, "left, by list"));
+        directory
+                .replaceAll(upstreams)
+                .forEach(upstream -> notifyLeaving(upstream, "leaving or removed, by list"));
     }
 
     private Optional<Upstream> read(String id, byte[] value) {
@@ -367,15 +372,18 @@
         return upstream.toJavaOptional();
     }
 
-    private void remember(String id, byte[] lastValue) {
+    private void rememberRemoved(String id, byte[] lastValue) {
         if (lastValue != null) {
-            gone.went(id, lastValue);
+            removedEntries.went(id, lastValue);
         }
     }
 
-    /** By now an upstream that lives has written itself again, and other entries have lapsed. */
+    /**
+     * Trusts all entries again: by now every running upstream has written its entry anew, and other
+     * entries have expired.
+     */
     private void endDoubt() {
-        gone.endDoubt();
+        removedEntries.endDoubt();
         entries.forEach(
                 (id, value) -> {
                     if (directory.find(id).isEmpty()) {
@@ -385,8 +393,8 @@
     }
 
     /**
-     * An entry that cannot be used names no upstream, whatever it said before. That is no end of
-     * the upstream: what runs there goes on, and nobody is told that it left.
+     * Removes an upstream whose entry is unusable from the directory, whatever the entry was
+     * before. This is not an end of the upstream: its requests continue, and no listener is called.
      */
     private void unusable(String id, String fault) {
         directory.removed(id);
@@ -394,7 +402,7 @@
     }
 
     /**
-     * Returns how many entries name no upstream because they cannot be used.
+     * Returns how many entries name no upstream because they are unusable.
      *
      * @return a count
      */
@@ -412,13 +420,17 @@
         }
         for (Upstream upstream : directory.all()) {
             if (!entries.containsKey(upstream.id())) {
-                directory.removed(upstream.id()).ifPresent(gone -> left(gone, "gone, not back"));
+                directory
+                        .removed(upstream.id())
+                        .ifPresent(
+                                removed ->
+                                        notifyLeaving(removed, "removed, entry did not reappear"));
             }
         }
     }
 
-    private void left(Upstream upstream, String how) {
-        DecisionLog.write(new Belief("upstream " + upstream.id(), how, "store", revision));
+    private void notifyLeaving(Upstream upstream, String state) {
+        DecisionLog.write(new Belief("upstream " + upstream.id(), state, "store", revision));
         onLeaving.forEach(listener -> listener.accept(upstream));
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/EpochNews.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/EpochNews.java
@@ -73,7 +73,7 @@
     /** Takes over what a peer's digest tells. */
     void told(Peer peer, StoreEpochSection section) {
         peer.storeEpoch(section.epoch());
-        history.told(peer.name(), section.epoch());
+        history.epochReported(peer.name(), section.epoch());
         tokenTold.accept(section.token());
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
@@ -108,8 +108,8 @@
     private final Optional<RegionMetrics> regionMetrics;
     private final StorePatience storePatience = new StorePatience();
     private final StoreHealth storeHealth = new StoreHealth(metrics);
-    private final PolicyKeeper policies;
-    private final DirectoryKeeper directoryKeeper;
+    private final PolicyManager policies;
+    private final DirectoryManager directoryKeeper;
     private final Quotas quotas;
     private final ClusterView view;
     private final PeerMesh mesh;
@@ -155,19 +155,19 @@
         TimePart clock = new TimePart(own, loop::nowMillis);
         UsageLedger usage = new UsageLedger(life, settings.timing().usageWindowMillis());
         DemandMeter demand = new DemandMeter();
-        policies = new PolicyKeeper(platform.format());
+        policies = new PolicyManager(platform.format());
         directoryKeeper =
-                new DirectoryKeeper(
+                new DirectoryManager(
                         platform.format(),
                         directory,
                         loop::nowMillis,
-                        task -> loop.schedule(DirectoryKeeper.RETURN_MILLIS, task));
+                        task -> loop.schedule(DirectoryManager.RETURN_MILLIS, task));
         storeHealth.onRegained(directoryKeeper::storeRegained);
         StoreHistory history = storeHealth.history();
         platform.store().onEpoch(history);
         history.onReplaced(directoryKeeper::historyReplaced);
-        directoryKeeper.onPassedOver(
-                news -> history.newsPassedOver(news, directoryKeeper.revision()));
+        directoryKeeper.onIgnoredUpdate(
+                news -> history.updateIgnored(news, directoryKeeper.revision()));
         quotas = new Quotas(settings.node().firstStart(), settings.tolerance());
         view =
                 new ClusterView(
@@ -188,7 +188,7 @@
         view.add(LimitPart.of(limits, loop::nowMillis, () -> loop.execute(view::tellSoon)));
         view.add(clock);
         view.add(new CrashPart(crashes, random.nextLong()));
-        crashes.onOwnNews(() -> loop.execute(view::tellSoon));
+        crashes.onNewEnd(() -> loop.execute(view::tellSoon));
         quotas.onMuchUsed(() -> loop.execute(view::tellSoon));
         GatewayMember self = settings.self();
         regionMetrics =
@@ -225,7 +225,7 @@
                         settings.timing(),
                         random.split(),
                         metrics);
-        view.epochNews().tokens(duties::highestToken, duties::tokenTold);
+        view.epochNews().tokens(duties::highestToken, duties::tokenReported);
         crashRecords =
                 new CrashRecords(
                         loop,
@@ -260,7 +260,7 @@
                         limits,
                         engines,
                         metrics,
-                        rollouts.keeper()::isMoving,
+                        rollouts.manager()::isMoving,
                         mesh::isHub,
                         !settings.node().firstStart());
         memory = memory(settings.limits());
@@ -291,7 +291,7 @@
                         usage,
                         demand,
                         engines,
-                        rollouts.keeper(),
+                        rollouts.manager(),
                         new ReturnTimes(policies, availability, loads, engines, random.split()),
                         metrics,
                         view::oldestDigestMillis,
@@ -323,7 +323,7 @@
                         format.upstreamPrefix(),
                         DIRECTORY_PAUSE_MILLIS,
                         directoryKeeper);
-        view.onMissedChange(directoryWatcher::watchAnew);
+        view.onMissedChange(directoryWatcher::relist);
         leaderWatcher =
                 watcher(
                         counted(platform, Purpose.LEADERSHIP),
@@ -351,7 +351,7 @@
         loop.repeat(ROLE_MILLIS, this::followStore);
         loop.repeat(STORE_USE_MILLIS, this::logStoreUse);
         loop.repeat(MemoryKeeper.CHECK_MILLIS, memory::tick);
-        loop.repeat(CrashWatch.LOOK_MILLIS, this::lookForCrashes);
+        loop.repeat(CrashWatch.CHECK_INTERVAL_MILLIS, this::lookForCrashes);
         loop.execute(
                 () -> {
                     policyWatcher.restart();
@@ -474,7 +474,7 @@
         if (!upstream.draining()) {
             intake.lost(upstream, LOST_SILENT_MILLIS);
             if (!directory.isLeaving(upstream.id())) {
-                crashes.isGone(upstream);
+                crashes.upstreamLost(upstream);
             }
         } else if (upstream.leavesMillis() > 0) {
             long notice = Math.max(0, upstream.leavesMillis() - END_MARGIN_MILLIS);
@@ -483,7 +483,7 @@
     }
 
     private boolean isInformed() {
-        boolean recordsKnown = (rollouts.isKnown() && crashRecords.isKnown()) || peersHaveTold();
+        boolean recordsKnown = (rollouts.isKnown() && crashRecords.isLoaded()) || peersHaveTold();
         return policies.version() > 0 && directoryKeeper.isKnown() && recordsKnown;
     }
 
@@ -502,11 +502,11 @@
 
     private void lookForCrashes() {
         boolean sound = storeHealth.isReachable() && !directoryKeeper.awaitsReturns();
-        crashes.look(directory.all(), sound);
+        crashes.check(directory.all(), sound);
     }
 
     private void answerFigures(ServerExchange exchange) {
-        if (crashPages.answers(exchange)) {
+        if (crashPages.handle(exchange)) {
             return;
         }
         tellState();
@@ -579,7 +579,7 @@
     }
 
     private void logStoreUse() {
-        List<StoreCalls.Count> counts = storeCalls.takeUntold();
+        List<StoreCalls.Count> counts = storeCalls.takeUnreported();
         if (!counts.isEmpty()) {
             DecisionLog.write(new StoreUse(counts));
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
@@ -54,7 +54,7 @@
      */
     private static final long STANDBY_MILLIS = 600;
 
-    private final DirectoryKeeper directory;
+    private final DirectoryManager directory;
     private final LimitExchange limits;
     private final UpstreamLoads loads;
     private final UsageLedger usage;
@@ -80,7 +80,7 @@
     private record HeardThere(String speaker, long atMillis) {}
 
     RegionExchange(
-            DirectoryKeeper directory,
+            DirectoryManager directory,
             LimitExchange limits,
             UpstreamLoads loads,
             UsageLedger usage,
@@ -245,7 +245,7 @@
 
     private void take(
             RegionView view, String region, Peer peer, NodeDigest digest, long nowMillis) {
-        LeavingLives.of(digest).forEach(told -> directory.leavingSeenBy(told, peer.name()));
+        LeavingLives.of(digest).forEach(told -> directory.leavingReportedBy(told, peer.name()));
         digest.usage().forEach(news -> usage.mergeElsewhere(news.life(), news.usage()));
         loads.peerUses(
                 peer.name(),
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
@@ -146,7 +146,7 @@
      * @param found the request that was found to end upstreams
      */
     void stopIf(RequestFingerprint found) {
-        if (!over && crashes.stops(found)) {
+        if (!over && crashes.stopIfSame(found)) {
             stop();
         }
     }
@@ -182,7 +182,7 @@
         attempt = null;
         context.metrics().attempt(request.service(), "whole");
         if (answer.status() < FAILURES) {
-            crashes.ranWhole();
+            crashes.ranToCompletion();
         }
         answer.end();
         end("whole", answer.status(), sender);
@@ -227,7 +227,7 @@
         if (over) {
             return;
         }
-        if (crashes.refusesFurther()) {
+        if (crashes.refusesRetry()) {
             giveUp(RecoveryPolicy.endingOf(history, false));
         } else {
             nextAttempt();
@@ -294,7 +294,7 @@
         context.metrics().attempt(request.service(), failure.name());
         long now = context.loop().nowMillis();
         Recovery recovery = RecoveryPolicy.after(request, history, failure, true, now);
-        if (!(recovery instanceof GiveUp) && crashes.refusesFurther()) {
+        if (!(recovery instanceof GiveUp) && crashes.refusesRetry()) {
             recovery = RecoveryPolicy.after(request, history, failure, false, now);
         }
         boolean neverArrived =
@@ -376,7 +376,7 @@
 
     private void cancelAttempt() {
         if (attempt != null) {
-            crashes.tookBack(attempt);
+            crashes.attemptAbandoned(attempt);
             attempt.cancel();
             attempt = null;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestIntake.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestIntake.java
@@ -66,7 +66,7 @@
                     .getBytes(StandardCharsets.UTF_8);
 
     private final ServingContext context;
-    private final PolicyKeeper policies;
+    private final PolicyManager policies;
     private final SplittableRandom random;
     private final StartingRequests<ServerExchange> starting;
     private final Set<RequestDriver> open = new HashSet<>();
@@ -82,7 +82,7 @@
      */
     public RequestIntake(
             ServingContext context,
-            PolicyKeeper policies,
+            PolicyManager policies,
             BooleanSupplier informed,
             SplittableRandom random) {
         this.context = context;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ReturnTimes.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ReturnTimes.java
@@ -38,14 +38,14 @@
     private static final long LONGEST_MILLIS = 10_000;
 
     private final Map<String, Double> promisedMillis = new HashMap<>();
-    private final PolicyKeeper policies;
+    private final PolicyManager policies;
     private final UpstreamAvailability availability;
     private final UpstreamLoads loads;
     private final EngineModel engines;
     private final SplittableRandom random;
 
     ReturnTimes(
-            PolicyKeeper policies,
+            PolicyManager policies,
             UpstreamAvailability availability,
             UpstreamLoads loads,
             EngineModel engines,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ServingContext.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ServingContext.java
@@ -76,7 +76,7 @@
         UsageLedger usage,
         DemandMeter demand,
         EngineModel engines,
-        RolloutKeeper rollouts,
+        RolloutManager rollouts,
         ReturnTimes returns,
         GatewayMetrics metrics,
         LongSupplier peersAgeMillis,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SnapshotExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SnapshotExchange.java
@@ -42,8 +42,8 @@
     private static final byte[] NO_BYTES = {};
 
     private final LongSupplier nowMillis;
-    private final PolicyKeeper policies;
-    private final DirectoryKeeper directory;
+    private final PolicyManager policies;
+    private final DirectoryManager directory;
     private final StoreHealth store;
     private final GatewayMetrics metrics;
     private final Map<String, Long> askedAfter = new RecentMap<>(MOST_ASKED);
@@ -53,8 +53,8 @@
 
     SnapshotExchange(
             LongSupplier nowMillis,
-            PolicyKeeper policies,
-            DirectoryKeeper directory,
+            PolicyManager policies,
+            DirectoryManager directory,
             StoreHealth store,
             GatewayMetrics metrics) {
         this.nowMillis = nowMillis;
@@ -92,7 +92,7 @@
 
     private boolean isNewer(Peer from, NodeDigest digest) {
         boolean newer =
-                store.history().mayBeOf(from.storeEpoch())
+                store.history().mayMatch(from.storeEpoch())
                         && digest.directoryRevision() > directory.revision();
         if (!newer) {
             newerSinceMillis.remove(from.name());
@@ -108,7 +108,7 @@
     /** Answers a peer with what is newer here; any list is newer than one of another history. */
     void asked(Mesh mesh, Peer peer, SnapshotAsk ask) {
         boolean newerPolicy = policies.version() > ask.policyVersion();
-        boolean sameHistory = store.history().mayBeOf(peer.storeEpoch());
+        boolean sameHistory = store.history().mayMatch(peer.storeEpoch());
         long peerRevision = sameHistory ? ask.directoryRevision() : 0;
         boolean newerList = directory.revision() > peerRevision;
         Snapshot snapshot =
@@ -130,9 +130,9 @@
         boolean missed = newerSinceMillis.remove(peer.name()) != null;
         boolean fed = !store.isReachable() || directory.revision() == 0 || mesh.isFedBy(peer);
         boolean wanted = (fed || missed) && hasList(peer, snapshot);
-        if (wanted && store.history().mayBeOf(from.storeEpoch())) {
+        if (wanted && store.history().mayMatch(from.storeEpoch())) {
             boolean changed =
-                    directory.fromPeer(
+                    directory.applyFromPeer(
                             snapshot.upstreams(), snapshot.directoryRevision(), peer.name());
             if (changed && missed && !fed) {
                 onMissed.run();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
@@ -36,7 +36,7 @@
     private static final int MOST_FAULTY = 1_000;
 
     private final LongSupplier nowMillis;
-    private final DirectoryKeeper directory;
+    private final DirectoryManager directory;
     private final UpstreamRests rests;
     private final UpstreamLimits limits;
     private final GatewayMetrics metrics;
@@ -44,7 +44,7 @@
 
     UpstreamNotices(
             LongSupplier nowMillis,
-            DirectoryKeeper directory,
+            DirectoryManager directory,
             UpstreamRests rests,
             UpstreamLimits limits,
             GatewayMetrics metrics) {
@@ -75,7 +75,7 @@
         if (!news && notice.isNone()) {
             return;
         }
-        if (notice.leaving() && directory.leavingSaidBy(upstream)) {
+        if (notice.leaving() && directory.leavingAnnouncedBy(upstream)) {
             metrics.count(Event.UPSTREAM_SAID_IT_LEAVES);
             news = true;
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ConnectionSharesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ConnectionSharesTest.java
@@ -41,7 +41,8 @@
 
     @Example
     void withoutABoundAFixedNumberRests() {
-        ConnectionShares shares = new ConnectionShares(new PolicyKeeper(new NoFormat()), () -> 340);
+        ConnectionShares shares =
+                new ConnectionShares(new PolicyManager(new NoFormat()), () -> 340);
         assertEquals(64, shares.mostResting("m", UPSTREAM));
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashHistoriesTest.java
@@ -194,7 +194,9 @@
     private void sees(
             String process, RequestFingerprint request, Upstream upstream, long ranMillis) {
         if (cluster.process(process).isRunning()) {
-            cluster.process(process).crashes().ended("t", identity(request), upstream, ranMillis);
+            cluster.process(process)
+                    .crashes()
+                    .recordEnd("t", identity(request), upstream, ranMillis);
         }
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashPartTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashPartTest.java
@@ -53,7 +53,7 @@
 
     private void end(CrashWatch watch, long request, int times) {
         for (int i = 0; i < times; i++) {
-            watch.ended("t", request(request), upstream(request + "-" + i), 100);
+            watch.recordEnd("t", request(request), upstream(request + "-" + i), 100);
         }
     }
 
@@ -65,7 +65,7 @@
     @Example
     void endsSeenByTwoAddUp() throws IOException {
         end(own, 1, 2);
-        other.ended("t", request(1), upstream("elsewhere"), 100);
+        other.recordEnd("t", request(1), upstream("elsewhere"), 100);
         otherPart.told("own", section(ownPart), now);
         assertTrue(other.refuses("t", request(1)));
         assertFalse(own.refuses("t", request(1)));
@@ -147,9 +147,9 @@
         List<CrashPart> tellers = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             CrashWatch watch = watch();
-            watch.ended("t", request(1), upstream("w" + i), 50);
+            watch.recordEnd("t", request(1), upstream("w" + i), 50);
             now += 20;
-            watch.ranWhole(request(1));
+            watch.ranToCompletion(request(1));
             now += 20;
             tellers.add(new CrashPart(watch, 10 + i));
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashReportsProperties.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashReportsProperties.java
@@ -55,17 +55,17 @@
     @Property(tries = 500, seed = "20261203")
     void reportsComeBackUnchangedByTheReadersClock(@ForAll long seed) throws IOException {
         List<CrashReport> reports = drawn(new Random(seed));
-        byte[] bytes = CrashReports.write(reports, 100_000, NOW);
-        assertEquals(reports, CrashReports.read(ByteBuffer.wrap(bytes), NOW));
+        byte[] bytes = CrashReportCodec.write(reports, 100_000, NOW);
+        assertEquals(reports, CrashReportCodec.read(ByteBuffer.wrap(bytes), NOW));
     }
 
     @Property(tries = 200, seed = "20261203")
     void asManyReportsAreWrittenAsFit(@ForAll long seed) throws IOException {
         List<CrashReport> reports = drawn(new Random(seed));
         int most = new Random(seed).nextInt(2_000);
-        byte[] bytes = CrashReports.write(reports, most, NOW);
+        byte[] bytes = CrashReportCodec.write(reports, most, NOW);
         assertTrue(bytes.length <= most);
-        List<CrashReport> read = CrashReports.read(ByteBuffer.wrap(bytes), NOW);
+        List<CrashReport> read = CrashReportCodec.read(ByteBuffer.wrap(bytes), NOW);
         assertEquals(reports.subList(0, read.size()), read);
     }
 
@@ -73,7 +73,7 @@
     @Property(tries = 2_000, seed = "20261203")
     void anyBytesAreReadOrRefused(@ForAll byte[] bytes) {
         try {
-            for (CrashReport report : CrashReports.read(ByteBuffer.wrap(bytes), NOW)) {
+            for (CrashReport report : CrashReportCodec.read(ByteBuffer.wrap(bytes), NOW)) {
                 assertTrue(report.ends().size() <= CrashHistory.MOST_ENDS);
                 report.ends().forEach(end -> assertTrue(end.atMillis() <= NOW));
             }
@@ -90,10 +90,10 @@
                                 new RequestFingerprint(7),
                                 CrashReport.NEVER,
                                 List.of(new UpstreamEnd(1, 0, NOW, 5))));
-        byte[] bytes = CrashReports.write(reports, 1_000, NOW);
+        byte[] bytes = CrashReportCodec.write(reports, 1_000, NOW);
         for (int length = 1; length < bytes.length; length++) {
             ByteBuffer cut = ByteBuffer.wrap(bytes, 0, length);
-            assertThrows(IOException.class, () -> CrashReports.read(cut, NOW));
+            assertThrows(IOException.class, () -> CrashReportCodec.read(cut, NOW));
         }
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/DirectoryKeeperTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/DirectoryKeeperTest.java
@@ -40,8 +40,8 @@
     private final List<String> left = new ArrayList<>();
     private final List<Runnable> later = new ArrayList<>();
     private long now;
-    private final DirectoryKeeper keeper =
-            new DirectoryKeeper(new PlainFormat(), directory, () -> now, later::add);
+    private final DirectoryManager keeper =
+            new DirectoryManager(new PlainFormat(), directory, () -> now, later::add);
 
     DirectoryKeeperTest() {
         keeper.onLeaving(upstream -> left.add(upstream.id()));
@@ -94,7 +94,7 @@
         keeper.storeRegained();
         keeper.listed(List.of(item("a", READY, 1)), 5);
         assertEquals(2, serving());
-        now += DirectoryKeeper.RETURN_MILLIS - 1;
+        now += DirectoryManager.RETURN_MILLIS - 1;
         keeper.changed(item("b", READY, 6));
         pass(1);
         assertEquals(2, serving());
@@ -107,7 +107,7 @@
         keeper.changed(gone("a", 3));
         keeper.listed(List.of(), 5);
         assertEquals(2, serving());
-        pass(DirectoryKeeper.RETURN_MILLIS);
+        pass(DirectoryManager.RETURN_MILLIS);
         assertEquals(0, serving());
         assertEquals(2, left.size(), left.toString());
     }
@@ -127,17 +127,17 @@
 
     @Example
     void leavingToldByAPeerBindsToo() {
-        keeper.leavingSeenBy(new LeavingUpstream("b", 0), "peer");
+        keeper.leavingReportedBy(new LeavingUpstream("b", 0), "peer");
         keeper.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 5);
         assertEquals(1, serving());
     }
 
     @Example
     void whatAnUpstreamSaysItselfIsNewsOnce() {
-        assertTrue(keeper.leavingSaidBy(directory.find("a").orElseThrow()));
-        assertFalse(keeper.leavingSaidBy(directory.find("a").orElseThrow()));
+        assertTrue(keeper.leavingAnnouncedBy(directory.find("a").orElseThrow()));
+        assertFalse(keeper.leavingAnnouncedBy(directory.find("a").orElseThrow()));
         keeper.changed(item("a", LEAVING, 3));
-        keeper.leavingSeenBy(new LeavingUpstream("a", 0), "peer");
+        keeper.leavingReportedBy(new LeavingUpstream("a", 0), "peer");
         assertEquals(List.of("a"), left);
         assertEquals(1, serving());
     }
@@ -165,10 +165,10 @@
         keeper.changed(item("a", READY, 400));
         keeper.historyReplaced();
         assertTrue(keeper.isKnown(), "upstreams stay known");
-        keeper.fromPeer(List.of(new UpstreamEntry("a", bytes(READY))), 20, "hub");
+        keeper.applyFromPeer(List.of(new UpstreamEntry("a", bytes(READY))), 20, "hub");
         assertEquals(20, keeper.revision());
         assertEquals(2, serving(), "one that is missing may come back");
-        pass(DirectoryKeeper.RETURN_MILLIS);
+        pass(DirectoryManager.RETURN_MILLIS);
         assertEquals(1, serving());
     }
 
@@ -189,8 +189,8 @@
         keeper.changed(gone("a", 400));
         keeper.historyReplaced();
         keeper.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 5);
-        pass(DirectoryKeeper.RETURN_MILLIS);
-        pass(DirectoryKeeper.RETURN_MILLIS);
+        pass(DirectoryManager.RETURN_MILLIS);
+        pass(DirectoryManager.RETURN_MILLIS);
         assertEquals(2, serving());
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LeavingHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LeavingHistoriesTest.java
@@ -68,8 +68,8 @@
     private void leave() {
         List<String> names = cluster.names();
         for (int i = 0; i < LEAVERS; i++) {
-            DirectoryKeeper directory = cluster.process(names.get(i % names.size())).directory();
-            directory.leavingSaidBy(directory.find(id(i)).orElseThrow());
+            DirectoryManager directory = cluster.process(names.get(i % names.size())).directory();
+            directory.leavingAnnouncedBy(directory.find(id(i)).orElseThrow());
         }
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
@@ -127,7 +127,7 @@
         List<String> north = cluster.namesOf("dc2");
         cluster.process(north.get(north.size() - 1))
                 .directory()
-                .leavingSeenBy(new LeavingUpstream("w", 0), "itself");
+                .leavingReportedBy(new LeavingUpstream("w", 0), "itself");
         cluster.pass(500);
         assertEquals(List.of(), unaware(cluster, "w"));
     }
@@ -141,7 +141,7 @@
         List<String> north = cluster.namesOf("dc4");
         cluster.process(north.get(north.size() - 1))
                 .directory()
-                .leavingSeenBy(new LeavingUpstream("w", 0), "itself");
+                .leavingReportedBy(new LeavingUpstream("w", 0), "itself");
         cluster.pass(2_000);
         assertEquals(List.of(), unaware(cluster, "w"));
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RolloutKeeperTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RolloutKeeperTest.java
@@ -34,8 +34,8 @@
     private static final RolloutOrder ORDER = new RolloutOrder("m", "v2", 20_000, 400);
 
     private final VersionGate gate = new VersionGate();
-    private final RolloutKeeper keeper =
-            new RolloutKeeper(
+    private final RolloutManager keeper =
+            new RolloutManager(
                     new NoFormat(),
                     gate,
                     new GatewaySettings.Rollouts(true, 0.1, 50),
@@ -44,7 +44,7 @@
                     new GatewayMetrics());
 
     private void told(RolloutOrder order, RolloutPhase phase) {
-        keeper.heard(new RolloutNews(order, phase, 10_000, 1, List.of()), true);
+        keeper.receive(new RolloutNews(order, phase, 10_000, 1, List.of()), true);
     }
 
     private Optional<State> lost() {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
@@ -64,8 +64,8 @@
     private final Map<String, Long> heardMillis = new HashMap<>();
     private final UpstreamDirectory upstreams = new UpstreamDirectory();
     private Topology topology;
-    private DirectoryKeeper directory;
-    private PolicyKeeper policies;
+    private DirectoryManager directory;
+    private PolicyManager policies;
     private UpstreamLoads loads;
     private LinkPlanner planner;
     private LinkPlan plan;
@@ -108,9 +108,9 @@
         quotas = new Quotas(firstStart, cluster.tolerance());
         GatewayMetrics metrics = new GatewayMetrics();
         PlatformFormat format = new VersionFormat();
-        policies = new PolicyKeeper(format);
+        policies = new PolicyManager(format);
         health = new StoreHealth(metrics);
-        directory = new DirectoryKeeper(format, upstreams, cluster::now, task -> {});
+        directory = new DirectoryManager(format, upstreams, cluster::now, task -> {});
         health.history().onReplaced(directory::historyReplaced);
         fed = false;
         usage = new UsageLedger(member.name() + '/' + life, USAGE_WINDOW_MILLIS);
@@ -132,7 +132,7 @@
         limits = new UpstreamLimits(cluster::now, this::turns);
         view.add(LimitPart.of(limits, cluster::now, () -> tellsSoon = true));
         view.add(new CrashPart(crashes, member.name().hashCode() * 31L + life));
-        crashes.onOwnNews(view::tellSoon);
+        crashes.onNewEnd(view::tellSoon);
         quotas.onMuchUsed(() -> tellsSoon = true);
         view.start(new Links(), () -> false);
         quotas.policy(cluster.policy(), cluster.now());
@@ -161,11 +161,11 @@
         return upstreams;
     }
 
-    DirectoryKeeper directory() {
+    DirectoryManager directory() {
         return directory;
     }
 
-    PolicyKeeper policies() {
+    PolicyManager policies() {
         return policies;
     }
 
