--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
@@ -44,7 +44,7 @@
     private static final int MAX_LOGGED_REQUESTS = 256;
 
     private final CrashLedger ledger = new CrashLedger();
-    private final LeftRequests left = new LeftRequests();
+    private final LeftRequests abandoned = new LeftRequests();
     private final LongSupplier nowMillis;
     private final GatewayMetrics metrics;
     private final Map<RequestFingerprint, Long> loggedMillis = new RecentMap<>(MAX_LOGGED_REQUESTS);
@@ -112,7 +112,7 @@
 
     /** Records that an upstream ended, or its connection did, while it ran a request. */
     void recordEnd(String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
-        recordEnd(left(tryId, identity, upstream, ranMillis));
+        recordEnd(abandoned(tryId, identity, upstream, ranMillis));
         upstreamLost(upstream);
     }
 
@@ -122,10 +122,11 @@
      */
     void attemptAbandoned(
             String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
-        left.add(left(tryId, identity, upstream, ranMillis));
+        abandoned.add(abandoned(tryId, identity, upstream, ranMillis));
     }
 
-    private Left left(String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
+    private Left abandoned(
+            String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
         long now = nowMillis.getAsLong();
         long incarnation = incarnationOf(upstream);
         return new Left(
@@ -137,7 +138,7 @@
      * that were abandoned at that upstream shortly before.
      */
     void upstreamLost(Upstream upstream) {
-        for (Left abandoned : left.takeFrom(upstream.id(), nowMillis.getAsLong())) {
+        for (Left abandoned : abandoned.takeFrom(upstream.id(), nowMillis.getAsLong())) {
             recordEnd(abandoned);
         }
     }
@@ -232,8 +233,8 @@
     }
 
     /**
-     * Updates the recorded ends from the list of upstreams, and the metrics. To be called every
-     * {@link #CHECK_INTERVAL_MILLIS} milliseconds.
+     * Dismisses ends of upstreams that are still listed, drops old ends, and updates the metrics.
+     * To be called every {@link #CHECK_INTERVAL_MILLIS} milliseconds.
      *
      * @param listed the listed upstreams
      * @param listValid true if the list is valid: the store answers, and no entries are missing
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryManager.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryManager.java
@@ -45,12 +45,12 @@
      * How long entries that expired while the store was unreachable may take to reappear, in
      * milliseconds: about two seconds by the platform's contract, plus a message's latency.
      */
-    static final long RETURN_MILLIS = 2_200;
+    static final long REAPPEARANCE_MILLIS = 2_200;
 
     private final PlatformFormat format;
     private final UpstreamDirectory directory;
     private final LongSupplier nowMillis;
-    private final Consumer<Runnable> afterReturn;
+    private final Consumer<Runnable> afterReappearance;
     private final List<Consumer<Upstream>> onLeaving = new ArrayList<>();
     private final Map<String, byte[]> entries = new HashMap<>();
     private final UnusableEntries unusable = new UnusableEntries();
@@ -60,7 +60,7 @@
     private long revision;
     private boolean known;
     private long confirmedMillis;
-    private long returnsUntilMillis = Long.MIN_VALUE;
+    private long reappearUntilMillis = Long.MIN_VALUE;
 
     /**
      * Creates a manager without a list.
@@ -68,26 +68,27 @@
      * @param format decodes entries
      * @param directory the directory to update
      * @param nowMillis supplies the time, in milliseconds
-     * @param afterReturn runs a task {@value #RETURN_MILLIS} milliseconds later
+     * @param afterReappearance runs a task {@value #REAPPEARANCE_MILLIS} milliseconds later
      */
     public DirectoryManager(
             PlatformFormat format,
             UpstreamDirectory directory,
             LongSupplier nowMillis,
-            Consumer<Runnable> afterReturn) {
+            Consumer<Runnable> afterReappearance) {
         this.format = format;
         this.directory = directory;
         this.nowMillis = nowMillis;
-        this.afterReturn = afterReturn;
+        this.afterReappearance = afterReappearance;
     }
 
     /**
-     * Begins a period of {@value #RETURN_MILLIS} milliseconds in which missing entries do not yet
-     * count as removed: entries expire while the store is unreachable, though their upstreams run.
+     * Begins a period of {@value #REAPPEARANCE_MILLIS} milliseconds in which missing entries do not
+     * yet count as removed: entries expire while the store is unreachable, though their upstreams
+     * run.
      */
     public void storeRegained() {
-        returnsUntilMillis = nowMillis.getAsLong() + RETURN_MILLIS;
-        afterReturn.accept(this::dropMissing);
+        reappearUntilMillis = nowMillis.getAsLong() + REAPPEARANCE_MILLIS;
+        afterReappearance.accept(this::dropMissing);
     }
 
     /**
@@ -99,7 +100,7 @@
         revision = 0;
         removedEntries.historyReplaced();
         storeRegained();
-        afterReturn.accept(() -> afterReturn.accept(this::endDoubt));
+        afterReappearance.accept(() -> afterReappearance.accept(this::trustAllEntries));
     }
 
     /**
@@ -117,8 +118,8 @@
      *
      * @return false if the list is the same as in the store
      */
-    public boolean awaitsReturns() {
-        return nowMillis.getAsLong() < returnsUntilMillis;
+    public boolean awaitsReappearance() {
+        return nowMillis.getAsLong() < reappearUntilMillis;
     }
 
     /**
@@ -205,7 +206,7 @@
         if (value.length == 0) {
             rememberRemoved(id, entries.remove(id));
             unusable.remove(id);
-            if (!mayReturn(id)) {
+            if (!mayReappear(id)) {
                 directory.removed(id).ifPresent(upstream -> notifyLeaving(upstream, "removed"));
             }
             return;
@@ -355,7 +356,9 @@
                 });
         DecisionLog.write(new Belief("upstreams", upstreams.size() + " listed", source, revision));
         directory.all().stream()
-                .filter(upstream -> !entries.containsKey(upstream.id()) && mayReturn(upstream.id()))
+                .filter(
+                        upstream ->
+                                !entries.containsKey(upstream.id()) && mayReappear(upstream.id()))
                 .forEach(upstreams::add);
         directory
                 .replaceAll(upstreams)
@@ -382,7 +385,7 @@
      * Trusts all entries again: by now every running upstream has written its entry anew, and other
      * entries have expired.
      */
-    private void endDoubt() {
+    private void trustAllEntries() {
         removedEntries.endDoubt();
         entries.forEach(
                 (id, value) -> {
@@ -410,12 +413,12 @@
         return unusable.size();
     }
 
-    private boolean mayReturn(String id) {
-        return awaitsReturns() && !directory.isLeaving(id);
+    private boolean mayReappear(String id) {
+        return awaitsReappearance() && !directory.isLeaving(id);
     }
 
     private void dropMissing() {
-        if (awaitsReturns()) {
+        if (awaitsReappearance()) {
             return;
         }
         for (Upstream upstream : directory.all()) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DutyRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DutyRunner.java
@@ -149,8 +149,8 @@
 
     /**
      * Records that a call was refused because the platform has seen a higher token. If this process
-     * still owns the leader's key, the higher token is from a history that the store has lost, and this process raises its own;
-     * otherwise it gives up the leadership.
+     * still owns the leader's key, the higher token is from a history that the store has lost, and
+     * this process raises its own; otherwise it gives up the leadership.
      */
     public void outranked() {
         store.read(LEADER_PREFIX, this::outrankedBy);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
@@ -161,7 +161,7 @@
                         platform.format(),
                         directory,
                         loop::nowMillis,
-                        task -> loop.schedule(DirectoryManager.RETURN_MILLIS, task));
+                        task -> loop.schedule(DirectoryManager.REAPPEARANCE_MILLIS, task));
         storeHealth.onRegained(directoryKeeper::storeRegained);
         StoreHistory history = storeHealth.history();
         platform.store().onEpoch(history);
@@ -501,7 +501,7 @@
     }
 
     private void lookForCrashes() {
-        boolean sound = storeHealth.isReachable() && !directoryKeeper.awaitsReturns();
+        boolean sound = storeHealth.isReachable() && !directoryKeeper.awaitsReappearance();
         crashes.check(directory.all(), sound);
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderKey.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderKey.java
@@ -21,8 +21,8 @@
 /**
  * The value of the leader's key: the incarnation of the process that leads, and an exclusive lower
  * bound of its fencing token. The bound is needed because the revision at which the key was created
- * may be lower than tokens from a history that the store has lost. Older builds write the incarnation
- * alone, and do not read the bound.
+ * may be lower than tokens from a history that the store has lost. Older builds write the
+ * incarnation alone, and do not read the bound.
  *
  * @param incarnation the name of the incarnation of the process
  * @param tokenLowerBound the leader's token is higher than this; 0 if only the revision counts
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutExchange.java
@@ -38,7 +38,7 @@
 final class RolloutExchange {
     private final RolloutManager manager;
     private final LongSupplier nowMillis;
-    private final Map<String, Map<Long, List<RouteEvidence>>> byPeer = new HashMap<>();
+    private final Map<String, Map<Long, List<RouteEvidence>>> evidenceByPeer = new HashMap<>();
 
     RolloutExchange(RolloutManager manager, LongSupplier nowMillis) {
         this.manager = manager;
@@ -85,19 +85,19 @@
             reported.put(update.order().revision(), valid);
             manager.receive(update, sameHistory);
         }
-        byPeer.put(peer.name(), reported);
+        evidenceByPeer.put(peer.name(), reported);
     }
 
     /** Drops the evidence of a peer that does not respond. */
     void forget(String peer) {
-        byPeer.remove(peer);
+        evidenceByPeer.remove(peer);
     }
 
     /** Returns the sum of the evidence of this process and of the given peers. */
     List<RouteEvidence> evidence(Rollout rollout, Collection<String> peers) {
         Stream<RouteEvidence> reported =
                 peers.stream()
-                        .map(peer -> byPeer.getOrDefault(peer, Map.of()))
+                        .map(peer -> evidenceByPeer.getOrDefault(peer, Map.of()))
                         .flatMap(
                                 byOrder ->
                                         byOrder
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutManager.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutManager.java
@@ -139,7 +139,10 @@
         return records.getOrDefault(service, RolloutStatus.none(service));
     }
 
-    /** Returns whether a service's record cannot be decoded; the leader then leaves the roll-out as it is. */
+    /**
+     * Returns whether a service's record cannot be decoded; the leader then leaves the roll-out as
+     * it is.
+     */
     boolean isRecordUnreadable(String service) {
         return unreadable.contains(service);
     }
@@ -163,13 +166,13 @@
     }
 
     /**
-     * Returns whether known orders may still be found in the store's new history. Orders that were not
-     * found in time get revision 0.
+     * Returns whether known orders may still be found in the store's new history. Orders that were
+     * not found in time get revision 0.
      */
     boolean awaitsOrders() {
         long now = nowMillis.getAsLong();
-        for (String missed : recovery.takeMissing(now)) {
-            gate.rollout(missed).ifPresent(rollout -> rollout.renumbered(rollout.order().at(0)));
+        for (String service : recovery.takeMissing(now)) {
+            gate.rollout(service).ifPresent(rollout -> rollout.renumbered(rollout.order().at(0)));
         }
         return recovery.awaitsOrders(now);
     }
@@ -287,7 +290,7 @@
         boolean alike = known.filter(rollout -> rollout.order().isAlike(order)).isPresent();
         boolean revisionComparable = sameHistory || !alike || !recovery.hasBegun();
         if (revisionComparable) {
-            ordered(order, "peer", Written.BEFORE, sameHistory);
+            startIfNew(order, "peer", Written.BEFORE, sameHistory);
         }
         gate.rollout(order.service())
                 .filter(
@@ -308,7 +311,7 @@
      * @param certain true if it was written in the store's current history, or found there by a
      *     peer; a list may contain older orders for a short time
      */
-    private void ordered(RolloutOrder order, String source, Written written, boolean certain) {
+    private void startIfNew(RolloutOrder order, String source, Written written, boolean certain) {
         Optional<Rollout> known = gate.rollout(order.service());
         if (known.isPresent() && isKnown(known.get(), order, certain)) {
             return;
@@ -349,7 +352,7 @@
                 : known.order().revision() >= order.revision();
     }
 
-    private void withdrawn(String service) {
+    private void withdraw(String service) {
         gate.rollout(service)
                 .filter(rollout -> !rollout.phase().isFinal())
                 .ifPresent(
@@ -363,7 +366,7 @@
                         });
     }
 
-    /** Returns the decoded value; logs an error and returns empty if it could not be decoded. */
+    /** Returns the decoded value; logs a warning and returns empty if it could not be decoded. */
     private static <T> Optional<T> readable(Either<String, T> decoded) {
         if (decoded.isLeft()) {
             Logger.warn(
@@ -398,11 +401,11 @@
         private void read(StoreItem item, Written written, boolean certain) {
             String service = serviceOf(item.key(), format.rolloutOrderPrefix());
             if (item.gone()) {
-                withdrawn(service);
+                withdraw(service);
                 return;
             }
             readable(format.rolloutOrder(service, item.value(), item.revision()))
-                    .ifPresent(order -> ordered(order, "store", written, certain));
+                    .ifPresent(order -> startIfNew(order, "store", written, certain));
         }
     }
 
@@ -410,15 +413,15 @@
     private final class Records implements StoreWatcher.Listener {
         @Override
         public void listed(List<StoreItem> items, long revision) {
-            items.forEach(item -> take(item, false));
+            items.forEach(item -> apply(item, false));
         }
 
         @Override
         public void changed(StoreItem item) {
-            take(item, true);
+            apply(item, true);
         }
 
-        private void take(StoreItem item, boolean certain) {
+        private void apply(StoreItem item, boolean certain) {
             String service = serviceOf(item.key(), format.rolloutStatusPrefix());
             if (!item.gone()) {
                 read(service, item, certain);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutParts.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutParts.java
@@ -25,10 +25,11 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Creates and connects the parts of a process that follow and lead roll-outs. If operators order no roll-outs, as the settings say, none of the parts runs and no call is made.
+ * Creates and connects the parts of a process that follow and lead roll-outs. If operators order no
+ * roll-outs, as the settings say, none of the parts runs and no call is made.
  */
 final class RolloutParts {
-    private final boolean ordered;
+    private final boolean enabled;
     private final RolloutManager manager;
     private final RolloutRunner runner;
     private final StoreWatcher records;
@@ -63,7 +64,7 @@
             ClusterView view,
             BooleanSupplier leads,
             GatewayMetrics metrics) {
-        ordered = settings.rollouts().ordered();
+        enabled = settings.rollouts().ordered();
         manager =
                 new RolloutManager(
                         format,
@@ -95,7 +96,7 @@
                         manager.records());
         orders =
                 watcher(loop, store, health, random, format.rolloutOrderPrefix(), manager.orders());
-        if (ordered) {
+        if (enabled) {
             view.rollouts(exchange);
             // the old version stops with the record: a process that is notified late has no
             // upstream to
@@ -121,7 +122,7 @@
 
     /** Starts to follow and to lead roll-outs. */
     void start() {
-        if (ordered) {
+        if (enabled) {
             // records first, so that an order whose result is known is not started again
             records.restart();
             orders.restart();
@@ -131,7 +132,7 @@
 
     /** Returns whether the roll-outs are known: the store was read once, or need not be read. */
     boolean isKnown() {
-        return !ordered || (records.isComplete() && orders.isComplete());
+        return !enabled || (records.isComplete() && orders.isComplete());
     }
 
     /**
@@ -140,7 +141,7 @@
      * @param fedByHub true while a hub keeps this process up to date
      */
     void follow(boolean fedByHub) {
-        if (!ordered) {
+        if (!enabled) {
             return;
         }
         follow(orders, !fedByHub);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRecovery.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRecovery.java
@@ -33,14 +33,14 @@
     /** Max. time until orders and records are written again, in milliseconds. */
     static final long RECOVERY_MILLIS = 4_000;
 
-    private final Set<String> orders = new HashSet<>();
-    private final Map<String, RolloutStatus> records = new HashMap<>();
+    private final Set<String> missingOrders = new HashSet<>();
+    private final Map<String, RolloutStatus> lostRecords = new HashMap<>();
     private final Map<String, Long> storedRevision = new HashMap<>();
 
     /** The order before the known one, by service. */
     private final Map<String, RolloutOrder> earlierOrders = new HashMap<>();
 
-    private long untilMillis = Long.MIN_VALUE;
+    private long recoveryEndMillis = Long.MIN_VALUE;
 
     /**
      * Begins a recovery.
@@ -50,10 +50,10 @@
      * @param nowMillis the time, in milliseconds
      */
     void begin(Collection<String> services, Collection<RolloutStatus> recorded, long nowMillis) {
-        orders.addAll(services);
-        recorded.forEach(record -> records.put(record.service(), record));
+        missingOrders.addAll(services);
+        recorded.forEach(record -> lostRecords.put(record.service(), record));
         storedRevision.clear();
-        untilMillis = nowMillis + RECOVERY_MILLIS;
+        recoveryEndMillis = nowMillis + RECOVERY_MILLIS;
     }
 
     /** Records that an order was replaced by a later one. */
@@ -69,42 +69,42 @@
 
     /** Returns whether the history was replaced since this process started. */
     boolean hasBegun() {
-        return untilMillis != Long.MIN_VALUE;
+        return recoveryEndMillis != Long.MIN_VALUE;
     }
 
     /** Returns whether the contents of a list may be older than what is known. */
     boolean isRecovering(long nowMillis) {
-        return nowMillis < untilMillis;
+        return nowMillis < recoveryEndMillis;
     }
 
     /** Returns whether a service's order was not found yet. */
     boolean awaitsOrder(String service, long nowMillis) {
-        return isRecovering(nowMillis) && orders.contains(service);
+        return isRecovering(nowMillis) && missingOrders.contains(service);
     }
 
     /** Returns whether any order was not found yet. */
     boolean awaitsOrders(long nowMillis) {
-        return isRecovering(nowMillis) && !orders.isEmpty();
+        return isRecovering(nowMillis) && !missingOrders.isEmpty();
     }
 
     /** Records that an order was found. */
     void foundOrder(String service) {
-        orders.remove(service);
+        missingOrders.remove(service);
     }
 
     /** Returns and forgets the services whose orders were not found in time. */
     Set<String> takeMissing(long nowMillis) {
-        if (isRecovering(nowMillis) || orders.isEmpty()) {
+        if (isRecovering(nowMillis) || missingOrders.isEmpty()) {
             return Set.of();
         }
-        Set<String> missing = Set.copyOf(orders);
-        orders.clear();
+        Set<String> missing = Set.copyOf(missingOrders);
+        missingOrders.clear();
         return missing;
     }
 
     /** Returns a service's record that must be written again; empty if there is none. */
     Optional<RolloutStatus> record(String service) {
-        return Optional.ofNullable(records.get(service));
+        return Optional.ofNullable(lostRecords.get(service));
     }
 
     /** Records the revision of the record that is currently stored for a service. */
@@ -122,7 +122,7 @@
 
     /** Records that a service's record was found, or that another one has replaced it. */
     void foundRecord(String service) {
-        records.remove(service);
+        lostRecords.remove(service);
         storedRevision.remove(service);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRunner.java
@@ -52,7 +52,8 @@
     private static final long STATUS_LOG_INTERVAL_MILLIS = 1_000;
 
     /**
-     * Delay before the read after a failed write, in milliseconds: the store's usual time for several calls.
+     * Delay before the read after a failed write, in milliseconds: the store's usual time for
+     * several calls.
      */
     private static final long READ_BACK_DELAY_MILLIS = 300;
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreHistory.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreHistory.java
@@ -58,7 +58,7 @@
 
     @Override
     public boolean isCurrent(long epochNumber) {
-        return named(STORE, epochNumber);
+        return applyEpoch(STORE, epochNumber);
     }
 
     /**
@@ -68,7 +68,7 @@
      * @param epochNumber the epoch; 0 if the peer names none
      */
     void epochReported(String peer, long epochNumber) {
-        named(peer, epochNumber);
+        applyEpoch(peer, epochNumber);
     }
 
     /**
@@ -103,7 +103,7 @@
         logSampled("upstream news", detail);
     }
 
-    private boolean named(String source, long epochNumber) {
+    private boolean applyEpoch(String source, long epochNumber) {
         long before = epoch.current();
         Named meaning = epoch.named(epochNumber);
         if (meaning == Named.NEW) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreWatcher.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreWatcher.java
@@ -125,7 +125,9 @@
      */
     public void relist() {
         if (running) {
-            DecisionLog.write(new DecisionLog.Lifecycle("watch of " + prefix, "anew", "silent"));
+            DecisionLog.write(
+                    new DecisionLog.Lifecycle(
+                            "watch of " + prefix, "anew", "watch reported no change"));
             restart();
         }
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/DirectoryKeeperTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/DirectoryKeeperTest.java
@@ -94,7 +94,7 @@
         keeper.storeRegained();
         keeper.listed(List.of(item("a", READY, 1)), 5);
         assertEquals(2, serving());
-        now += DirectoryManager.RETURN_MILLIS - 1;
+        now += DirectoryManager.REAPPEARANCE_MILLIS - 1;
         keeper.changed(item("b", READY, 6));
         pass(1);
         assertEquals(2, serving());
@@ -107,7 +107,7 @@
         keeper.changed(gone("a", 3));
         keeper.listed(List.of(), 5);
         assertEquals(2, serving());
-        pass(DirectoryManager.RETURN_MILLIS);
+        pass(DirectoryManager.REAPPEARANCE_MILLIS);
         assertEquals(0, serving());
         assertEquals(2, left.size(), left.toString());
     }
@@ -168,7 +168,7 @@
         keeper.applyFromPeer(List.of(new UpstreamEntry("a", bytes(READY))), 20, "hub");
         assertEquals(20, keeper.revision());
         assertEquals(2, serving(), "one that is missing may come back");
-        pass(DirectoryManager.RETURN_MILLIS);
+        pass(DirectoryManager.REAPPEARANCE_MILLIS);
         assertEquals(1, serving());
     }
 
@@ -189,8 +189,8 @@
         keeper.changed(gone("a", 400));
         keeper.historyReplaced();
         keeper.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 5);
-        pass(DirectoryManager.RETURN_MILLIS);
-        pass(DirectoryManager.RETURN_MILLIS);
+        pass(DirectoryManager.REAPPEARANCE_MILLIS);
+        pass(DirectoryManager.REAPPEARANCE_MILLIS);
         assertEquals(2, serving());
     }
 
