--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AnswerPassing.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AnswerRelay.java
@@ -15,7 +15,7 @@
  */
 package io.trailladder.entry.gateway;
 
-import io.trailladder.core.memory.HeldKind;
+import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.pipeline.AttemptHistory;
 import io.trailladder.entry.gateway.EventSplitter.StreamEvent;
@@ -28,11 +28,11 @@
  * Passes an upstream's answer on to the caller: a stream event by event as they come, anything else
  * once it is whole, unless it is too large to be held.
  */
-final class AnswerPassing {
-    private static final int SUCCESS_TO = 299;
+final class AnswerRelay {
+    private static final int MAX_SUCCESS_STATUS = 299;
 
-    private final MemoryKeeper memory;
-    private final MemoryAccount.Holding holding;
+    private final MemoryManager memory;
+    private final MemoryAccount.Reservation reservation;
     private final ServerExchange exchange;
     private final AttemptHistory history;
     private final boolean stream;
@@ -41,7 +41,7 @@
     private EventSplitter splitter = new EventSplitter();
     private HeaderList headers = HeaderList.EMPTY;
     private int status;
-    private boolean passing;
+    private boolean relaying;
 
     /**
      * Creates the passing of a request's answer.
@@ -52,14 +52,14 @@
      * @param stream true if the answer is a series of events
      * @param onFirstByte runs before the first byte is sent
      */
-    AnswerPassing(
-            MemoryKeeper memory,
+    AnswerRelay(
+            MemoryManager memory,
             ServerExchange exchange,
             AttemptHistory history,
             boolean stream,
             Runnable onFirstByte) {
         this.memory = memory;
-        this.holding = memory.account().open(HeldKind.ANSWERS_PARSED);
+        this.reservation = memory.account().open(ReservationKind.ANSWERS_PARSED);
         this.exchange = exchange;
         this.history = history;
         this.stream = stream;
@@ -75,45 +75,45 @@
         status = answered;
         headers = fields;
         buffered.reset();
-        passing = stream && answered <= SUCCESS_TO;
+        relaying = stream && answered <= MAX_SUCCESS_STATUS;
     }
 
     /** Takes a part of the body; returns how many events of the stream are whole with it. */
     int body(byte[] bytes) {
-        if (passing && stream) {
-            int events = passEvents(splitter.take(bytes));
-            holdBack(splitter.pendingBytes());
+        if (relaying && stream) {
+            int events = relayEvents(splitter.append(bytes));
+            reservePending(splitter.pendingBytes());
             return events;
         }
-        if (passing) {
-            passBytes(bytes);
+        if (relaying) {
+            relayBytes(bytes);
             return 0;
         }
         buffered.writeBytes(bytes);
-        if (buffered.size() > memory.answerBytes()) {
-            passing = true;
-            passBytes(buffered.toByteArray());
+        if (buffered.size() > memory.maxBufferedAnswerBytes()) {
+            relaying = true;
+            relayBytes(buffered.toByteArray());
             buffered = new ByteArrayOutputStream();
         }
-        holding.set(buffered.size());
+        reservation.set(buffered.size());
         return 0;
     }
 
     /** Ends the answer, which the upstream ended as whole. */
     void end() {
-        if (passing) {
-            passBytes(splitter.rest());
+        if (relaying) {
+            relayBytes(splitter.remainder());
             begin();
             exchange.end();
-        } else if (history.hasAnswerBegun()) {
+        } else if (history.hasAnswerStarted()) {
             exchange.abort();
         } else {
-            respondWhole();
+            respondBuffered();
         }
     }
 
     /** Sends what was held back as the whole answer. */
-    void respondWhole() {
+    void respondBuffered() {
         onFirstByte.run();
         exchange.respond(status, headers.endToEnd(), buffered.toByteArray());
     }
@@ -124,28 +124,28 @@
 
     /** Gives back what was held back; nothing more is passed on. */
     void close() {
-        holding.close();
+        reservation.close();
     }
 
     /** An event that never ends would be held without end, so one above the bound ends it all. */
-    private void holdBack(int bytes) {
-        holding.set(bytes);
+    private void reservePending(int bytes) {
+        reservation.set(bytes);
         if (bytes > memory.account().budget().answerBytes()) {
-            memory.cut(exchange, MemoryKeeper.CutReason.EVENT_TOO_LARGE);
+            memory.cut(exchange, MemoryManager.CutReason.EVENT_TOO_LARGE);
         }
     }
 
-    private int passEvents(List<StreamEvent> events) {
+    private int relayEvents(List<StreamEvent> events) {
         for (StreamEvent event : events) {
-            passBytes(event.bytes());
+            relayBytes(event.bytes());
             if (!event.id().isEmpty()) {
-                history.eventPassed(event.id());
+                history.eventForwarded(event.id());
             }
         }
         return events.size();
     }
 
-    private void passBytes(byte[] bytes) {
+    private void relayBytes(byte[] bytes) {
         if (bytes.length > 0) {
             begin();
             exchange.write(bytes);
@@ -153,8 +153,8 @@
     }
 
     private void begin() {
-        if (!history.hasAnswerBegun()) {
-            history.answerBegun();
+        if (!history.hasAnswerStarted()) {
+            history.answerStarted();
             exchange.begin(status, headers.endToEnd(), -1);
             onFirstByte.run();
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Attempt.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Attempt.java
@@ -17,9 +17,9 @@
 
 import io.trailladder.core.pipeline.AttemptFailure;
 import io.trailladder.core.pipeline.ServingRequest;
-import io.trailladder.core.rollout.AnswerSeen;
+import io.trailladder.core.rollout.AnswerObservation;
 import io.trailladder.core.upstream.AnswerNotice;
-import io.trailladder.core.upstream.LimitTurn;
+import io.trailladder.core.upstream.SendSlot;
 import io.trailladder.core.upstream.Selection;
 import io.trailladder.core.upstream.Upstream;
 import io.trailladder.core.upstream.UpstreamAvailability;
@@ -35,9 +35,9 @@
  * answers from failures.
  */
 final class Attempt implements CallListener {
-    private static final int SERVER_ERRORS = 500;
-    private static final int SUCCESS_FROM = 200;
-    private static final int SUCCESS_TO = 299;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
+    private static final int MIN_SUCCESS_STATUS = 200;
+    private static final int MAX_SUCCESS_STATUS = 299;
 
     private final ServingContext context;
     private final ServingRequest request;
@@ -45,21 +45,21 @@
     private final int uncachedTokens;
     private final int waitingTokens;
     private final double predictedMillis;
-    private final Owner owner;
+    private final Listener listener;
     private final long createdMillis;
-    private Optional<LimitTurn> turn = Optional.empty();
+    private Optional<SendSlot> sendSlot = Optional.empty();
     private ClientCall call;
     private boolean sent;
     private long sentMillis;
     private boolean promptRead;
-    private boolean over;
+    private boolean finished;
     private int status;
-    private long heardMillis;
+    private long lastReceivedMillis;
     private long firstEventMillis = -1;
-    private int events;
+    private int eventsReceived;
 
     /** Told what becomes of the attempt. Only one of the last four methods is called, once. */
-    interface Owner {
+    interface Listener {
         /** The request is about to leave. */
         void sending(Attempt attempt);
 
@@ -76,26 +76,26 @@
         void failed(Attempt attempt, AttemptFailure failure);
     }
 
-    Attempt(ServingContext context, ServingRequest request, Selection selection, Owner owner) {
+    Attempt(ServingContext context, ServingRequest request, Selection selection, Listener owner) {
         this.context = context;
         this.request = request;
         this.upstream = selection.upstream();
         this.uncachedTokens = Math.max(0, request.prompt().tokensIn() - selection.cachedTokens());
         this.waitingTokens = selection.waitingTokens();
         this.predictedMillis = selection.predictedMillis();
-        this.owner = owner;
+        this.listener = owner;
         this.createdMillis = context.loop().nowMillis();
-        this.heardMillis = createdMillis;
+        this.lastReceivedMillis = createdMillis;
     }
 
     void start(OutgoingCall outgoing) {
         // the turn that the choice counted on, which nobody else may count on now
-        turn = context.limits().take(upstream);
+        sendSlot = context.limits().take(upstream);
         context.loads().sent(upstream.id(), uncachedTokens);
         context.rollouts().chosen(request.service(), upstream);
         context.demand().sent(request.service(), uncachedTokens, createdMillis);
         call = context.connector().send(outgoing, this);
-        if (over) {
+        if (finished) {
             call.cancel();
         }
     }
@@ -116,14 +116,14 @@
         return context.loop().nowMillis() - createdMillis;
     }
 
-    long silentMillis() {
-        return context.loop().nowMillis() - heardMillis;
+    long unresponsiveMillis() {
+        return context.loop().nowMillis() - lastReceivedMillis;
     }
 
     /** Stops the attempt; its owner is told nothing more. */
     void cancel() {
-        if (!over) {
-            tellVersion(false, false);
+        if (!finished) {
+            recordVersionAnswer(false, false);
             finish();
             if (call != null) {
                 call.cancel();
@@ -136,8 +136,8 @@
      *
      * @param more how many, at least one
      */
-    void events(int more) {
-        if (events == 0) {
+    void eventsReceived(int more) {
+        if (eventsReceived == 0) {
             firstEventMillis = context.loop().nowMillis();
             promptRead();
             context.engines()
@@ -148,7 +148,7 @@
                             firstEventMillis - createdMillis,
                             firstEventMillis);
         }
-        events += more;
+        eventsReceived += more;
     }
 
     private void promptRead() {
@@ -161,11 +161,11 @@
     @Override
     public boolean isWanted() {
         long now = context.loop().nowMillis();
-        if (turn.isEmpty()) {
-            turn = context.limits().take(upstream);
+        if (sendSlot.isEmpty()) {
+            sendSlot = context.limits().take(upstream);
         }
         boolean wanted =
-                context.availability().of(upstream, turn.isPresent(), now)
+                context.availability().of(upstream, sendSlot.isPresent(), now)
                         == UpstreamAvailability.State.TAKES_REQUESTS;
         if (!wanted) {
             context.metrics().count(GatewayMetrics.Event.SENDING_WITHHELD);
@@ -177,23 +177,23 @@
     public void sending() {
         sent = true;
         sentMillis = context.loop().nowMillis();
-        turn.ifPresent(context.limits()::sent);
-        context.rests().sent(upstream, context.loop().nowMillis());
+        sendSlot.ifPresent(context.limits()::sent);
+        context.backoffs().sent(upstream, context.loop().nowMillis());
         context.rollouts().sent(request.service());
-        owner.sending(this);
+        listener.sending(this);
     }
 
     @Override
     public void head(int answered, HeaderList headers, long length) {
         status = answered;
-        heardMillis = context.loop().nowMillis();
+        lastReceivedMillis = context.loop().nowMillis();
         if (context.protocol().belongsToAnother(request.id(), headers)) {
-            foreign();
+            failAsForeign();
         } else if (context.protocol().misdirected(answered)) {
             fail(AttemptFailure.MISDIRECTED);
         } else {
             AnswerNotice notice = context.protocol().notice(answered, headers);
-            context.notices().heard(request.id(), upstream, answered, notice, sentMillis);
+            context.notices().received(request.id(), upstream, answered, notice, sentMillis);
             answered(answered, headers, length);
         }
     }
@@ -202,78 +202,78 @@
         if (context.protocol().notExecuted(answered, headers)) {
             fail(AttemptFailure.NOT_EXECUTED);
         } else if (!context.protocol().belongs(request.id(), headers)) {
-            foreign();
+            failAsForeign();
         } else {
             context.crashes().answered(upstream, createdMillis);
-            if (answered <= SUCCESS_TO) {
-                context.rests().taken(upstream, heardMillis);
+            if (answered <= MAX_SUCCESS_STATUS) {
+                context.backoffs().requestAccepted(upstream, lastReceivedMillis);
             }
-            owner.answered(this, answered, headers, length);
+            listener.answered(this, answered, headers, length);
         }
     }
 
     /**
      * What another request's answer says, also that it has not run, is not believed of this one.
      */
-    private void foreign() {
+    private void failAsForeign() {
         context.metrics().count(GatewayMetrics.Event.FOREIGN_ANSWER);
         fail(AttemptFailure.BROKEN);
     }
 
     @Override
     public void body(byte[] bytes) {
-        if (!over) {
-            heardMillis = context.loop().nowMillis();
-            owner.body(this, bytes);
+        if (!finished) {
+            lastReceivedMillis = context.loop().nowMillis();
+            listener.body(this, bytes);
         }
     }
 
     @Override
     public void ended() {
-        if (over) {
+        if (finished) {
             return;
         }
         long now = context.loop().nowMillis();
-        if (status >= SERVER_ERRORS) {
+        if (status >= MIN_SERVER_ERROR_STATUS) {
             context.loads().failed(upstream.id(), now);
-        } else if (status >= SUCCESS_FROM && status <= SUCCESS_TO) {
+        } else if (status >= MIN_SUCCESS_STATUS && status <= MAX_SUCCESS_STATUS) {
             context.loads().succeeded(upstream.id(), now);
-            learn(now);
+            recordTimings(now);
         }
-        tellVersion(status >= SERVER_ERRORS, true);
+        recordVersionAnswer(status >= MIN_SERVER_ERROR_STATUS, true);
         finish();
-        owner.ended(this);
+        listener.ended(this);
     }
 
     /** Has the end of the attempt count for, or against, the version of its upstream. */
-    private void tellVersion(boolean failed, boolean whole) {
+    private void recordVersionAnswer(boolean failed, boolean whole) {
         if (!sent) {
             return;
         }
         long firstAt = firstEventMillis < 0 ? context.loop().nowMillis() : firstEventMillis;
-        AnswerSeen seen =
-                new AnswerSeen(
+        AnswerObservation seen =
+                new AnswerObservation(
                         request.route().name(),
                         failed,
                         (double) (firstAt - createdMillis),
                         predictedMillis,
-                        whole ? pauseMillis() : 0,
+                        whole ? meanEventGapMillis() : 0,
                         whole);
         context.rollouts().answered(request.service(), upstream, seen);
     }
 
     /** The mean pause between the events, in milliseconds; 0 if there were too few. */
-    private double pauseMillis() {
+    private double meanEventGapMillis() {
         long now = context.loop().nowMillis();
-        return events > 1 ? (now - firstEventMillis) / (events - 1.0) : 0;
+        return eventsReceived > 1 ? (now - firstEventMillis) / (eventsReceived - 1.0) : 0;
     }
 
     /** Has the whole answer tell how fast the upstream is. */
-    private void learn(long nowMillis) {
+    private void recordTimings(long nowMillis) {
         context.engines().ended(request.service(), nowMillis - createdMillis, nowMillis);
-        if (events > 1) {
+        if (eventsReceived > 1) {
             int running = context.loads().requests(upstream.id());
-            context.engines().paused(request.service(), running, pauseMillis(), nowMillis);
+            context.engines().paused(request.service(), running, meanEventGapMillis(), nowMillis);
         }
     }
 
@@ -288,7 +288,7 @@
 
     /** Ends the attempt as failed and breaks its connection off. */
     void fail(AttemptFailure reason) {
-        if (over) {
+        if (finished) {
             return;
         }
         AttemptFailure failure = sent ? reason : reason.beforeSending();
@@ -302,19 +302,19 @@
             context.loads().failed(upstream.id(), now);
         }
         if (failure == AttemptFailure.SILENT || failure == AttemptFailure.BROKEN) {
-            tellVersion(false, false);
+            recordVersionAnswer(false, false);
         }
         finish();
         if (call != null) {
             call.cancel();
         }
-        owner.failed(this, failure);
+        listener.failed(this, failure);
     }
 
     private void finish() {
-        over = true;
+        finished = true;
         if (!sent) {
-            turn.ifPresent(context.limits()::giveBack);
+            sendSlot.ifPresent(context.limits()::returnSlot);
         }
         promptRead();
         context.loads().ended(upstream.id());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AttemptCalls.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AttemptCalls.java
@@ -27,21 +27,21 @@
 /** Writes the calls that carry a request to upstreams. */
 final class AttemptCalls {
     /** Bounds of the time that a connection may take to come about, in milliseconds. */
-    private static final long MAX_CONNECT_MILLIS = 400;
+    private static final long MAX_CONNECT_TIMEOUT_MILLIS = 400;
 
-    private static final long LEAST_CONNECT_MILLIS = 50;
+    private static final long MIN_CONNECT_TIMEOUT_MILLIS = 50;
 
     /** Part of the time left that a connection may take: another attempt must still be possible. */
-    private static final int CONNECT_SHARE = 3;
+    private static final int CONNECT_TIMEOUT_DIVISOR = 3;
 
     /** Longest rest of a connection that is used again, in milliseconds. */
-    private static final long KEPT_MILLIS = 1_500;
+    private static final long MAX_IDLE_MILLIS = 1_500;
 
     /**
      * The same for requests that may not be repeated, in milliseconds: a connection that the
      * upstream has just closed would leave it open whether they ran.
      */
-    private static final long KEPT_UNREPEATABLE_MILLIS = 400;
+    private static final long MAX_IDLE_UNREPEATABLE_MILLIS = 400;
 
     private final RequestProtocol protocol;
     private final ServerExchange exchange;
@@ -80,13 +80,13 @@
                 exchange.uri(),
                 headers,
                 exchange.body(),
-                request.route().repeatable() ? KEPT_MILLIS : KEPT_UNREPEATABLE_MILLIS,
-                connectMillis(left),
-                connections.mostResting(request.service(), upstream));
+                request.route().repeatable() ? MAX_IDLE_MILLIS : MAX_IDLE_UNREPEATABLE_MILLIS,
+                connectTimeoutMillis(left),
+                connections.maxIdle(request.service(), upstream));
     }
 
-    private static long connectMillis(long leftMillis) {
+    private static long connectTimeoutMillis(long leftMillis) {
         return Math.max(
-                LEAST_CONNECT_MILLIS, Math.min(MAX_CONNECT_MILLIS, leftMillis / CONNECT_SHARE));
+                MIN_CONNECT_TIMEOUT_MILLIS, Math.min(MAX_CONNECT_TIMEOUT_MILLIS, leftMillis / CONNECT_TIMEOUT_DIVISOR));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/BodyRoom.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/BodyCapacitySelector.java
@@ -27,15 +27,15 @@
  * Chooses upstreams for a request among those that take bodies as fast as they come. Without it, an
  * upstream that reads slowly would collect the bodies of all its requests here.
  */
-final class BodyRoom {
+final class BodyCapacitySelector {
     /** Part of the budget of memory that bodies may take while one upstream reads them. */
-    private static final int UPSTREAM_PART = 8;
+    private static final int UPSTREAM_BUDGET_DIVISOR = 8;
 
     private final ServingContext context;
     private final ServingRequest request;
-    private boolean wasShort;
+    private boolean wasCapacityShort;
 
-    BodyRoom(ServingContext context, ServingRequest request) {
+    BodyCapacitySelector(ServingContext context, ServingRequest request) {
         this.context = context;
         this.request = request;
     }
@@ -48,14 +48,14 @@
      * @return the best one that has room; nothing if there is none
      */
     Optional<Selection> choose(Set<String> tried, long nowMillis) {
-        wasShort = false;
+        wasCapacityShort = false;
         Optional<Selection> choice = context.selector().choose(request, tried, nowMillis);
-        if (choice.isEmpty() || hasRoom(choice.get().upstream())) {
+        if (choice.isEmpty() || hasCapacity(choice.get().upstream())) {
             return choice;
         }
-        wasShort = true;
+        wasCapacityShort = true;
         Set<String> without = new HashSet<>(tried);
-        while (choice.isPresent() && !hasRoom(choice.get().upstream())) {
+        while (choice.isPresent() && !hasCapacity(choice.get().upstream())) {
             without.add(choice.get().upstream().id());
             choice = context.selector().choose(request, without, nowMillis);
         }
@@ -63,17 +63,17 @@
     }
 
     /** Tells whether upstreams were left out of the last choice for want of room. */
-    boolean wasShort() {
-        return wasShort;
+    boolean wasCapacityShort() {
+        return wasCapacityShort;
     }
 
     /** A body always has room where no other one waits. */
-    private boolean hasRoom(Upstream upstream) {
+    private boolean hasCapacity(Upstream upstream) {
         if (request.bodyBytes() == 0 || !context.connector().hasUnwritten()) {
             return true;
         }
         long waiting = context.connector().unwrittenBytes(HostPort.parse(upstream.address()));
-        long bound = context.memory().account().budget().bytes() / UPSTREAM_PART;
+        long bound = context.memory().account().budget().bytes() / UPSTREAM_BUDGET_DIVISOR;
         return waiting == 0 || waiting + request.bodyBytes() <= bound;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPages.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPages.java
@@ -89,7 +89,7 @@
                 RequestFingerprint request = report.request();
                 CrashVerdict verdict = crashes.ledger().verdict(request, now);
                 json.writeStartObject();
-                new RefusedAsCrashing("", request, crashes.ledger().known(request), now)
+                new RefusedAsCrashing("", request, crashes.ledger().countedEnds(request), now)
                         .write(json);
                 json.writeStringField("verdict", verdict.name());
                 json.writeEndObject();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashReportCodec.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashReportCodec.java
@@ -56,8 +56,8 @@
         bytes.putInt(cleared ? clampMillis(nowMillis - report.clearedMillis()) : NEVER);
         bytes.put((byte) report.ends().size());
         for (UpstreamEnd end : report.ends()) {
-            bytes.putLong(end.upstream());
-            bytes.put((byte) end.repeat());
+            bytes.putLong(end.incarnation());
+            bytes.put((byte) end.earlierEnds());
             bytes.putInt(clampMillis(nowMillis - end.atMillis()));
             bytes.putInt(clampMillis(end.ranMillis()));
         }
@@ -83,8 +83,8 @@
         RequestFingerprint request = new RequestFingerprint(bytes.getLong());
         int clearedAge = bytes.getInt();
         int count = bytes.get();
-        if (count < 0 || count > CrashHistory.MOST_ENDS) {
-            throw new IOException(count + " ends, expected 0 to " + CrashHistory.MOST_ENDS);
+        if (count < 0 || count > CrashHistory.MAX_ENDS) {
+            throw new IOException(count + " ends, expected 0 to " + CrashHistory.MAX_ENDS);
         }
         List<UpstreamEnd> ends = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -98,7 +98,7 @@
     }
 
     private static int checkedAge(int millis) throws IOException {
-        if (millis < 0 || millis > CrashLedger.REFUSED_KEPT_MILLIS) {
+        if (millis < 0 || millis > CrashLedger.REFUSED_RETENTION_MILLIS) {
             throw new IOException("age out of range: " + millis + " ms");
         }
         return millis;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
@@ -19,8 +19,8 @@
 import io.trailladder.core.crash.CrashLedger;
 import io.trailladder.core.crash.CrashReport;
 import io.trailladder.core.crash.CrashVerdict;
-import io.trailladder.core.crash.LeftRequests;
-import io.trailladder.core.crash.LeftRequests.Left;
+import io.trailladder.core.crash.CancelledRequests;
+import io.trailladder.core.crash.CancelledRequests.CancelledRequest;
 import io.trailladder.core.crash.RequestFingerprint;
 import io.trailladder.core.crash.UpstreamEnd;
 import io.trailladder.core.upstream.Upstream;
@@ -44,7 +44,7 @@
     private static final int MAX_LOGGED_REQUESTS = 256;
 
     private final CrashLedger ledger = new CrashLedger();
-    private final LeftRequests abandoned = new LeftRequests();
+    private final CancelledRequests abandoned = new CancelledRequests();
     private final LongSupplier nowMillis;
     private final GatewayMetrics metrics;
     private final Map<RequestFingerprint, Long> loggedMillis = new RecentMap<>(MAX_LOGGED_REQUESTS);
@@ -75,7 +75,7 @@
     boolean refuses(String tryId, RequestIdentity identity) {
         CrashVerdict verdict = verdict(identity);
         if (verdict == CrashVerdict.TRIED_AGAIN) {
-            ledger.triedAgain(identity.fingerprint());
+            ledger.retried(identity.fingerprint());
             DecisionLog.write(
                     new Lifecycle(
                             "request " + identity.fingerprint(), "sent once more", "try " + tryId));
@@ -105,7 +105,7 @@
         Long logged = loggedMillis.get(request);
         if (logged == null || now - logged >= LOG_INTERVAL_MILLIS) {
             loggedMillis.put(request, now);
-            DecisionLog.write(new RefusedAsCrashing(tryId, request, ledger.known(request), now));
+            DecisionLog.write(new RefusedAsCrashing(tryId, request, ledger.countedEnds(request), now));
         }
         return true;
     }
@@ -125,11 +125,11 @@
         abandoned.add(abandoned(tryId, identity, upstream, ranMillis));
     }
 
-    private Left abandoned(
+    private CancelledRequest abandoned(
             String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
         long now = nowMillis.getAsLong();
         long incarnation = incarnationOf(upstream);
-        return new Left(
+        return new CancelledRequest(
                 tryId, identity.fingerprint(), upstream.id(), incarnation, now - ranMillis, now);
     }
 
@@ -138,27 +138,27 @@
      * that were abandoned at that upstream shortly before.
      */
     void upstreamLost(Upstream upstream) {
-        for (Left abandoned : abandoned.takeFrom(upstream.id(), nowMillis.getAsLong())) {
+        for (CancelledRequest abandoned : abandoned.takeFrom(upstream.id(), nowMillis.getAsLong())) {
             recordEnd(abandoned);
         }
     }
 
-    private void recordEnd(Left attempt) {
+    private void recordEnd(CancelledRequest attempt) {
         RequestFingerprint request = attempt.request();
         boolean isNew =
                 ledger.ended(
                         request,
-                        attempt.life(),
+                        attempt.incarnation(),
                         attempt.sentMillis(),
-                        attempt.leftMillis(),
+                        attempt.cancelledMillis(),
                         nowMillis.getAsLong());
         DecisionLog.write(
                 new UpstreamEnded(
-                        attempt.tryId(),
+                        attempt.attemptId(),
                         request,
                         attempt.upstream(),
-                        attempt.leftMillis() - attempt.sentMillis(),
-                        ledger.known(request).size()));
+                        attempt.cancelledMillis() - attempt.sentMillis(),
+                        ledger.countedEnds(request).size()));
         if (isNew) {
             onNewEnd.run();
             notifyIfRefused(request);
@@ -171,8 +171,8 @@
      * incarnation under the same name.
      */
     void answered(Upstream upstream, long sentMillis) {
-        if (ledger.hasSuspects() && upstream.bornMillis() > 0) {
-            ledger.livedAt(incarnationOf(upstream), sentMillis);
+        if (ledger.hasSuspects() && upstream.startedMillis() > 0) {
+            ledger.observedAlive(incarnationOf(upstream), sentMillis);
         }
     }
 
@@ -183,12 +183,12 @@
      */
     void announcedLeaving(Upstream upstream) {
         if (!ledger.isEmpty()) {
-            ledger.livedAt(incarnationOf(upstream), nowMillis.getAsLong());
+            ledger.observedAlive(incarnationOf(upstream), nowMillis.getAsLong());
         }
     }
 
     private static long incarnationOf(Upstream upstream) {
-        return UpstreamEnd.nameOf(upstream.id(), upstream.bornMillis());
+        return UpstreamEnd.incarnationOf(upstream.id(), upstream.startedMillis());
     }
 
     /**
@@ -216,7 +216,7 @@
 
     /** Applies a report from a peer or from the store. */
     void receiveReport(String source, CrashReport report) {
-        if (ledger.told(source, report, nowMillis.getAsLong())) {
+        if (ledger.received(source, report, nowMillis.getAsLong())) {
             DecisionLog.write(
                     new Lifecycle(
                             "request " + report.request(),
@@ -248,7 +248,7 @@
         }
         Set<Long> listedIncarnations = new HashSet<>();
         listed.forEach(upstream -> listedIncarnations.add(incarnationOf(upstream)));
-        ledger.look(listedIncarnations, Math.min(listValidSinceMillis, now), now);
+        ledger.cleanUp(listedIncarnations, Math.min(listValidSinceMillis, now), now);
         metrics.crashing(ledger.refused().size(), ledger.size());
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DecisionLog.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DecisionLog.java
@@ -275,9 +275,9 @@
     }
 
     /** Turns a decision into text when the line is written, and tells if that is much later. */
-    private record Line(Decision decision, Instant made) {
+    private record Line(Decision decision, Instant decidedAt) {
         /** Several times what the writing thread pauses, in milliseconds. */
-        private static final long TOLD_FROM_MILLIS = 500;
+        private static final long MIN_REPORTED_DELAY_MILLIS = 500;
 
         @Override
         public String toString() {
@@ -285,13 +285,13 @@
             StringWriter text = new StringWriter();
             try (JsonGenerator json = JSON.createGenerator(text)) {
                 json.writeStartObject();
-                json.writeStringField("time", LineTime.text(made));
+                json.writeStringField("time", LineTime.text(decidedAt));
                 json.writeStringField("level", "INFO");
                 json.writeObjectFieldStart("decision");
                 json.writeStringField("kind", kind);
                 decision.write(json);
-                long held = System.currentTimeMillis() - made.toEpochMilli();
-                if (held >= TOLD_FROM_MILLIS) {
+                long held = System.currentTimeMillis() - decidedAt.toEpochMilli();
+                if (held >= MIN_REPORTED_DELAY_MILLIS) {
                     json.writeNumberField("heldMs", held);
                 }
                 json.writeEndObject();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryManager.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryManager.java
@@ -54,7 +54,7 @@
     private final List<Consumer<Upstream>> onLeaving = new ArrayList<>();
     private final Map<String, byte[]> entries = new HashMap<>();
     private final UnusableEntries unusable = new UnusableEntries();
-    private final GoneEntries removedEntries = new GoneEntries();
+    private final RemovedEntries removedEntries = new RemovedEntries();
     private Consumer<UpstreamNews> onUpdate = update -> {};
     private Consumer<UpstreamNews> onIgnoredUpdate = update -> {};
     private long revision;
@@ -212,7 +212,7 @@
             return;
         }
         entries.put(id, value);
-        removedEntries.written(id);
+        removedEntries.recordWritten(id);
         read(id, value).ifPresent(this::changed);
     }
 
@@ -270,7 +270,7 @@
     public boolean leavingAnnouncedBy(Upstream upstream) {
         boolean knownBefore = directory.isLeaving(upstream.id());
         directory
-                .leaving(new LeavingUpstream(upstream.id(), upstream.bornMillis()))
+                .leaving(new LeavingUpstream(upstream.id(), upstream.startedMillis()))
                 .ifPresent(known -> notifyLeaving(known, "draining, announced in an answer"));
         return !knownBefore && directory.isLeaving(upstream.id());
     }
@@ -282,7 +282,7 @@
      * @return the incarnation; empty if the upstream is not listed or does not leave
      */
     public Optional<LeavingUpstream> leavingIncarnation(String id) {
-        return directory.find(id).isEmpty() ? Optional.empty() : directory.leavingLife(id);
+        return directory.find(id).isEmpty() ? Optional.empty() : directory.leavingIncarnation(id);
     }
 
     /**
@@ -350,7 +350,7 @@
         List<Upstream> upstreams = new ArrayList<>();
         entries.forEach(
                 (id, value) -> {
-                    if (!removedEntries.isDoubted(id, value)) {
+                    if (!removedEntries.isSuspect(id, value)) {
                         read(id, value).ifPresent(upstreams::add);
                     }
                 });
@@ -377,7 +377,7 @@
 
     private void rememberRemoved(String id, byte[] lastValue) {
         if (lastValue != null) {
-            removedEntries.went(id, lastValue);
+            removedEntries.recordRemoved(id, lastValue);
         }
     }
 
@@ -386,7 +386,7 @@
      * entries have expired.
      */
     private void trustAllEntries() {
-        removedEntries.endDoubt();
+        removedEntries.clearSuspects();
         entries.forEach(
                 (id, value) -> {
                     if (directory.find(id).isEmpty()) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DutyRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DutyRunner.java
@@ -120,7 +120,7 @@
             election.started(loop.nowMillis());
         }
         loop.repeat(STEP_INTERVAL_MILLIS, this::step);
-        loop.repeat(CLEANUP_INTERVAL_MILLIS, () -> usage.forgetOld(clock.millis()));
+        loop.repeat(CLEANUP_INTERVAL_MILLIS, () -> usage.removeOldWindows(clock.millis()));
     }
 
     /** Ends the lease if this process holds one, and claims none any more. */
@@ -160,7 +160,7 @@
         if (key.isRight() && isOwn(key.get()) && leads()) {
             tokens.raise();
         } else {
-            election.lost(loop.nowMillis());
+            election.leadershipLost(loop.nowMillis());
         }
     }
 
@@ -203,7 +203,7 @@
     /** Ignores a removal that was read before this process claimed the key but arrives after it. */
     private void keyRemoved(long revision) {
         if (revision >= claimedRevision) {
-            election.keyGone(loop.nowMillis());
+            election.keyRemoved(loop.nowMillis());
         }
     }
 
@@ -320,7 +320,7 @@
                         health.answered();
                         election.renewed(sentMillis);
                     } else if (result.getLeft() == StoreFailure.LEASE_GONE) {
-                        election.lost(loop.nowMillis());
+                        election.leadershipLost(loop.nowMillis());
                     } else {
                         health.failed(result.getLeft());
                     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/EventSplitter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/EventSplitter.java
@@ -47,13 +47,13 @@
      * @param bytes the part
      * @return the events that are whole with it
      */
-    public List<StreamEvent> take(byte[] bytes) {
+    public List<StreamEvent> append(byte[] bytes) {
         List<StreamEvent> events = new ArrayList<>();
         int from = 0;
         for (int at = 0; at < bytes.length; at++) {
             byte b = bytes[at];
             if (b == '\n' && lineEmpty) {
-                byte[] whole = whole(bytes, from, at + 1);
+                byte[] whole = completeEvent(bytes, from, at + 1);
                 from = at + 1;
                 events.add(new StreamEvent(idOf(whole), whole));
             } else if (b == '\n') {
@@ -71,7 +71,7 @@
      *
      * @return the bytes; none if the body ended with a whole event
      */
-    public byte[] rest() {
+    public byte[] remainder() {
         return pending.toByteArray();
     }
 
@@ -84,7 +84,7 @@
         return pending.size();
     }
 
-    private byte[] whole(byte[] bytes, int from, int to) {
+    private byte[] completeEvent(byte[] bytes, int from, int to) {
         if (pending.size() == 0) {
             return Arrays.copyOfRange(bytes, from, to);
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/FleetRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/FleetRunner.java
@@ -206,7 +206,7 @@
 
     private Optional<FleetNeed> need(String service, ServiceLoad load, List<Upstream> upstreams) {
         EngineEstimate engine = engines.estimate(service, loop.nowMillis());
-        if (!load.isKnown() || !engine.isLearned()) {
+        if (!load.isSignificant() || !engine.isLearned()) {
             return Optional.empty();
         }
         int slots = upstreams.stream().mapToInt(Upstream::slots).min().orElse(1);
@@ -219,13 +219,13 @@
                         .sum();
         ServiceLoad served = load.withBacklog(slotsInService, engine.runMillis());
         FleetNeed need = FleetSizer.need(served, engine, slots, objectiveMillis(service));
-        return Optional.of(need.beside(limits.count(serving)));
+        return Optional.of(need.plusUpstreams(limits.count(serving)));
     }
 
     /** Returns the tightest objective of the routes that lead to a service, in milliseconds. */
     private double objectiveMillis(String service) {
         return policies.policy().orElseThrow().routes().stream()
-                .filter(route -> route.leadsTo(service) && route.objectiveMillis() > 0)
+                .filter(route -> route.routesTo(service) && route.objectiveMillis() > 0)
                 .mapToLong(Route::objectiveMillis)
                 .min()
                 .orElse(DEFAULT_OBJECTIVE_MILLIS);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
@@ -17,7 +17,7 @@
 
 import io.prometheus.metrics.expositionformats.PrometheusTextFormatWriter;
 import io.trailladder.core.duty.LeaderElection;
-import io.trailladder.core.duty.StorePatience;
+import io.trailladder.core.duty.ElectionDelay;
 import io.trailladder.core.duty.UsageLedger;
 import io.trailladder.core.engine.EngineModel;
 import io.trailladder.core.membership.GatewayMember;
@@ -33,7 +33,7 @@
 import io.trailladder.core.upstream.UpstreamDirectory;
 import io.trailladder.core.upstream.UpstreamLimits;
 import io.trailladder.core.upstream.UpstreamLoads;
-import io.trailladder.core.upstream.UpstreamRests;
+import io.trailladder.core.upstream.UpstreamBackoffs;
 import io.trailladder.core.upstream.UpstreamSelector;
 import io.trailladder.entry.gateway.DecisionLog.Lifecycle;
 import io.trailladder.entry.gateway.DecisionLog.StoreUse;
@@ -69,29 +69,29 @@
 public final class Gateway {
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
-    private static final long FORGET_MILLIS = 1_000;
-    private static final long ROLE_MILLIS = 200;
+    private static final long PRUNE_INTERVAL_MILLIS = 1_000;
+    private static final long ROLE_CHECK_INTERVAL_MILLIS = 200;
 
     /** How often calls to the store are logged, in milliseconds: one line in some hundred. */
-    private static final long STORE_USE_MILLIS = 5_000;
+    private static final long STORE_USE_LOG_INTERVAL_MILLIS = 5_000;
 
-    private static final long DIRECTORY_PAUSE_MILLIS = 150;
-    private static final long LOST_SILENT_MILLIS = 500;
-    private static final long STOP_CHECK_MILLIS = 100;
-    private static final long LEAST_DRAIN_MILLIS = 2_600;
+    private static final long DIRECTORY_WATCH_PAUSE_MILLIS = 150;
+    private static final long LOST_UNRESPONSIVE_MILLIS = 500;
+    private static final long STOP_CHECK_INTERVAL_MILLIS = 100;
+    private static final long MIN_DRAIN_MILLIS = 2_600;
     private static final long END_MARGIN_MILLIS = 700;
-    private static final long ELECTION_PATIENCE_MILLIS = 100;
-    private static final long ELECTION_SPREAD_MILLIS = 500;
-    private static final long PEERS_FIRST_MILLIS = 700;
+    private static final long ELECTION_DELAY_MILLIS = 100;
+    private static final long ELECTION_JITTER_MILLIS = 500;
+    private static final long STORE_GRACE_MILLIS = 700;
 
     /** Descriptors set aside for files: archives, libraries, pipes of the selector. */
-    private static final int FILE_DESCRIPTORS = 200;
+    private static final int RESERVED_FILE_DESCRIPTORS = 200;
 
     /** Of four sockets three may be callers': a request needs one more at most, and shares it. */
-    private static final int CALLERS_PART = 3;
+    private static final int CALLER_SHARE_NUMERATOR = 3;
 
-    private static final int CALLERS_OF = 4;
-    private static final byte[] NO_BYTES = {};
+    private static final int CALLER_SHARE_DENOMINATOR = 4;
+    private static final byte[] EMPTY_BODY = {};
 
     private final GatewaySettings settings;
     private final EventLoop loop = new EventLoop();
@@ -100,16 +100,16 @@
     private final HttpConnector connector = new HttpConnector(loop);
     private final UpstreamDirectory directory = new UpstreamDirectory();
     private final UpstreamLoads loads = new UpstreamLoads();
-    private final UpstreamRests rests = new UpstreamRests();
+    private final UpstreamBackoffs backoffs = new UpstreamBackoffs();
     private final UpstreamLimits limits;
     private final UpstreamAvailability availability;
     private final EngineModel engines = new EngineModel();
     private final Topology topology;
     private final Optional<RegionMetrics> regionMetrics;
-    private final StorePatience storePatience = new StorePatience();
+    private final ElectionDelay storeDelay = new ElectionDelay();
     private final StoreHealth storeHealth = new StoreHealth(metrics);
-    private final PolicyManager policies;
-    private final DirectoryManager directoryKeeper;
+    private final PolicyManager policyManager;
+    private final DirectoryManager directoryManager;
     private final Quotas quotas;
     private final ClusterView view;
     private final PeerMesh mesh;
@@ -117,21 +117,21 @@
     private final DutyRunner duties;
     private final RolloutParts rollouts;
     private final FleetRunner fleet;
-    private final MemoryKeeper memory;
+    private final MemoryManager memoryManager;
     private final CrashWatch crashes = new CrashWatch(loop::nowMillis, metrics);
     private final CrashRecords crashRecords;
     private final CrashPages crashPages = new CrashPages(crashes, loop::nowMillis);
     private final RequestIntake intake;
-    private final HttpServer callers;
-    private final HttpServer health;
-    private final HttpServer figures;
+    private final HttpServer callerServer;
+    private final HttpServer healthServer;
+    private final HttpServer metricsServer;
     private final StoreWatcher policyWatcher;
     private final StoreWatcher directoryWatcher;
     private final StoreWatcher leaderWatcher;
     private final long startedMillis = loop.nowMillis();
     private final Runnable onStopped;
     private boolean stopping;
-    private boolean fed;
+    private boolean fedByPeers;
 
     /**
      * Wires a process; nothing runs yet.
@@ -155,25 +155,25 @@
         TimePart clock = new TimePart(own, loop::nowMillis);
         UsageLedger usage = new UsageLedger(life, settings.timing().usageWindowMillis());
         DemandMeter demand = new DemandMeter();
-        policies = new PolicyManager(platform.format());
-        directoryKeeper =
+        policyManager = new PolicyManager(platform.format());
+        directoryManager =
                 new DirectoryManager(
                         platform.format(),
                         directory,
                         loop::nowMillis,
                         task -> loop.schedule(DirectoryManager.REAPPEARANCE_MILLIS, task));
-        storeHealth.onRegained(directoryKeeper::storeRegained);
+        storeHealth.onRegained(directoryManager::storeRegained);
         StoreHistory history = storeHealth.history();
         platform.store().onEpoch(history);
-        history.onReplaced(directoryKeeper::historyReplaced);
-        directoryKeeper.onIgnoredUpdate(
-                news -> history.updateIgnored(news, directoryKeeper.revision()));
+        history.onReplaced(directoryManager::historyReplaced);
+        directoryManager.onIgnoredUpdate(
+                news -> history.updateIgnored(news, directoryManager.revision()));
         quotas = new Quotas(settings.node().firstStart(), settings.tolerance());
         view =
                 new ClusterView(
                         loop::nowMillis,
-                        policies,
-                        directoryKeeper,
+                        policyManager,
+                        directoryManager,
                         storeHealth,
                         quotas,
                         loads,
@@ -184,23 +184,23 @@
                         !settings.node().firstStart());
         topology = Topology.of(settings.self().dataCentre(), settings.regions().byDataCentre());
         limits = new UpstreamLimits(clock::millis, turnOrders(name)::of);
-        availability = new UpstreamAvailability(directory, rests, limits);
-        view.add(LimitPart.of(limits, loop::nowMillis, () -> loop.execute(view::tellSoon)));
+        availability = new UpstreamAvailability(directory, backoffs, limits);
+        view.add(LimitPart.of(limits, loop::nowMillis, () -> loop.execute(view::sendDigestsSoon)));
         view.add(clock);
         view.add(new CrashPart(crashes, random.nextLong()));
-        crashes.onNewEnd(() -> loop.execute(view::tellSoon));
-        quotas.onMuchUsed(() -> loop.execute(view::tellSoon));
+        crashes.onNewEnd(() -> loop.execute(view::sendDigestsSoon));
+        quotas.onMuchUnreported(() -> loop.execute(view::sendDigestsSoon));
         GatewayMember self = settings.self();
         regionMetrics =
                 topology.isOneRegion()
                         ? Optional.empty()
                         : Optional.of(new RegionMetrics(metrics.registry()));
-        mesh = new PeerMesh(loop, self, linksOf(), incarnation, view);
+        mesh = new PeerMesh(loop, self, linkTopology(), incarnation, view);
         mesh.seeds(settings.seeds().stream().map(HostPort::toString).toList());
         membership =
                 new Membership(
                         loop,
-                        counted(platform, Purpose.MEMBERS),
+                        countedStore(platform, Purpose.MEMBERS),
                         storeHealth,
                         mesh,
                         self,
@@ -209,13 +209,13 @@
         LeaderElection election =
                 new LeaderElection(
                         settings.timing().leaseMillis(),
-                        patience(random.nextLong(ELECTION_SPREAD_MILLIS)),
+                        electionDelay(random.nextLong(ELECTION_JITTER_MILLIS)),
                         2 * settings.timing().leaseMillis());
         duties =
                 new DutyRunner(
                         loop,
                         clock,
-                        counted(platform, Purpose.LEADERSHIP),
+                        countedStore(platform, Purpose.LEADERSHIP),
                         storeHealth,
                         platform.duties(),
                         usage,
@@ -225,12 +225,12 @@
                         settings.timing(),
                         random.split(),
                         metrics);
-        view.epochNews().tokens(duties::highestToken, duties::tokenReported);
+        view.epochUpdates().tokens(duties::highestToken, duties::tokenReported);
         crashRecords =
                 new CrashRecords(
                         loop,
                         clock,
-                        counted(platform, Purpose.CRASHES),
+                        countedStore(platform, Purpose.CRASHES),
                         storeHealth,
                         crashes,
                         duties::leads);
@@ -238,7 +238,7 @@
         rollouts =
                 new RolloutParts(
                         loop,
-                        counted(platform, Purpose.ROLLOUTS),
+                        countedStore(platform, Purpose.ROLLOUTS),
                         storeHealth,
                         random,
                         platform.format(),
@@ -254,7 +254,7 @@
                         loop,
                         platform.duties(),
                         duties,
-                        policies,
+                        policyManager,
                         directory,
                         view::load,
                         limits,
@@ -263,20 +263,20 @@
                         rollouts.manager()::isMoving,
                         mesh::isHub,
                         !settings.node().firstStart());
-        memory = memory(settings.limits());
+        memoryManager = memoryManager(settings.limits());
         ServingContext context =
                 new ServingContext(
                         loop,
                         clock,
                         platform.protocol(),
                         connector,
-                        new ConnectionShares(policies, mesh::size),
+                        new ConnectionShares(policyManager, mesh::size),
                         directory,
                         availability,
-                        rests,
+                        backoffs,
                         limits,
                         new UpstreamNotices(
-                                loop::nowMillis, directoryKeeper, rests, limits, metrics),
+                                loop::nowMillis, directoryManager, backoffs, limits, metrics),
                         loads,
                         new UpstreamSelector(
                                 topology,
@@ -287,46 +287,46 @@
                                 mesh::regionSize,
                                 List.of(limits.cost())),
                         quotas,
-                        new RetryBudgets(settings.retries(), view::entries),
+                        new RetryBudgets(settings.retries(), view::sharingProcesses),
                         usage,
                         demand,
                         engines,
                         rollouts.manager(),
-                        new ReturnTimes(policies, availability, loads, engines, random.split()),
+                        new RetryAfterEstimator(policyManager, availability, loads, engines, random.split()),
                         metrics,
                         view::oldestDigestMillis,
-                        memory,
+                        memoryManager,
                         crashes);
-        intake = new RequestIntake(context, policies, this::isInformed, random.split());
+        intake = new RequestIntake(context, policyManager, this::isStateKnown, random.split());
         crashes.onRefused(request -> loop.execute(() -> intake.stopCrashing(request)));
-        callers = new HttpServer(loop, bounds(RequestBounds.DEFAULTS), intake);
-        callers.memory(memory.account(), memory);
-        memory.unreadAnswers(callers::unreadAnswers);
+        callerServer = new HttpServer(loop, bounds(RequestBounds.DEFAULTS), intake);
+        callerServer.memory(memoryManager.account(), memoryManager);
+        memoryManager.unreadAnswers(callerServer::unreadAnswers);
         if (settings.limits().descriptors() > 0) {
-            callers.maxConnections(callerConnections(settings.limits().descriptors()));
+            callerServer.maxConnections(callerConnections(settings.limits().descriptors()));
         }
         ServerBounds inside = bounds(RequestBounds.DEFAULTS);
-        health = new HttpServer(loop, inside, this::answerReady);
-        figures = new HttpServer(loop, inside, this::answerFigures);
+        healthServer = new HttpServer(loop, inside, this::serveReadiness);
+        metricsServer = new HttpServer(loop, inside, this::serveMetrics);
         PlatformFormat format = platform.format();
         policyWatcher =
                 watcher(
-                        counted(platform, Purpose.POLICY),
+                        countedStore(platform, Purpose.POLICY),
                         random,
                         format.policyKey(),
                         0,
                         new PolicyListener());
         directoryWatcher =
                 watcher(
-                        counted(platform, Purpose.UPSTREAMS),
+                        countedStore(platform, Purpose.UPSTREAMS),
                         random,
                         format.upstreamPrefix(),
-                        DIRECTORY_PAUSE_MILLIS,
-                        directoryKeeper);
+                        DIRECTORY_WATCH_PAUSE_MILLIS,
+                        directoryManager);
         view.onMissedChange(directoryWatcher::relist);
         leaderWatcher =
                 watcher(
-                        counted(platform, Purpose.LEADERSHIP),
+                        countedStore(platform, Purpose.LEADERSHIP),
                         random,
                         DutyRunner.LEADER_PREFIX,
                         0,
@@ -339,19 +339,19 @@
      * @throws IOException if it cannot listen
      */
     public void start() throws IOException {
-        policies.onChange(this::policyChanged);
-        directoryKeeper.onLeaving(this::upstreamLeaves);
-        callers.start(settings.listen().callers());
-        health.start(settings.listen().health());
-        figures.start(settings.listen().metrics());
+        policyManager.onChange(this::policyChanged);
+        directoryManager.onLeaving(this::upstreamLeaving);
+        callerServer.start(settings.listen().callers());
+        healthServer.start(settings.listen().health());
+        metricsServer.start(settings.listen().metrics());
         mesh.start(settings.listen().peers());
         view.start(mesh, duties::leads);
-        loop.repeat(ClusterView.DIGEST_MILLIS, view::tick);
-        loop.repeat(FORGET_MILLIS, this::forgetGone);
-        loop.repeat(ROLE_MILLIS, this::followStore);
-        loop.repeat(STORE_USE_MILLIS, this::logStoreUse);
-        loop.repeat(MemoryKeeper.CHECK_MILLIS, memory::tick);
-        loop.repeat(CrashWatch.CHECK_INTERVAL_MILLIS, this::lookForCrashes);
+        loop.repeat(ClusterView.DIGEST_INTERVAL_MILLIS, view::tick);
+        loop.repeat(PRUNE_INTERVAL_MILLIS, this::pruneRemovedUpstreams);
+        loop.repeat(ROLE_CHECK_INTERVAL_MILLIS, this::updateStoreWatches);
+        loop.repeat(STORE_USE_LOG_INTERVAL_MILLIS, this::logStoreUse);
+        loop.repeat(MemoryManager.CHECK_INTERVAL_MILLIS, memoryManager::tick);
+        loop.repeat(CrashWatch.CHECK_INTERVAL_MILLIS, this::checkForCrashes);
         loop.execute(
                 () -> {
                     policyWatcher.restart();
@@ -370,10 +370,10 @@
                 .forEach(note -> DecisionLog.write(new Lifecycle("settings", "note", note)));
     }
 
-    private void forgetGone() {
-        loads.forgetGone(directory);
-        rests.forgetGone(directory, loop.nowMillis());
-        limits.forgetGone(directory, loop.nowMillis());
+    private void pruneRemovedUpstreams() {
+        loads.evictUnlisted(directory);
+        backoffs.evictUnlisted(directory, loop.nowMillis());
+        limits.evictOutdated(directory, loop.nowMillis());
     }
 
     /** Stops the process: it goes on serving until the balancer has left it out. */
@@ -394,30 +394,30 @@
                 });
     }
 
-    private TurnOrders turnOrders(String name) {
-        return new TurnOrders(
-                name, topology, () -> mesh.members(), () -> view.entries(), loop::nowMillis);
+    private SendSlotOrders turnOrders(String name) {
+        return new SendSlotOrders(
+                name, topology, () -> mesh.members(), () -> view.sharingProcesses(), loop::nowMillis);
     }
 
-    private MemoryKeeper memory(GatewaySettings.Limits limits) {
+    private MemoryManager memoryManager(GatewaySettings.Limits limits) {
         MemoryBudget budget =
                 MemoryBudget.of(limits.memoryBytes(), Runtime.getRuntime().maxMemory());
         MemoryAccount account = new MemoryAccount(budget);
-        return new MemoryKeeper(
+        return new MemoryManager(
                 account, new MemoryMetrics(metrics.registry()), loop::nowMillis, loop::execute);
     }
 
     /** Callers may keep part of the descriptors; the rest is for upstreams, peers and the store. */
     private static int callerConnections(int descriptors) {
-        int sockets = Math.max(0, descriptors - FILE_DESCRIPTORS);
-        return Math.max(1, sockets / CALLERS_OF * CALLERS_PART);
+        int sockets = Math.max(0, descriptors - RESERVED_FILE_DESCRIPTORS);
+        return Math.max(1, sockets / CALLER_SHARE_DENOMINATOR * CALLER_SHARE_NUMERATOR);
     }
 
     private void logMemoryBudget() {
         long limit = settings.limits().memoryBytes();
         String told = limit > 0 ? "limit of " + limit + " bytes" : "no limit known";
         String fits = MemoryBudget.fits(limit) ? "" : ", a conservative bound";
-        long budget = memory.account().budget().bytes();
+        long budget = memoryManager.account().budget().bytes();
         DecisionLog.write(new Lifecycle("memory", "budget", budget + " bytes; " + told + fits));
     }
 
@@ -425,7 +425,7 @@
      * What hubs tell of roll-outs is not summed up by region, so that where these are ordered all
      * hubs link to each other.
      */
-    private Topology linksOf() {
+    private Topology linkTopology() {
         boolean all = settings.rollouts().ordered() && !topology.isOneRegion();
         if (all) {
             DecisionLog.write(
@@ -435,15 +435,15 @@
     }
 
     /** Where there are several regions, those near the store ask first. */
-    private LongSupplier patience(long spreadMillis) {
-        long own = ELECTION_PATIENCE_MILLIS + spreadMillis;
-        return topology.isOneRegion() ? () -> own : () -> own + storePatience.extraMillis();
+    private LongSupplier electionDelay(long spreadMillis) {
+        long own = ELECTION_DELAY_MILLIS + spreadMillis;
+        return topology.isOneRegion() ? () -> own : () -> own + storeDelay.extraMillis();
     }
 
-    private CoordinationStore counted(PlatformAdapter platform, Purpose purpose) {
+    private CoordinationStore countedStore(PlatformAdapter platform, Purpose purpose) {
         CoordinationStore store = new SameHistoryStore(platform.store(), storeHealth.history());
         return new CountedStore(
-                store, storeCalls, purpose, loop::nowMillis, storePatience::answered);
+                store, storeCalls, purpose, loop::nowMillis, storeDelay::answered);
     }
 
     private StoreWatcher watcher(
@@ -462,54 +462,54 @@
     }
 
     private void policyChanged(ServingPolicy policy) {
-        quotas.policy(policy, loop.nowMillis());
-        callers.bounds(bounds(policy.bounds()));
+        quotas.applyPolicy(policy, loop.nowMillis());
+        callerServer.bounds(bounds(policy.bounds()));
     }
 
     /** A lost upstream says nothing, so streams that have been silent leave it at once. */
-    private void upstreamLeaves(Upstream upstream) {
+    private void upstreamLeaving(Upstream upstream) {
         if (directory.isLeaving(upstream.id())) {
             crashes.announcedLeaving(upstream);
         }
         if (!upstream.draining()) {
-            intake.lost(upstream, LOST_SILENT_MILLIS);
+            intake.upstreamLost(upstream, LOST_UNRESPONSIVE_MILLIS);
             if (!directory.isLeaving(upstream.id())) {
                 crashes.upstreamLost(upstream);
             }
-        } else if (upstream.leavesMillis() > 0) {
-            long notice = Math.max(0, upstream.leavesMillis() - END_MARGIN_MILLIS);
-            loop.schedule(notice, () -> intake.moveAway(upstream));
+        } else if (upstream.leavesInMillis() > 0) {
+            long notice = Math.max(0, upstream.leavesInMillis() - END_MARGIN_MILLIS);
+            loop.schedule(notice, () -> intake.upstreamEnding(upstream));
         }
     }
 
-    private boolean isInformed() {
-        boolean recordsKnown = (rollouts.isKnown() && crashRecords.isLoaded()) || peersHaveTold();
-        return policies.version() > 0 && directoryKeeper.isKnown() && recordsKnown;
+    private boolean isStateKnown() {
+        boolean recordsKnown = (rollouts.isKnown() && crashRecords.isLoaded()) || isStoreGraceOver();
+        return policyManager.version() > 0 && directoryManager.isKnown() && recordsKnown;
     }
 
     /** What the store does not tell soon after the start is taken from peers. */
-    private boolean peersHaveTold() {
-        return loop.nowMillis() - startedMillis >= PEERS_FIRST_MILLIS;
+    private boolean isStoreGraceOver() {
+        return loop.nowMillis() - startedMillis >= STORE_GRACE_MILLIS;
     }
 
     private boolean isReady() {
-        return !stopping && (policyWatcher.isComplete() || peersHaveTold()) && isInformed();
+        return !stopping && (policyWatcher.isComplete() || isStoreGraceOver()) && isStateKnown();
     }
 
-    private void answerReady(ServerExchange exchange) {
-        exchange.respond(isReady() ? OK : UNAVAILABLE, HeaderList.EMPTY, NO_BYTES);
+    private void serveReadiness(ServerExchange exchange) {
+        exchange.respond(isReady() ? OK : UNAVAILABLE, HeaderList.EMPTY, EMPTY_BODY);
     }
 
-    private void lookForCrashes() {
-        boolean sound = storeHealth.isReachable() && !directoryKeeper.awaitsReappearance();
+    private void checkForCrashes() {
+        boolean sound = storeHealth.isReachable() && !directoryManager.awaitsReappearance();
         crashes.check(directory.all(), sound);
     }
 
-    private void answerFigures(ServerExchange exchange) {
+    private void serveMetrics(ServerExchange exchange) {
         if (crashPages.handle(exchange)) {
             return;
         }
-        tellState();
+        updateMetrics();
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         try {
             PrometheusTextFormatWriter.create().write(text, metrics.registry().scrape());
@@ -521,27 +521,27 @@
     }
 
     /** What a hub tells in time is not asked of the store as well. */
-    private void followStore() {
-        boolean before = fed;
-        fed = view.isFed(before);
-        if (fed != before) {
-            String how = fed ? "told by peers" : "followed";
+    private void updateStoreWatches() {
+        boolean before = fedByPeers;
+        fedByPeers = view.isFed(before);
+        if (fedByPeers != before) {
+            String how = fedByPeers ? "told by peers" : "followed";
             DecisionLog.write(new Lifecycle("policy and upstreams", how, ""));
         }
         for (StoreWatcher watcher : List.of(policyWatcher, directoryWatcher)) {
-            if (fed && watcher.isRunning()) {
+            if (fedByPeers && watcher.isRunning()) {
                 watcher.stop();
-            } else if (!fed && !watcher.isRunning()) {
+            } else if (!fedByPeers && !watcher.isRunning()) {
                 watcher.restart();
             }
         }
         // a leader, which is a hub, writes records under the revision that it has read itself
-        rollouts.follow(fed && !mesh.isHub());
-        followLeader();
+        rollouts.follow(fedByPeers && !mesh.isHub());
+        updateLeaderWatch();
     }
 
     /** Hubs alone look after leadership, so that a lost leader is not followed by all at once. */
-    private void followLeader() {
+    private void updateLeaderWatch() {
         boolean follows = mesh.isHub() && mesh.isPlanned();
         if (follows && !leaderWatcher.isRunning()) {
             leaderWatcher.restart();
@@ -550,29 +550,29 @@
         }
     }
 
-    private void tellState() {
+    private void updateMetrics() {
         regionMetrics.ifPresent(
                 figures ->
-                        figures.state(
+                        figures.update(
                                 mesh::sentBytes,
                                 view.regions().ages(loop.nowMillis()),
                                 topology.otherRegions(),
-                                view.regions().isSpeaking()));
-        memory.tellState(callers.refused());
-        metrics.list(
+                                view.regions().isRepresentative()));
+        memoryManager.recordState(callerServer.refused());
+        metrics.upstreamList(
                 storeHealth.history().epoch(),
-                directoryKeeper.revision(),
-                directoryKeeper.ageMillis());
-        metrics.unusableEntries(directoryKeeper.unusable());
-        metrics.resting(rests.count(loop.nowMillis()));
+                directoryManager.revision(),
+                directoryManager.ageMillis());
+        metrics.unusableEntries(directoryManager.unusable());
+        metrics.backingOff(backoffs.count(loop.nowMillis()));
         metrics.limited(limits.count(directory.all()));
-        policies.policy()
-                .ifPresent(policy -> policy.services().forEach(spec -> tellUpstreams(spec.name())));
+        policyManager.policy()
+                .ifPresent(policy -> policy.services().forEach(spec -> updateServiceMetrics(spec.name())));
         metrics.state(
-                policies.version(),
+                policyManager.version(),
                 directory.all().size(),
-                view.heardPeers(),
-                view.entries(),
+                view.respondingPeers(),
+                view.sharingProcesses(),
                 intake.open(),
                 duties.leads(),
                 connector.opened());
@@ -585,7 +585,7 @@
         }
     }
 
-    private void tellUpstreams(String service) {
+    private void updateServiceMetrics(String service) {
         metrics.upstreams(service, engines.estimate(service, loop.nowMillis()));
     }
 
@@ -597,27 +597,27 @@
         DecisionLog.write(new Lifecycle("process", "stopping", intake.open() + " in flight"));
         view.draining();
         duties.stop();
-        callers.closing();
+        callerServer.closing();
         long begun = loop.nowMillis();
-        loop.repeat(STOP_CHECK_MILLIS, () -> checkStopped(begun));
+        loop.repeat(STOP_CHECK_INTERVAL_MILLIS, () -> checkStopped(begun));
     }
 
     private void checkStopped(long begunMillis) {
         long since = loop.nowMillis() - begunMillis;
-        if (since >= LEAST_DRAIN_MILLIS) {
-            callers.stopListening();
+        if (since >= MIN_DRAIN_MILLIS) {
+            callerServer.stopListening();
             intake.refuseNew();
-            callers.closeResting();
+            callerServer.closeResting();
         }
-        boolean idle = since >= LEAST_DRAIN_MILLIS && callers.open() == 0;
+        boolean idle = since >= MIN_DRAIN_MILLIS && callerServer.open() == 0;
         boolean late = since >= settings.timing().graceMillis() - END_MARGIN_MILLIS;
         if (idle || late) {
             intake.stopAll();
-            view.tellPeers();
+            view.sendDigests();
             membership.stop();
             logStoreUse();
             DecisionLog.write(new Lifecycle("process", "stopped", "after " + since + " ms"));
-            loop.schedule(STOP_CHECK_MILLIS, onStopped);
+            loop.schedule(STOP_CHECK_INTERVAL_MILLIS, onStopped);
         }
     }
 
@@ -633,7 +633,7 @@
             if (item.gone()) {
                 Logger.warn("the policy is gone from the store; the one in force is kept");
             } else {
-                policies.offer(item.value(), "store");
+                policyManager.offer(item.value(), "store");
             }
         }
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/GatewayMetrics.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/GatewayMetrics.java
@@ -20,7 +20,7 @@
 import io.prometheus.metrics.core.metrics.Histogram;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import io.trailladder.core.engine.EngineEstimate;
-import io.trailladder.core.rollout.AnswerSort;
+import io.trailladder.core.rollout.AnswerRating;
 import java.util.Locale;
 
 /**
@@ -33,10 +33,10 @@
  * @since 0.2
  */
 public final class GatewayMetrics {
-    private static final double[] SECONDS = {
+    private static final double[] BUCKETS_SECONDS = {
         0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 2.4, 5, 10, 30
     };
-    private static final double MILLIS = 1000.0;
+    private static final double MILLIS_PER_SECOND = 1000.0;
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private final Counter requests =
@@ -75,7 +75,7 @@
                     .register(registry);
     private final Histogram firstAnswer =
             histogram("trailladder_first_answer_seconds", "Time to the first byte of the answer");
-    private final Histogram wholeAnswer =
+    private final Histogram completeAnswer =
             histogram("trailladder_request_seconds", "Time to the whole answer");
     private final Gauge policyVersion = gauge("trailladder_policy_version", "Policy in force");
     private final Gauge upstreams = gauge("trailladder_upstreams", "Upstreams listed");
@@ -104,7 +104,7 @@
             gauge(
                     "trailladder_upstreams_limited",
                     "Upstreams that name how many requests they take");
-    private final Gauge resting =
+    private final Gauge backingOff =
             gauge("trailladder_upstreams_resting", "Upstreams that asked this process for rest");
 
     private final Gauge refusedRequests =
@@ -182,9 +182,9 @@
      * @param outcome how it ended
      * @param millis how long it took, in milliseconds
      */
-    public void ended(String organisation, String service, String outcome, long millis) {
+    public void requestEnded(String organisation, String service, String outcome, long millis) {
         requests.labelValues(organisation, service, outcome).inc();
-        wholeAnswer.labelValues(organisation, service).observe(millis / MILLIS);
+        completeAnswer.labelValues(organisation, service).observe(millis / MILLIS_PER_SECOND);
     }
 
     /**
@@ -195,7 +195,7 @@
      * @param millis time since the request was accepted, in milliseconds
      */
     public void firstAnswer(String organisation, String service, long millis) {
-        firstAnswer.labelValues(organisation, service).observe(millis / MILLIS);
+        firstAnswer.labelValues(organisation, service).observe(millis / MILLIS_PER_SECOND);
     }
 
     /**
@@ -215,7 +215,7 @@
      * @param version the version of the upstream that gave it
      * @param sort what it says of the version
      */
-    public void versionAnswered(String service, String version, AnswerSort sort) {
+    public void versionAnswered(String service, String version, AnswerRating sort) {
         versionAnswers.labelValues(service, version, sort.name().toLowerCase(Locale.ROOT)).inc();
     }
 
@@ -277,10 +277,10 @@
      * @param revision the list's revision
      * @param ageMillis time since it was last shown to be current, in milliseconds
      */
-    public void list(long epoch, long revision, long ageMillis) {
+    public void upstreamList(long epoch, long revision, long ageMillis) {
         storeEpoch.set((double) epoch);
         listRevision.set((double) revision);
-        listAge.set(ageMillis / MILLIS);
+        listAge.set(ageMillis / MILLIS_PER_SECOND);
     }
 
     /**
@@ -306,8 +306,8 @@
      *
      * @param count how many
      */
-    public void resting(int count) {
-        resting.set(count);
+    public void backingOff(int count) {
+        backingOff.set(count);
     }
 
     /**
@@ -328,8 +328,8 @@
      * @param estimate what is believed
      */
     public void upstreams(String service, EngineEstimate estimate) {
-        readingSpeed.labelValues(service).set(MILLIS / estimate.millisPerToken());
-        runSeconds.labelValues(service).set(estimate.runMillis() / MILLIS);
+        readingSpeed.labelValues(service).set(MILLIS_PER_SECOND / estimate.millisPerToken());
+        runSeconds.labelValues(service).set(estimate.runMillis() / MILLIS_PER_SECOND);
         observations.labelValues(service).set(estimate.observations());
     }
 
@@ -352,7 +352,7 @@
                 .name(name)
                 .help(help)
                 .labelNames("organisation", "service")
-                .classicUpperBounds(SECONDS)
+                .classicUpperBounds(BUCKETS_SECONDS)
                 .classicOnly()
                 .register(registry);
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/GatewaySettings.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/GatewaySettings.java
@@ -51,10 +51,10 @@
         Regions regions,
         List<String> notes) {
     /** Processor of a process whose settings do not tell it, in cores. */
-    public static final double USUAL_CORES = 1;
+    public static final double DEFAULT_CORES = 1;
 
     /** Bandwidth of a process whose settings do not tell it, in megabits a second. */
-    public static final double USUAL_LINK_MBPS = 1_000;
+    public static final double DEFAULT_LINK_MBPS = 1_000;
 
     /** Copies the lists. */
     public GatewaySettings {
@@ -133,7 +133,7 @@
          * @param firstStart true only if the whole installation starts for the first time
          */
         public Node(String name, String dataCentre, boolean firstStart) {
-            this(name, dataCentre, firstStart, USUAL_CORES, USUAL_LINK_MBPS);
+            this(name, dataCentre, firstStart, DEFAULT_CORES, DEFAULT_LINK_MBPS);
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderTokens.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderTokens.java
@@ -102,7 +102,7 @@
         long step = FIRST_RAISE_STEP << Math.min(raises, MAX_DOUBLINGS);
         raises++;
         // random, so that two leaders that do not know of each other take different tokens
-        election.raise(before + step + random.nextLong(step));
+        election.raiseToken(before + step + random.nextLong(step));
         DecisionLog.write(
                 new Lifecycle("token", "raised", "from " + before + " to " + election.token()));
         record();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryKeeper.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryManager.java
@@ -16,7 +16,7 @@
 package io.trailladder.entry.gateway;
 
 import io.trailladder.core.memory.AnswerChoice;
-import io.trailladder.core.memory.HeldKind;
+import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.memory.MemoryLevel;
 import io.trailladder.core.memory.WaitingAnswer;
@@ -37,24 +37,24 @@
  *
  * @since 0.2
  */
-public final class MemoryKeeper implements UnreadAnswers {
+public final class MemoryManager implements UnreadAnswers {
     /** How often room is made while the process is pressed, in milliseconds. */
-    public static final long CHECK_MILLIS = 250;
+    public static final long CHECK_INTERVAL_MILLIS = 250;
 
     /**
      * An answer above its bound whose caller took nothing for this long, in milliseconds, is ended:
      * a stream that can be resumed at any level, another in a pressed process. One that reads on is
      * delivered, however large, while there is memory; a pressed process ends such streams as well.
      */
-    private static final long STALLED_MILLIS = 1_000;
+    private static final long STALL_TIMEOUT_MILLIS = 1_000;
 
     /** Part of the usual bound that is held back of an answer in a pressed process. */
-    private static final int PRESSED_PART = 4;
+    private static final int PRESSED_DIVISOR = 4;
 
     private final MemoryAccount account;
     private final MemoryMetrics metrics;
     private final LongSupplier nowMillis;
-    private final Consumer<Runnable> later;
+    private final Consumer<Runnable> deferred;
     private Supplier<List<ServerExchange>> unread = List::of;
 
     /** Why an answer was ended before its caller had all of it. */
@@ -77,7 +77,7 @@
      * @param nowMillis the time, in milliseconds
      * @param later runs a task after what is being done now
      */
-    public MemoryKeeper(
+    public MemoryManager(
             MemoryAccount account,
             MemoryMetrics metrics,
             LongSupplier nowMillis,
@@ -85,8 +85,8 @@
         this.account = account;
         this.metrics = metrics;
         this.nowMillis = nowMillis;
-        this.later = later;
-        account.onLevel(this::levelChanged);
+        this.deferred = later;
+        account.setLevelListener(this::levelChanged);
     }
 
     /**
@@ -113,17 +113,17 @@
      * @param bytes what it announces
      * @return false if it is to be refused, before it has run
      */
-    public boolean hasRoom(long bytes) {
-        boolean room = account.hasRoom(bytes);
+    public boolean hasCapacity(long bytes) {
+        boolean room = account.hasCapacity(bytes);
         if (!room) {
-            metrics.refused();
+            metrics.requestRefused();
         }
         return room;
     }
 
     /** Counts a request that was refused while its body was read. */
-    public void refusedWhileRead() {
-        metrics.refused();
+    public void countRefusedWhileReading() {
+        metrics.requestRefused();
     }
 
     /**
@@ -131,17 +131,17 @@
      *
      * @return bytes
      */
-    public long answerBytes() {
+    public long maxBufferedAnswerBytes() {
         long bound = account.budget().answerBytes();
-        return account.level() == MemoryLevel.CALM ? bound : bound / PRESSED_PART;
+        return account.level() == MemoryLevel.CALM ? bound : bound / PRESSED_DIVISOR;
     }
 
     /** Makes room if the process needs it; to be called again and again. */
     public void tick() {
         if (account.level() == MemoryLevel.FULL) {
-            makeRoom();
+            freeMemory();
         } else if (account.level() == MemoryLevel.PRESSED) {
-            endStalled();
+            cutStalled();
         }
     }
 
@@ -150,7 +150,7 @@
      *
      * @param refusedConnections connections closed unread since the start
      */
-    public void tellState(long refusedConnections) {
+    public void recordState(long refusedConnections) {
         metrics.state(account, refusedConnections);
     }
 
@@ -159,9 +159,9 @@
         if (!exchange.answerOwner().resumable() || exchange.isCut()) {
             return;
         }
-        boolean stalled = exchange.unreadMillis(nowMillis.getAsLong()) >= STALLED_MILLIS;
+        boolean stalled = exchange.unreadMillis(nowMillis.getAsLong()) >= STALL_TIMEOUT_MILLIS;
         if (stalled || account.level() != MemoryLevel.CALM) {
-            later.accept(() -> cutIfHeld(exchange));
+            deferred.accept(() -> cutIfUnread(exchange));
         }
     }
 
@@ -178,7 +178,7 @@
      */
     public void cut(ServerExchange exchange, CutReason reason) {
         if (!exchange.isCut()) {
-            metrics.cut(reason);
+            metrics.answerCut(reason);
             DecisionLog.write(
                     new AnswerCut(
                             exchange.answerOwner().id(),
@@ -193,13 +193,13 @@
     }
 
     /** Between the decision and now its caller may have read all of it. */
-    private void cutIfHeld(ServerExchange exchange) {
+    private void cutIfUnread(ServerExchange exchange) {
         if (exchange.unreadBytes() > 0 && !exchange.isCut()) {
             cut(exchange, CutReason.OVER_BOUND);
         }
     }
 
-    private void makeRoom() {
+    private void freeMemory() {
         List<ServerExchange> held = unread.get();
         List<WaitingAnswer> waiting = new ArrayList<>(held.size());
         for (ServerExchange exchange : held) {
@@ -210,17 +210,17 @@
                             exchange.unreadBytes(),
                             exchange.answerOwner().resumable()));
         }
-        long needed = account.total() - account.budget().roomFrom();
-        for (WaitingAnswer chosen : AnswerChoice.toEnd(waiting, needed)) {
+        long needed = account.total() - account.budget().fullUntil();
+        for (WaitingAnswer chosen : AnswerChoice.answersToEnd(waiting, needed)) {
             cut(held.get(chosen.key()), CutReason.NO_ROOM);
         }
     }
 
-    private void endStalled() {
+    private void cutStalled() {
         long now = nowMillis.getAsLong();
         for (ServerExchange exchange : unread.get()) {
             boolean above = exchange.unreadBytes() > account.budget().answerBytes();
-            if (above && exchange.unreadMillis(now) >= STALLED_MILLIS) {
+            if (above && exchange.unreadMillis(now) >= STALL_TIMEOUT_MILLIS) {
                 cut(exchange, CutReason.OVER_BOUND);
             }
         }
@@ -236,15 +236,15 @@
                                 + " of "
                                 + account.budget().bytes()
                                 + " bytes: requests "
-                                + account.held(HeldKind.REQUESTS)
+                                + account.reserved(ReservationKind.REQUESTS)
                                 + ", answers parsed "
-                                + account.held(HeldKind.ANSWERS_PARSED)
+                                + account.reserved(ReservationKind.ANSWERS_PARSED)
                                 + ", answers waiting "
-                                + account.held(HeldKind.ANSWERS_WAITING)
+                                + account.reserved(ReservationKind.ANSWERS_WAITING)
                                 + "; was "
                                 + before.name().toLowerCase(Locale.ROOT)));
         if (now == MemoryLevel.FULL) {
-            later.accept(this::tick);
+            deferred.accept(this::tick);
         }
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryMetrics.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryMetrics.java
@@ -18,7 +18,7 @@
 import io.prometheus.metrics.core.metrics.Counter;
 import io.prometheus.metrics.core.metrics.Gauge;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
-import io.trailladder.core.memory.HeldKind;
+import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.memory.MemoryLevel;
 import java.util.Locale;
@@ -29,13 +29,13 @@
  * @since 0.2
  */
 public final class MemoryMetrics {
-    private final Gauge held;
+    private final Gauge reserved;
     private final Gauge peak;
     private final Gauge budget;
     private final Gauge level;
     private final Gauge connections;
-    private final Counter cut;
-    private final Counter refused;
+    private final Counter answerCut;
+    private final Counter requestRefused;
 
     /**
      * Creates the figures.
@@ -43,7 +43,7 @@
      * @param registry where they are exposed
      */
     public MemoryMetrics(PrometheusRegistry registry) {
-        held =
+        reserved =
                 Gauge.builder()
                         .name("trailladder_held_bytes")
                         .help("Bytes held for callers and upstreams by kind")
@@ -70,13 +70,13 @@
                         .name("trailladder_connections_refused")
                         .help("Callers' connections closed unread because all others were busy")
                         .register(registry);
-        cut =
+        answerCut =
                 Counter.builder()
                         .name("trailladder_answers_cut_total")
                         .help("Answers ended because their callers did not read them, by reason")
                         .labelNames("reason")
                         .register(registry);
-        refused =
+        requestRefused =
                 Counter.builder()
                         .name("trailladder_refused_no_room_total")
                         .help("Requests refused before they ran because there was no room")
@@ -88,13 +88,13 @@
      *
      * @param reason why
      */
-    public void cut(MemoryKeeper.CutReason reason) {
-        cut.labelValues(reason.name().toLowerCase(Locale.ROOT)).inc();
+    public void answerCut(MemoryManager.CutReason reason) {
+        answerCut.labelValues(reason.name().toLowerCase(Locale.ROOT)).inc();
     }
 
     /** Counts a request that was refused. */
-    public void refused() {
-        refused.inc();
+    public void requestRefused() {
+        requestRefused.inc();
     }
 
     /**
@@ -105,8 +105,8 @@
      */
     public void state(MemoryAccount account, long refusedConnections) {
         connections.set((double) refusedConnections);
-        for (HeldKind kind : HeldKind.values()) {
-            held.labelValues(kind.name().toLowerCase(Locale.ROOT)).set((double) account.held(kind));
+        for (ReservationKind kind : ReservationKind.values()) {
+            reserved.labelValues(kind.name().toLowerCase(Locale.ROOT)).set((double) account.reserved(kind));
         }
         for (MemoryLevel one : MemoryLevel.values()) {
             level.labelValues(one.name().toLowerCase(Locale.ROOT))
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Quotas.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Quotas.java
@@ -36,50 +36,50 @@
  * @since 0.2
  */
 public final class Quotas {
-    private static final double FILLED_AFTER_RESTART = 0.6;
+    private static final double RESTART_LEVEL_RATIO = 0.6;
 
     /**
      * Part of the tolerance that is used, so that what peers tell late refuses nobody within the
      * limit. The rest is for processes that hear nobody.
      */
-    private static final double TOLERANCE_USED = 0.1;
+    private static final double TOLERANCE_RATIO = 0.1;
 
     /**
      * Part of an organisation's burst that a process lets pass before it tells its peers out of
      * turn. Each process grants from what it knows, so that together they let pass what is asked
      * between two digests.
      */
-    private static final double MUCH_PART = 0.05;
+    private static final double EARLY_REPORT_RATIO = 0.05;
 
     /**
      * Most bursts that a process lets pass between two digests: what was saved, and the tolerance.
      */
-    private static final double MOST_AT_ONCE = 2;
+    private static final double MAX_BURSTS_PER_DIGEST = 2;
 
-    private static final int MOST_REMEMBERED = 50_000;
+    private static final int MAX_REMEMBERED_USES = 50_000;
 
     private final boolean firstStart;
     private final GatewaySettings.Tolerance tolerance;
     private final Map<String, QuotaBucket> buckets = new HashMap<>();
-    private Runnable onMuchUsed = () -> {};
+    private Runnable onMuchUnreported = () -> {};
 
     /** What was told last, by life and organisation; lives of processes long gone fall out. */
-    private final Map<String, Double> seen = new RecentMap<>(MOST_REMEMBERED);
+    private final Map<String, Double> lastReported = new RecentMap<>(MAX_REMEMBERED_USES);
 
     /**
      * Lives that have told of their use before, so that what they do not name is used for nothing.
      */
-    private final Set<String> heard = Collections.newSetFromMap(new RecentMap<>(MOST_REMEMBERED));
+    private final Set<String> knownIncarnations = Collections.newSetFromMap(new RecentMap<>(MAX_REMEMBERED_USES));
 
-    private final Map<String, Double> ofLeaves = new RecentMap<>(MOST_REMEMBERED);
-    private final Map<String, Double> told = new HashMap<>();
+    private final Map<String, Double> usedByLeaf = new RecentMap<>(MAX_REMEMBERED_USES);
+    private final Map<String, Double> reportedByThis = new HashMap<>();
 
     /** What other regions have let pass, by organisation. */
-    private final Map<String, Double> ofRegions = new HashMap<>();
+    private final Map<String, Double> usedByOtherRegions = new HashMap<>();
 
     /** What is told of one organisation: all units, and the part that was told before. */
-    private record Told(double used, double before) {
-        static Told all(double used) {
+    private record Told(double used, double reportedBefore) {
+        static Told allReportedBefore(double used) {
             return new Told(used, used);
         }
     }
@@ -101,9 +101,9 @@
      * @param policy the policy
      * @param nowMillis the time
      */
-    public void policy(ServingPolicy policy, long nowMillis) {
+    public void applyPolicy(ServingPolicy policy, long nowMillis) {
         for (OrganisationSpec organisation : policy.organisations()) {
-            RateSpec limit = lenient(organisation.limit());
+            RateSpec limit = withTolerance(organisation.limit());
             QuotaBucket known = buckets.get(organisation.name());
             if (known == null) {
                 double level = firstStart ? limit.burst() : levelAfterRestart(limit);
@@ -129,8 +129,8 @@
             return 0;
         }
         long wait = bucket.tryTake(units, nowMillis);
-        if (wait == 0 && bucket.isMuch(untold(organisation, bucket), MUCH_PART)) {
-            onMuchUsed.run();
+        if (wait == 0 && bucket.isLargePart(unreported(organisation, bucket), EARLY_REPORT_RATIO)) {
+            onMuchUnreported.run();
         }
         return wait;
     }
@@ -140,12 +140,12 @@
      *
      * @param told runs then, with each further request until peers are told
      */
-    public void onMuchUsed(Runnable told) {
-        onMuchUsed = told;
+    public void onMuchUnreported(Runnable told) {
+        onMuchUnreported = told;
     }
 
-    private double untold(String organisation, QuotaBucket bucket) {
-        return bucket.used() - told.getOrDefault(organisation, 0.0);
+    private double unreported(String organisation, QuotaBucket bucket) {
+        return bucket.used() - reportedByThis.getOrDefault(organisation, 0.0);
     }
 
     /**
@@ -154,10 +154,10 @@
      * @param organisation the organisation
      * @param units the request's size
      */
-    public void giveBack(String organisation, double units) {
+    public void returnUnits(String organisation, double units) {
         QuotaBucket bucket = buckets.get(organisation);
         if (bucket != null) {
-            bucket.giveBack(units);
+            bucket.returnUnits(units);
         }
     }
 
@@ -167,9 +167,9 @@
      *
      * @param life names the life of the process
      */
-    public void beginAnew(String life) {
-        seen.keySet().removeIf(key -> key.startsWith(life + '/'));
-        heard.remove(life);
+    public void resetIncarnation(String life) {
+        lastReported.keySet().removeIf(key -> key.startsWith(life + '/'));
+        knownIncarnations.remove(life);
     }
 
     /**
@@ -181,11 +181,11 @@
      * @param uses what was let pass since that life began
      * @param nowMillis the time
      */
-    public void peerUsed(String life, List<OrganisationUse> uses, long nowMillis) {
+    public void recordPeerUse(String life, List<OrganisationUse> uses, long nowMillis) {
         for (OrganisationUse use : uses) {
-            peerUsed(life, use, nowMillis);
+            recordPeerUse(life, use, nowMillis);
         }
-        heard.add(life);
+        knownIncarnations.add(life);
     }
 
     /**
@@ -195,24 +195,24 @@
      * @param uses what was let pass since that life began
      * @param nowMillis the time
      */
-    public void regionUsed(String life, List<OrganisationUse> uses, long nowMillis) {
+    public void recordRegionUse(String life, List<OrganisationUse> uses, long nowMillis) {
         for (OrganisationUse use : uses) {
-            double units = peerUsed(life, use, nowMillis);
-            ofRegions.merge(use.organisation(), units, Double::sum);
+            double units = recordPeerUse(life, use, nowMillis);
+            usedByOtherRegions.merge(use.organisation(), units, Double::sum);
         }
-        heard.add(life);
+        knownIncarnations.add(life);
     }
 
-    private double peerUsed(String life, OrganisationUse use, long nowMillis) {
+    private double recordPeerUse(String life, OrganisationUse use, long nowMillis) {
         QuotaBucket bucket = buckets.get(use.organisation());
         if (bucket == null) {
             return 0;
         }
-        if (!seen.containsKey(key(life, use))) {
+        if (!lastReported.containsKey(key(life, use))) {
             if (isFirstUse(life, use, bucket)) {
-                seen.put(key(life, use), 0.0);
+                lastReported.put(key(life, use), 0.0);
             } else {
-                bucket.atMost(use.level(), nowMillis);
+                bucket.capLevel(use.level(), nowMillis);
             }
         }
         double units = increase(life, use);
@@ -224,7 +224,7 @@
      * More than the limit gives at once was used for longer, and its figure has fallen out here.
      */
     private boolean isFirstUse(String life, OrganisationUse use, QuotaBucket bucket) {
-        return heard.contains(life) && !bucket.isMuch(use.used(), MOST_AT_ONCE);
+        return knownIncarnations.contains(life) && !bucket.isLargePart(use.used(), MAX_BURSTS_PER_DIGEST);
     }
 
     /**
@@ -234,13 +234,13 @@
      * @param uses what it let pass since its start
      * @param nowMillis the time
      */
-    public void leafUsed(String life, List<OrganisationUse> uses, long nowMillis) {
+    public void recordLeafUse(String life, List<OrganisationUse> uses, long nowMillis) {
         for (OrganisationUse use : uses) {
             QuotaBucket bucket = buckets.get(use.organisation());
             if (bucket != null) {
                 double units = increase(life, use);
                 bucket.takenByLeaf(units, nowMillis);
-                ofLeaves.merge(key(life, use), units, Double::sum);
+                usedByLeaf.merge(key(life, use), units, Double::sum);
             }
         }
     }
@@ -261,8 +261,8 @@
      * @param part the least part of each that is this process's own, above 0, at most 1
      * @param nowMillis the time
      */
-    public void othersGoOn(double part, long nowMillis) {
-        buckets.values().forEach(bucket -> bucket.othersGoOn(part, nowMillis));
+    public void assumeOthersContinue(double part, long nowMillis) {
+        buckets.values().forEach(bucket -> bucket.assumeOthersActive(part, nowMillis));
     }
 
     /**
@@ -270,8 +270,8 @@
      *
      * @param nowMillis the time
      */
-    public void othersWentOn(long nowMillis) {
-        buckets.values().forEach(bucket -> bucket.othersWentOn(nowMillis));
+    public void othersReceivedAgain(long nowMillis) {
+        buckets.values().forEach(bucket -> bucket.othersWereActive(nowMillis));
     }
 
     /**
@@ -284,7 +284,7 @@
         return uses(
                 nowMillis,
                 (name, bucket) -> {
-                    Double before = told.put(name, bucket.used());
+                    Double before = reportedByThis.put(name, bucket.used());
                     return new Told(bucket.used(), before == null ? 0 : before);
                 });
     }
@@ -299,8 +299,8 @@
         return uses(
                 nowMillis,
                 (name, bucket) -> {
-                    told.put(name, bucket.used());
-                    return Told.all(bucket.usedByGroup());
+                    reportedByThis.put(name, bucket.used());
+                    return Told.allReportedBefore(bucket.usedByGroup());
                 });
     }
 
@@ -313,7 +313,7 @@
     public List<OrganisationUse> regionUses(long nowMillis) {
         return uses(
                 nowMillis,
-                (name, bucket) -> Told.all(bucket.usedByAll() - ofRegions.getOrDefault(name, 0.0)));
+                (name, bucket) -> Told.allReportedBefore(bucket.usedByAll() - usedByOtherRegions.getOrDefault(name, 0.0)));
     }
 
     /**
@@ -323,12 +323,12 @@
      * @param nowMillis the time
      * @return the use of limited organisations
      */
-    public List<OrganisationUse> restUses(String leafLife, long nowMillis) {
+    public List<OrganisationUse> usesWithoutLeaf(String leafLife, long nowMillis) {
         return uses(
                 nowMillis,
                 (name, bucket) -> {
-                    double ofLeaf = ofLeaves.getOrDefault(leafLife + '/' + name, 0.0);
-                    return Told.all(bucket.usedByAll() - ofLeaf);
+                    double ofLeaf = usedByLeaf.getOrDefault(leafLife + '/' + name, 0.0);
+                    return Told.allReportedBefore(bucket.usedByAll() - ofLeaf);
                 });
     }
 
@@ -349,7 +349,7 @@
     }
 
     private double increase(String life, OrganisationUse use) {
-        Double before = seen.put(key(life, use), use.used());
+        Double before = lastReported.put(key(life, use), use.used());
         return use.used() - (before == null ? use.toldBefore() : before);
     }
 
@@ -367,25 +367,25 @@
                             new OrganisationUse(
                                     name,
                                     figure.used(),
-                                    figure.before(),
-                                    bucket.levelOfAll(nowMillis)));
+                                    figure.reportedBefore(),
+                                    bucket.totalLevel(nowMillis)));
                 });
         return uses;
     }
 
     /** Nobody may know what was used before all processes restarted at once, perhaps twice. */
     private static double levelAfterRestart(RateSpec limit) {
-        return Math.min(limit.perSecond(), limit.burst() * FILLED_AFTER_RESTART);
+        return Math.min(limit.perSecond(), limit.burst() * RESTART_LEVEL_RATIO);
     }
 
     /** Uses a part of the tolerance. */
-    private RateSpec lenient(RateSpec limit) {
+    private RateSpec withTolerance(RateSpec limit) {
         if (!limit.limited()) {
             return limit;
         }
         return new RateSpec(
-                limit.perSecond() * (1 + TOLERANCE_USED * tolerance.ratio()),
-                limit.burst() + TOLERANCE_USED * tolerance.units(),
+                limit.perSecond() * (1 + TOLERANCE_RATIO * tolerance.ratio()),
+                limit.burst() + TOLERANCE_RATIO * tolerance.units(),
                 limit.inTokens(),
                 limit.unsizedTokens());
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
@@ -24,7 +24,7 @@
 import io.trailladder.core.pipeline.RecoveryPolicy;
 import io.trailladder.core.pipeline.ServingRequest;
 import io.trailladder.core.policy.RouteKind;
-import io.trailladder.core.upstream.Crossing;
+import io.trailladder.core.upstream.CrossRegionChoice;
 import io.trailladder.core.upstream.Selection;
 import io.trailladder.core.upstream.Upstream;
 import io.trailladder.entry.gateway.DecisionLog.AttemptFailed;
@@ -42,10 +42,10 @@
  * Brings one accepted request to its end: sends it to upstreams, passes the answer on, and does
  * what {@link RecoveryPolicy} decides when an attempt fails.
  */
-final class RequestDriver implements Attempt.Owner {
-    private static final int FAILURES = 300;
-    private static final int SERVER_ERRORS = 500;
-    private static final byte[] NO_BYTES = {};
+final class RequestDriver implements Attempt.Listener {
+    private static final int MIN_FAILURE_STATUS = 300;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
+    private static final byte[] EMPTY_BODY = {};
 
     private final ServingContext context;
     private final ServerExchange exchange;
@@ -56,13 +56,13 @@
     private final AttemptHistory history = new AttemptHistory();
     private final LoopTimer deadline;
     private final AttemptCalls calls;
-    private final AnswerPassing answer;
-    private final SilenceWatch silence;
-    private final BodyRoom bodyRoom;
+    private final AnswerRelay answer;
+    private final ResponseTimeoutWatch responseTimeout;
+    private final BodyCapacitySelector selector;
     private Attempt attempt;
-    private boolean started;
-    private boolean over;
-    private long firstMillis = -1;
+    private boolean runStarted;
+    private boolean finished;
+    private long firstByteMillis = -1;
 
     RequestDriver(
             ServingContext context,
@@ -79,35 +79,35 @@
         this.units = units;
         this.onEnd = onEnd;
         if (!lastEventId.isEmpty()) {
-            history.eventPassed(lastEventId);
+            history.eventForwarded(lastEventId);
         }
         this.calls = new AttemptCalls(context, exchange, request);
         this.answer =
-                new AnswerPassing(context.memory(), exchange, history, isStream(), this::firstByte);
+                new AnswerRelay(context.memory(), exchange, history, isStream(), this::firstByte);
         boolean resumable = isStream() && request.route().repeatable();
         exchange.answerOwner(new AnswerOwner(request.id(), request.organisation(), resumable));
-        this.silence = new SilenceWatch(context, request, history);
-        this.bodyRoom = new BodyRoom(context, request);
-        exchange.onGone(this::callerGone);
+        this.responseTimeout = new ResponseTimeoutWatch(context, request, history);
+        this.selector = new BodyCapacitySelector(context, request);
+        exchange.onGone(this::callerDisconnected);
         long left = request.deadlineMillis() - context.loop().nowMillis();
-        this.deadline = context.loop().schedule(left, this::timeOver);
+        this.deadline = context.loop().schedule(left, this::deadlineReached);
     }
 
     void start() {
         long now = context.loop().nowMillis();
         context.budgets().requested(request.service(), now);
-        context.availability().asked(request.service(), request.priority(), now);
+        context.availability().requestReceived(request.service(), request.priority(), now);
         nextAttempt();
     }
 
     /** Tells whether the request runs at an upstream now. */
-    boolean runsAt(String upstream) {
+    boolean isRunningAt(String upstream) {
         return attempt != null && attempt.upstream().id().equals(upstream);
     }
 
     /** Returns how long the upstream has been silent, in milliseconds. */
-    long silentMillis() {
-        return attempt == null ? 0 : attempt.silentMillis();
+    long unresponsiveMillis() {
+        return attempt == null ? 0 : attempt.unresponsiveMillis();
     }
 
     boolean isStream() {
@@ -118,20 +118,20 @@
      * Goes on at another upstream if the request may. It stays at one that leaves while no other
      * takes requests: the notice leaves it time, and to move would end it for certain.
      */
-    void moveAway(AttemptFailure reason) {
+    void moveToOtherUpstream(AttemptFailure reason) {
         if (attempt == null || (attempt.isSent() && !request.route().repeatable())) {
             return;
         }
         long now = context.loop().nowMillis();
         boolean leaves = reason == AttemptFailure.LEAVING;
-        if (!leaves || context.availability().isAnyTaking(request.service(), now)) {
+        if (!leaves || context.availability().isAnyAccepting(request.service(), now)) {
             attempt.fail(reason);
         }
     }
 
     /** Breaks the request off because the process ends. */
     void stop() {
-        if (over) {
+        if (finished) {
             return;
         }
         Ending ending = RecoveryPolicy.endingOf(history, isUnderWay());
@@ -145,8 +145,8 @@
      *
      * @param found the request that was found to end upstreams
      */
-    void stopIf(RequestFingerprint found) {
-        if (!over && crashes.stopIfSame(found)) {
+    void stopIfMatches(RequestFingerprint found) {
+        if (!finished && crashes.stopIfSame(found)) {
             stop();
         }
     }
@@ -155,7 +155,7 @@
     public void sending(Attempt sender) {
         history.sent(sender.upstream().id());
         if (request.prompt().tokensIn() == 0) {
-            startedRunning();
+            recordRunStarted();
         }
     }
 
@@ -168,20 +168,20 @@
     public void body(Attempt sender, byte[] bytes) {
         int events = answer.body(bytes);
         if (events > 0) {
-            sender.events(events);
-            startedRunning();
+            sender.eventsReceived(events);
+            recordRunStarted();
         }
     }
 
     @Override
     public void ended(Attempt sender) {
-        if (answer.status() >= SERVER_ERRORS && !history.hasAnswerBegun()) {
+        if (answer.status() >= MIN_SERVER_ERROR_STATUS && !history.hasAnswerStarted()) {
             attemptFailed(sender, AttemptFailure.SERVER_ERROR);
             return;
         }
         attempt = null;
         context.metrics().attempt(request.service(), "whole");
-        if (answer.status() < FAILURES) {
+        if (answer.status() < MIN_FAILURE_STATUS) {
             crashes.ranToCompletion();
         }
         answer.end();
@@ -195,18 +195,18 @@
 
     private void nextAttempt() {
         long now = context.loop().nowMillis();
-        Optional<Selection> choice = bodyRoom.choose(history.tried(), now);
+        Optional<Selection> choice = selector.choose(history.tried(), now);
         if (choice.isEmpty() && request.route().repeatable() && !history.tried().isEmpty()) {
-            choice = bodyRoom.choose(Set.of(), now);
+            choice = selector.choose(Set.of(), now);
         }
         long held = choice.isEmpty() ? context.rollouts().heldMillis(request.service()) : 0;
         if (held > 0) {
-            context.loop().schedule(held, this::goOn);
+            context.loop().schedule(held, this::continueAfterRollout);
         } else if (choice.isEmpty()) {
             turnAwayWithoutChoice(now);
-        } else if (!history.hasAnswerBegun()
-                && choice.get().placeMillis() > request.deadlineMillis() - now) {
-            turnAway(TurnedAway.NO_PLACE_IN_TIME, choice.get().placeMillis());
+        } else if (!history.hasAnswerStarted()
+                && choice.get().slotWaitMillis() > request.deadlineMillis() - now) {
+            turnAway(TurnedAway.NO_PLACE_IN_TIME, choice.get().slotWaitMillis());
         } else {
             send(choice.get(), now);
         }
@@ -214,17 +214,17 @@
 
     private void turnAwayWithoutChoice(long now) {
         long none =
-                context.availability().noneTakesMillis(request.service(), request.priority(), now);
+                context.availability().untilAnyAcceptsMillis(request.service(), request.priority(), now);
         if (none > 0) {
-            turnAway(TurnedAway.NONE_TAKES, none);
+            turnAway(TurnedAway.NONE_AVAILABLE, none);
         } else {
-            turnAway(bodyRoom.wasShort() ? TurnedAway.NO_BODY_ROOM : TurnedAway.NO_UPSTREAM, 0);
+            turnAway(selector.wasCapacityShort() ? TurnedAway.NO_BODY_CAPACITY : TurnedAway.NO_UPSTREAM, 0);
         }
     }
 
     /** Tries again after a roll-out has had it wait. */
-    private void goOn() {
-        if (over) {
+    private void continueAfterRollout() {
+        if (finished) {
             return;
         }
         if (crashes.refusesRetry()) {
@@ -256,39 +256,39 @@
                         selection.candidates(),
                         context.peersAgeMillis().getAsLong(),
                         history.lastEventId()));
-        selection.crossing().ifPresent(this::crosses);
+        selection.crossRegion().ifPresent(this::recordCrossing);
         context.selector().sent(request, upstream.id());
         answer.newAttempt();
         attempt = new Attempt(context, request, selection, this);
-        silence.watch(attempt, selection);
+        responseTimeout.watch(attempt, selection);
         attempt.start(calls.to(upstream, history.lastEventId(), now));
     }
 
-    private void crosses(Crossing crossing) {
+    private void recordCrossing(CrossRegionChoice crossing) {
         context.metrics().count(GatewayMetrics.Event.SENT_TO_OTHER_REGION);
         DecisionLog.write(
                 new SentAcross(
                         request.id(),
                         crossing.region(),
-                        crossing.hereMillis(),
-                        crossing.thereMillis()));
+                        crossing.localMillis(),
+                        crossing.remoteMillis()));
     }
 
     private void firstByte() {
-        firstMillis = context.loop().nowMillis() - request.acceptedMillis();
-        context.metrics().firstAnswer(request.organisation(), request.service(), firstMillis);
+        firstByteMillis = context.loop().nowMillis() - request.acceptedMillis();
+        context.metrics().firstAnswer(request.organisation(), request.service(), firstByteMillis);
     }
 
-    private void startedRunning() {
-        if (!started) {
-            started = true;
+    private void recordRunStarted() {
+        if (!runStarted) {
+            runStarted = true;
             context.usage().started(request.organisation(), context.clock().millis());
         }
     }
 
     private void attemptFailed(Attempt sender, AttemptFailure failure) {
         attempt = null;
-        silence.stop();
+        responseTimeout.stop();
         history.failed(sender.upstream().id(), failure);
         crashes.failed(sender, failure);
         context.metrics().attempt(request.service(), failure.name());
@@ -299,7 +299,7 @@
         }
         boolean neverArrived =
                 failure == AttemptFailure.UNREACHABLE || failure == AttemptFailure.NOT_SENT;
-        boolean paid = silence.takePaid() || neverArrived;
+        boolean paid = responseTimeout.takeRetryCharged() || neverArrived;
         if (!(recovery instanceof GiveUp)
                 && !paid
                 && !context.budgets().tryRetry(request.service(), now)) {
@@ -327,16 +327,16 @@
 
     private void giveUp(Ending ending, Attempt last) {
         if (ending == Ending.NOT_RUN) {
-            context.quotas().giveBack(request.organisation(), units);
+            context.quotas().returnUnits(request.organisation(), units);
         }
         switch (ending) {
-            case PASSED_ON -> answer.respondWhole();
+            case PASSED_ON -> answer.respondBuffered();
             case BROKEN_OFF -> exchange.abort();
             default ->
                     exchange.respond(
                             ending.status(),
                             context.protocol().refusal(retryAfterMillis(ending)),
-                            NO_BYTES);
+                            EMPTY_BODY);
         }
         int status = ending == Ending.PASSED_ON ? answer.status() : ending.status();
         end(ending.name(), status, last);
@@ -344,15 +344,15 @@
 
     private long retryAfterMillis(Ending ending) {
         return ending == Ending.NOT_RUN && !crashes.hasStopped()
-                ? context.returns().place(request, context.loop().nowMillis())
+                ? context.retryAfter().retryAfterMillis(request, context.loop().nowMillis())
                 : 0;
     }
 
-    private void timeOver() {
-        if (over) {
+    private void deadlineReached() {
+        if (finished) {
             return;
         }
-        Ending ending = RecoveryPolicy.endingInTime(history, isUnderWay());
+        Ending ending = RecoveryPolicy.endingAtDeadline(history, isUnderWay());
         Attempt last = attempt;
         if (isUnderWay()) {
             context.loads().failed(attempt.upstream().id(), context.loop().nowMillis());
@@ -366,8 +366,8 @@
         return attempt != null && attempt.isSent();
     }
 
-    private void callerGone() {
-        if (!over) {
+    private void callerDisconnected() {
+        if (!finished) {
             Attempt last = attempt;
             cancelAttempt();
             end(exchange.isCut() ? "answer-cut" : "caller-gone", 0, last);
@@ -383,12 +383,12 @@
     }
 
     private void end(String outcome, int status, Attempt last) {
-        over = true;
+        finished = true;
         answer.close();
-        silence.stop();
+        responseTimeout.stop();
         deadline.cancel();
         long took = context.loop().nowMillis() - request.acceptedMillis();
-        context.metrics().ended(request.organisation(), request.service(), outcome, took);
+        context.metrics().requestEnded(request.organisation(), request.service(), outcome, took);
         String upstream = last == null ? "" : last.upstream().id();
         DecisionLog.write(
                 new Ended(
@@ -398,7 +398,7 @@
                         upstream,
                         history.sent(),
                         took,
-                        firstMillis));
+                        firstByteMillis));
         onEnd.accept(this);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestIdentity.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestIdentity.java
@@ -21,11 +21,11 @@
 
 /** Knows a request's fingerprint, which is made when it is first asked for: few ever are. */
 final class RequestIdentity {
-    private final Supplier<RequestFingerprint> maker;
+    private final Supplier<RequestFingerprint> fingerprintSupplier;
     private RequestFingerprint fingerprint;
 
     RequestIdentity(Supplier<RequestFingerprint> maker) {
-        this.maker = maker;
+        this.fingerprintSupplier = maker;
     }
 
     /** Returns the identity of a caller's request. */
@@ -41,7 +41,7 @@
 
     RequestFingerprint fingerprint() {
         if (fingerprint == null) {
-            fingerprint = maker.get();
+            fingerprint = fingerprintSupplier.get();
         }
         return fingerprint;
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestIntake.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestIntake.java
@@ -50,25 +50,25 @@
     private static final int UNAVAILABLE = 503;
 
     /** When a caller may come back that met a process without policy: the store is asked again. */
-    private static final long NO_POLICY_RETRY_MILLIS = 500;
+    private static final long NO_POLICY_RETRY_AFTER_MILLIS = 500;
 
     /** When a caller may come back that met a stopping process: another one takes it at once. */
-    private static final long STOPPING_RETRY_MILLIS = 30;
+    private static final long STOPPING_RETRY_AFTER_MILLIS = 30;
 
     /** When a caller may come back that met a full process: another one takes it at once. */
-    private static final long FULL_RETRY_MILLIS = 30;
+    private static final long FULL_RETRY_AFTER_MILLIS = 30;
 
-    private static final String NO_ROOM = "no room in memory";
+    private static final String NO_MEMORY_REASON = "no room in memory";
     private static final long DEFAULT_WAIT_MILLIS = 60_000;
-    private static final byte[] NO_BYTES = {};
-    private static final byte[] CRASHING =
+    private static final byte[] EMPTY_BODY = {};
+    private static final byte[] CRASHING_BODY =
             "not run: the servers that ran this request before ended under it\n"
                     .getBytes(StandardCharsets.UTF_8);
 
     private final ServingContext context;
     private final PolicyManager policies;
     private final SplittableRandom random;
-    private final StartingRequests<ServerExchange> starting;
+    private final StartupRequestQueue<ServerExchange> startupQueue;
     private final Set<RequestDriver> open = new HashSet<>();
     private boolean refusing;
 
@@ -88,8 +88,8 @@
         this.context = context;
         this.policies = policies;
         this.random = random;
-        this.starting =
-                new StartingRequests<>(
+        this.startupQueue =
+                new StartupRequestQueue<>(
                         context.loop()::nowMillis,
                         context.loop()::schedule,
                         informed,
@@ -100,15 +100,15 @@
     public void handle(ServerExchange exchange) {
         Optional<ServingPolicy> policy = policies.policy();
         if (refusing) {
-            refuse(exchange, "", UNAVAILABLE, STOPPING_RETRY_MILLIS, "stopping");
+            refuse(exchange, "", UNAVAILABLE, STOPPING_RETRY_AFTER_MILLIS, "stopping");
             return;
         }
-        if (!context.memory().hasRoom(0)) {
-            refuse(exchange, "", UNAVAILABLE, FULL_RETRY_MILLIS, NO_ROOM);
+        if (!context.memory().hasCapacity(0)) {
+            refuse(exchange, "", UNAVAILABLE, FULL_RETRY_AFTER_MILLIS, NO_MEMORY_REASON);
             return;
         }
-        if (policy.isEmpty() || starting.isUninformed()) {
-            starting.hold(exchange);
+        if (policy.isEmpty() || startupQueue.isStateUnknown()) {
+            startupQueue.hold(exchange);
             return;
         }
         Either<String, CallerRequest> read = context.protocol().read(exchange);
@@ -121,18 +121,18 @@
 
     @Override
     public boolean answersWithoutBody(ServerExchange exchange) {
-        if (context.memory().hasRoom(exchange.announcedBytes())) {
+        if (context.memory().hasCapacity(exchange.announcedBytes())) {
             return false;
         }
-        refuse(exchange, "", UNAVAILABLE, FULL_RETRY_MILLIS, NO_ROOM);
+        refuse(exchange, "", UNAVAILABLE, FULL_RETRY_AFTER_MILLIS, NO_MEMORY_REASON);
         return true;
     }
 
     @Override
     public void refuse(ServerExchange exchange, int status) {
         if (status == UNAVAILABLE) {
-            context.memory().refusedWhileRead();
-            refuse(exchange, "", status, FULL_RETRY_MILLIS, NO_ROOM);
+            context.memory().countRefusedWhileReading();
+            refuse(exchange, "", status, FULL_RETRY_AFTER_MILLIS, NO_MEMORY_REASON);
         } else {
             refuse(exchange, "", status, 0, "cannot be read");
         }
@@ -153,10 +153,10 @@
      * @param upstream the upstream
      * @param silentMillis least silence, in milliseconds
      */
-    public void lost(Upstream upstream, long silentMillis) {
+    public void upstreamLost(Upstream upstream, long silentMillis) {
         for (RequestDriver driver : List.copyOf(open)) {
-            if (driver.runsAt(upstream.id()) && driver.silentMillis() >= silentMillis) {
-                driver.moveAway(AttemptFailure.SILENT);
+            if (driver.isRunningAt(upstream.id()) && driver.unresponsiveMillis() >= silentMillis) {
+                driver.moveToOtherUpstream(AttemptFailure.SILENT);
             }
         }
     }
@@ -166,10 +166,10 @@
      *
      * @param upstream the upstream
      */
-    public void moveAway(Upstream upstream) {
+    public void upstreamEnding(Upstream upstream) {
         for (RequestDriver driver : List.copyOf(open)) {
-            if (driver.runsAt(upstream.id())) {
-                driver.moveAway(AttemptFailure.LEAVING);
+            if (driver.isRunningAt(upstream.id())) {
+                driver.moveToOtherUpstream(AttemptFailure.LEAVING);
             }
         }
     }
@@ -180,7 +180,7 @@
      * @param found the request
      */
     void stopCrashing(RequestFingerprint found) {
-        List.copyOf(open).forEach(driver -> driver.stopIf(found));
+        List.copyOf(open).forEach(driver -> driver.stopIfMatches(found));
     }
 
     /** Refuses every further request, which callers may ask again of another process. */
@@ -234,14 +234,14 @@
                         route.get().objectiveMillis(),
                         outcome));
         if (retryAfter > 0) {
-            turnBack(exchange, OVER_LIMIT, retryAfter);
+            respondRefused(exchange, OVER_LIMIT, retryAfter);
             return;
         }
         ServingRequest request = request(exchange, caller, policy, route.get(), organisation);
-        drive(exchange, request, identity, units, caller.lastEventId());
+        startRequest(exchange, request, identity, units, caller.lastEventId());
     }
 
-    private void drive(
+    private void startRequest(
             ServerExchange exchange,
             ServingRequest request,
             RequestIdentity identity,
@@ -287,7 +287,7 @@
     private void refuse(
             ServerExchange exchange, String id, int status, long retryAfterMillis, String reason) {
         logRefusal(id, status, reason);
-        turnBack(exchange, status, retryAfterMillis);
+        respondRefused(exchange, status, retryAfterMillis);
     }
 
     /**
@@ -299,25 +299,25 @@
         logRefusal(id, UNAVAILABLE, "upstreams ended under it");
         HeaderList headers =
                 context.protocol().refusal(0).with("Content-Type", "text/plain; charset=utf-8");
-        turnBack(exchange, UNAVAILABLE, headers, CRASHING);
+        respondRefused(exchange, UNAVAILABLE, headers, CRASHING_BODY);
     }
 
     private void logRefusal(String id, int status, String reason) {
         DecisionLog.write(new Intake(id, "", "", 0, policies.version(), 0, status + ", " + reason));
     }
 
-    private void turnBack(ServerExchange exchange, int status, long retryAfterMillis) {
-        long spread = context.returns().spread(retryAfterMillis);
-        turnBack(exchange, status, context.protocol().refusal(spread), NO_BYTES);
+    private void respondRefused(ServerExchange exchange, int status, long retryAfterMillis) {
+        long spread = context.retryAfter().withJitter(retryAfterMillis);
+        respondRefused(exchange, status, context.protocol().refusal(spread), EMPTY_BODY);
     }
 
-    private void turnBack(ServerExchange exchange, int status, HeaderList headers, byte[] body) {
-        context.metrics().ended("", "", "refused-" + status, 0);
+    private void respondRefused(ServerExchange exchange, int status, HeaderList headers, byte[] body) {
+        context.metrics().requestEnded("", "", "refused-" + status, 0);
         exchange.respond(status, headers, body);
     }
 
     /** Goes on with requests that were held while the process started. */
-    private final class StartOutcome implements StartingRequests.Outcome<ServerExchange> {
+    private final class StartOutcome implements StartupRequestQueue.Outcome<ServerExchange> {
         @Override
         public void accepted(ServerExchange exchange) {
             handle(exchange);
@@ -326,7 +326,7 @@
         @Override
         public void refused(ServerExchange exchange) {
             String unknown = policies.version() == 0 ? "policy" : "list of upstreams";
-            refuse(exchange, "", UNAVAILABLE, NO_POLICY_RETRY_MILLIS, "no " + unknown + " known");
+            refuse(exchange, "", UNAVAILABLE, NO_POLICY_RETRY_AFTER_MILLIS, "no " + unknown + " known");
         }
 
         @Override
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SilenceWatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ResponseTimeoutWatch.java
@@ -25,18 +25,18 @@
  * Leaves an upstream that is silent for too long, if the request may run again and some upstream
  * takes it.
  */
-final class SilenceWatch {
-    private static final long LONGEST_PAUSE_MILLIS = 1_000;
-    private static final long CHECK_MILLIS = 50;
-    private static final double SLOWEST_FACTOR = 3;
+final class ResponseTimeoutWatch {
+    private static final long MAX_BODY_GAP_MILLIS = 1_000;
+    private static final long MIN_CHECK_INTERVAL_MILLIS = 50;
+    private static final double PREDICTION_TOLERANCE_FACTOR = 3;
 
     private final ServingContext context;
     private final ServingRequest request;
     private final AttemptHistory history;
     private Attempt watched;
-    private boolean paid;
+    private boolean retryCharged;
 
-    SilenceWatch(ServingContext context, ServingRequest request, AttemptHistory history) {
+    ResponseTimeoutWatch(ServingContext context, ServingRequest request, AttemptHistory history) {
         this.context = context;
         this.request = request;
         this.history = history;
@@ -46,8 +46,8 @@
     void watch(Attempt attempt, Selection selection) {
         watched = attempt;
         long objective = request.route().objectiveMillis();
-        long predicted = Math.round(selection.predictedMillis() * SLOWEST_FACTOR);
-        checkLater(attempt, Math.max(objective, predicted));
+        long predicted = Math.round(selection.predictedMillis() * PREDICTION_TOLERANCE_FACTOR);
+        scheduleCheck(attempt, Math.max(objective, predicted));
     }
 
     void stop() {
@@ -55,17 +55,17 @@
     }
 
     /** Tells, once, whether the attempt that failed last has paid for the next one. */
-    boolean takePaid() {
-        boolean was = paid;
-        paid = false;
+    boolean takeRetryCharged() {
+        boolean was = retryCharged;
+        retryCharged = false;
         return was;
     }
 
-    private void checkLater(Attempt attempt, long mostMillis) {
+    private void scheduleCheck(Attempt attempt, long mostMillis) {
         if (!request.route().repeatable() || mostMillis <= 0) {
             return;
         }
-        long pause = Math.max(CHECK_MILLIS, mostMillis - attempt.silentMillis());
+        long pause = Math.max(MIN_CHECK_INTERVAL_MILLIS, mostMillis - attempt.unresponsiveMillis());
         context.loop().schedule(pause, () -> check(attempt, mostMillis));
     }
 
@@ -73,16 +73,16 @@
         if (attempt != watched) {
             return;
         }
-        long most = history.hasAnswerBegun() ? LONGEST_PAUSE_MILLIS : mostMillis;
+        long most = history.hasAnswerStarted() ? MAX_BODY_GAP_MILLIS : mostMillis;
         long now = context.loop().nowMillis();
-        if (attempt.silentMillis() >= most
+        if (attempt.unresponsiveMillis() >= most
                 && RecoveryPolicy.allowsAnother(request, history, now)
-                && context.availability().isAnyTaking(request.service(), now)
+                && context.availability().isAnyAccepting(request.service(), now)
                 && context.budgets().tryRetry(request.service(), now)) {
-            paid = true;
+            retryCharged = true;
             attempt.fail(AttemptFailure.SILENT);
         } else {
-            checkLater(attempt, most);
+            scheduleCheck(attempt, most);
         }
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ReturnTimes.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RetryAfterEstimator.java
@@ -18,7 +18,7 @@
 import io.trailladder.core.engine.EngineModel;
 import io.trailladder.core.pipeline.ServingRequest;
 import io.trailladder.core.policy.ServiceSpec;
-import io.trailladder.core.upstream.PlaceForecast;
+import io.trailladder.core.upstream.SlotForecast;
 import io.trailladder.core.upstream.UpstreamAvailability;
 import io.trailladder.core.upstream.UpstreamLoads;
 import java.util.HashMap;
@@ -27,24 +27,24 @@
 import java.util.SplittableRandom;
 
 /** Tells callers whose requests have not run when coming back may help. */
-final class ReturnTimes {
+final class RetryAfterEstimator {
     /**
      * How much later some callers are told to come back than others, as a part of the time told:
      * those that were turned away together must not all return at once.
      */
-    private static final double SPREAD = 0.5;
+    private static final double MAX_JITTER_RATIO = 0.5;
 
     /** Latest turn that a caller is told of, in milliseconds after the first. */
-    private static final long LONGEST_MILLIS = 10_000;
+    private static final long MAX_PROMISED_DELAY_MILLIS = 10_000;
 
-    private final Map<String, Double> promisedMillis = new HashMap<>();
+    private final Map<String, Double> lastPromisedMillis = new HashMap<>();
     private final PolicyManager policies;
     private final UpstreamAvailability availability;
     private final UpstreamLoads loads;
     private final EngineModel engines;
     private final SplittableRandom random;
 
-    ReturnTimes(
+    RetryAfterEstimator(
             PolicyManager policies,
             UpstreamAvailability availability,
             UpstreamLoads loads,
@@ -65,33 +65,33 @@
      * @param nowMillis the time
      * @return milliseconds from now, spread over callers
      */
-    long place(ServingRequest request, long nowMillis) {
+    long retryAfterMillis(ServingRequest request, long nowMillis) {
         String service = request.service();
-        long noneTakes = availability.noneTakesMillis(service, request.priority(), nowMillis);
-        double every = availability.ownEveryMillis(service);
+        long noneTakes = availability.untilAnyAcceptsMillis(service, request.priority(), nowMillis);
+        double every = availability.ownIntervalMillis(service);
         if (noneTakes > 0 && every > 0) {
             String queue = service + '/' + request.priority();
-            return turn(queue, nowMillis, nowMillis + noneTakes, every);
+            return nextSendSlotMillis(queue, nowMillis, nowMillis + noneTakes, every);
         }
         long place =
-                PlaceForecast.millis(
-                        availability.staying(service),
+                SlotForecast.millis(
+                        availability.notLeaving(service),
                         loads,
                         engines.estimate(service, nowMillis),
                         bootMillis(service));
-        return spread(Math.max(place, noneTakes));
+        return withJitter(Math.max(place, noneTakes));
     }
 
     /**
      * Tells each caller of a service and rank of another turn at upstreams that are all limited.
      */
-    private long turn(String queue, long nowMillis, long firstMillis, double everyMillis) {
-        double after = promisedMillis.getOrDefault(queue, 0.0) + everyMillis;
+    private long nextSendSlotMillis(String queue, long nowMillis, long firstMillis, double everyMillis) {
+        double after = lastPromisedMillis.getOrDefault(queue, 0.0) + everyMillis;
         double turn = Math.max((double) firstMillis, after);
-        if (turn > firstMillis + LONGEST_MILLIS) {
-            return spread(firstMillis + LONGEST_MILLIS - nowMillis);
+        if (turn > firstMillis + MAX_PROMISED_DELAY_MILLIS) {
+            return withJitter(firstMillis + MAX_PROMISED_DELAY_MILLIS - nowMillis);
         }
-        promisedMillis.put(queue, turn);
+        lastPromisedMillis.put(queue, turn);
         return (long) Math.ceil(turn) - nowMillis;
     }
 
@@ -101,8 +101,8 @@
      * @param millis the least time, in milliseconds
      * @return that time or somewhat more
      */
-    long spread(long millis) {
-        return millis + Math.round(millis * SPREAD * random.nextDouble());
+    long withJitter(long millis) {
+        return millis + Math.round(millis * MAX_JITTER_RATIO * random.nextDouble());
     }
 
     private OptionalLong bootMillis(String service) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RetryBudgets.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RetryBudgets.java
@@ -27,7 +27,7 @@
  */
 public final class RetryBudgets {
     private final GatewaySettings.Retries settings;
-    private final IntSupplier entries;
+    private final IntSupplier processes;
     private final Map<String, WindowedRetryBudget> byService = new HashMap<>();
 
     /**
@@ -38,7 +38,7 @@
      */
     public RetryBudgets(GatewaySettings.Retries settings, IntSupplier entries) {
         this.settings = settings;
-        this.entries = entries;
+        this.processes = entries;
     }
 
     /**
@@ -59,7 +59,7 @@
      * @return true if it may be made
      */
     public boolean tryRetry(String service, long nowMillis) {
-        return budget(service).tryRetry(entries.getAsInt(), nowMillis);
+        return budget(service).tryRetry(processes.getAsInt(), nowMillis);
     }
 
     private WindowedRetryBudget budget(String service) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutExchange.java
@@ -16,7 +16,7 @@
 package io.trailladder.entry.gateway;
 
 import io.trailladder.core.rollout.Rollout;
-import io.trailladder.core.rollout.RolloutNews;
+import io.trailladder.core.rollout.RolloutUpdate;
 import io.trailladder.core.rollout.RouteEvidence;
 import io.trailladder.entry.gateway.DecisionLog.Lifecycle;
 import io.trailladder.entry.mesh.Mesh;
@@ -75,9 +75,9 @@
      */
     void receive(NodeHello peer, RolloutReport report, boolean sameHistory) {
         Map<Long, List<RouteEvidence>> reported = new HashMap<>();
-        for (RolloutNews update : report.rollouts()) {
+        for (RolloutUpdate update : report.rollouts()) {
             List<RouteEvidence> valid =
-                    update.evidence().stream().filter(RouteEvidence::isSound).toList();
+                    update.evidence().stream().filter(RouteEvidence::isValid).toList();
             if (valid.size() < update.evidence().size()) {
                 DecisionLog.write(
                         new Lifecycle("peer " + peer.name(), "figures refused", update.toString()));
@@ -108,11 +108,11 @@
 
     private RolloutReport report(List<String> leaves, boolean withEvidence) {
         long now = nowMillis.getAsLong();
-        List<RolloutNews> updates = new ArrayList<>();
+        List<RolloutUpdate> updates = new ArrayList<>();
         for (Rollout rollout : manager.rollouts()) {
             List<RouteEvidence> evidence =
                     withEvidence ? evidence(rollout, leaves) : List.<RouteEvidence>of();
-            updates.add(rollout.news(evidence, now));
+            updates.add(rollout.update(evidence, now));
         }
         return new RolloutReport(updates);
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutManager.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutManager.java
@@ -15,11 +15,11 @@
  */
 package io.trailladder.entry.gateway;
 
-import io.trailladder.core.rollout.AnswerSeen;
-import io.trailladder.core.rollout.AnswerSort;
+import io.trailladder.core.rollout.AnswerObservation;
+import io.trailladder.core.rollout.AnswerRating;
 import io.trailladder.core.rollout.ExposureLedger;
 import io.trailladder.core.rollout.Rollout;
-import io.trailladder.core.rollout.RolloutNews;
+import io.trailladder.core.rollout.RolloutUpdate;
 import io.trailladder.core.rollout.RolloutOrder;
 import io.trailladder.core.rollout.RolloutPhase;
 import io.trailladder.core.rollout.RolloutStatus;
@@ -162,7 +162,7 @@
         List<String> services = new ArrayList<>();
         gate.rollouts().forEach(rollout -> services.add(rollout.order().service()));
         recovery.begin(services, recorded, nowMillis.getAsLong());
-        records.replaceAll((service, record) -> record.at(0));
+        records.replaceAll((service, record) -> record.withRevision(0));
     }
 
     /**
@@ -172,7 +172,7 @@
     boolean awaitsOrders() {
         long now = nowMillis.getAsLong();
         for (String service : recovery.takeMissing(now)) {
-            gate.rollout(service).ifPresent(rollout -> rollout.renumbered(rollout.order().at(0)));
+            gate.rollout(service).ifPresent(rollout -> rollout.renumbered(rollout.order().withRevision(0)));
         }
         return recovery.awaitsOrders(now);
     }
@@ -224,7 +224,7 @@
         String service = status.service();
         RolloutStatus before = record(service);
         boolean mayBeOlder = recovery.record(service).isPresent() && !certain;
-        if (mayBeOlder && recovery.isRecovering(nowMillis.getAsLong()) && !status.isAlike(before)) {
+        if (mayBeOlder && recovery.isRecovering(nowMillis.getAsLong()) && !status.equalsIgnoringRevision(before)) {
             recovery.setStoredRevision(service, status.revision());
             return;
         }
@@ -262,19 +262,19 @@
     /** Returns how long requests must wait that no version may currently get, in milliseconds. */
     long heldMillis(String service) {
         return gate.rollout(service)
-                .map(rollout -> rollout.heldMillis(nowMillis.getAsLong()))
+                .map(rollout -> rollout.waitMillis(nowMillis.getAsLong()))
                 .orElse(0L);
     }
 
     /** Records how a request ended at an upstream. */
-    void answered(String service, Upstream upstream, AnswerSeen answer) {
+    void answered(String service, Upstream upstream, AnswerObservation answer) {
         gate.rollout(service)
                 .filter(rollout -> !rollout.phase().isFinal())
                 .ifPresent(rollout -> advance(rollout, () -> count(rollout, upstream, answer)));
     }
 
-    private void count(Rollout rollout, Upstream upstream, AnswerSeen answer) {
-        AnswerSort sort = rollout.answered(upstream, answer);
+    private void count(Rollout rollout, Upstream upstream, AnswerObservation answer) {
+        AnswerRating sort = rollout.answered(upstream, answer);
         metrics.versionAnswered(rollout.order().service(), upstream.version(), sort);
     }
 
@@ -284,10 +284,10 @@
      * @param sameHistory false if the peer does not name the history of the store to which its
      *     order's revision belongs, though this process knows that there are several
      */
-    void receive(RolloutNews update, boolean sameHistory) {
+    void receive(RolloutUpdate update, boolean sameHistory) {
         RolloutOrder order = update.order();
         Optional<Rollout> known = gate.rollout(order.service());
-        boolean alike = known.filter(rollout -> rollout.order().isAlike(order)).isPresent();
+        boolean alike = known.filter(rollout -> rollout.order().equalsIgnoringRevision(order)).isPresent();
         boolean revisionComparable = sameHistory || !alike || !recovery.hasBegun();
         if (revisionComparable) {
             startIfNew(order, "peer", Written.BEFORE, sameHistory);
@@ -301,7 +301,7 @@
                         rollout ->
                                 advance(
                                         rollout,
-                                        () -> rollout.heard(update, nowMillis.getAsLong())));
+                                        () -> rollout.received(update, nowMillis.getAsLong())));
     }
 
     /**
@@ -342,7 +342,7 @@
     private boolean isKnown(Rollout known, RolloutOrder order, boolean certain) {
         long now = nowMillis.getAsLong();
         String service = order.service();
-        if (recovery.isRecovering(now) && known.order().isAlike(order)) {
+        if (recovery.isRecovering(now) && known.order().equalsIgnoringRevision(order)) {
             known.renumbered(order);
             recovery.foundOrder(service);
             return true;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutParts.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutParts.java
@@ -101,7 +101,7 @@
             // the old version stops with the record: a process that is notified late has no
             // upstream to
             // send to
-            manager.onAdvance(view::tellRollouts);
+            manager.onAdvance(view::sendRolloutReports);
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRecovery.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRecovery.java
@@ -64,7 +64,7 @@
     /** Returns whether an order in a list is the replaced one, which a copy may still contain. */
     boolean isEarlier(RolloutOrder order) {
         RolloutOrder before = earlierOrders.get(order.service());
-        return before != null && before.isAlike(order);
+        return before != null && before.equalsIgnoringRevision(order);
     }
 
     /** Returns whether the history was replaced since this process started. */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRunner.java
@@ -16,9 +16,9 @@
 package io.trailladder.entry.gateway;
 
 import io.trailladder.core.rollout.Rollout;
-import io.trailladder.core.rollout.RolloutLead;
-import io.trailladder.core.rollout.RolloutLead.Fleet;
-import io.trailladder.core.rollout.RolloutLead.Step;
+import io.trailladder.core.rollout.RolloutController;
+import io.trailladder.core.rollout.RolloutController.Fleet;
+import io.trailladder.core.rollout.RolloutController.Step;
 import io.trailladder.core.rollout.RolloutStatus;
 import io.trailladder.core.rollout.RolloutStatus.State;
 import io.trailladder.core.rollout.RouteEvidence;
@@ -66,7 +66,7 @@
     private final UpstreamLoads loads;
     private final BooleanSupplier leads;
     private final Function<Rollout, List<RouteEvidence>> evidence;
-    private final Map<Rollout, RolloutLead> deciders = new HashMap<>();
+    private final Map<Rollout, RolloutController> deciders = new HashMap<>();
     private final Map<String, String> loggedStates = new HashMap<>();
     private final Map<String, Long> statusLoggedMillis = new HashMap<>();
     private final Set<String> writing = new HashSet<>();
@@ -138,7 +138,7 @@
     }
 
     private void lead(Rollout rollout) {
-        RolloutLead decider = deciders.computeIfAbsent(rollout, RolloutLead::new);
+        RolloutController decider = deciders.computeIfAbsent(rollout, RolloutController::new);
         String service = rollout.order().service();
         RolloutStatus status = manager.record(service);
         List<RouteEvidence> observed = evidence.apply(rollout);
@@ -208,7 +208,7 @@
         if (!writing.contains(lost.service())) {
             String subject = "roll-out of " + lost.service() + " to " + lost.version();
             DecisionLog.write(new Lifecycle(subject, "recorded again", lost.state().name()));
-            write(lost.at(0));
+            write(lost.withRevision(0));
         }
     }
 
@@ -229,7 +229,7 @@
         if (result.isRight()) {
             health.answered();
             writing.remove(service);
-            manager.recorded(next.at(result.get()), true);
+            manager.recorded(next.withRevision(result.get()), true);
             return;
         }
         health.failed(result.getLeft());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ServingContext.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ServingContext.java
@@ -22,7 +22,7 @@
 import io.trailladder.core.upstream.UpstreamDirectory;
 import io.trailladder.core.upstream.UpstreamLimits;
 import io.trailladder.core.upstream.UpstreamLoads;
-import io.trailladder.core.upstream.UpstreamRests;
+import io.trailladder.core.upstream.UpstreamBackoffs;
 import io.trailladder.core.upstream.UpstreamSelector;
 import io.trailladder.entry.http.HttpConnector;
 import io.trailladder.entry.loop.EventLoop;
@@ -40,7 +40,7 @@
  * @param connections how many connections to an upstream this process may let rest
  * @param directory the upstreams known
  * @param availability tells which of them take requests
- * @param rests those that asked for rest
+ * @param backoffs those that asked for rest
  * @param limits those that name how many requests they take
  * @param notices has what answers say of their upstreams believed
  * @param loads the work under way at them
@@ -51,7 +51,7 @@
  * @param demand measures the load of services here
  * @param engines learns how fast upstreams are
  * @param rollouts the roll-outs known
- * @param returns tells callers when to come back
+ * @param retryAfter tells callers when to come back
  * @param metrics the process's figures
  * @param peersAgeMillis tells how old the oldest peer digest in use is, in milliseconds
  * @param memory keeps what requests hold inside the process's memory
@@ -66,7 +66,7 @@
         ConnectionShares connections,
         UpstreamDirectory directory,
         UpstreamAvailability availability,
-        UpstreamRests rests,
+        UpstreamBackoffs backoffs,
         UpstreamLimits limits,
         UpstreamNotices notices,
         UpstreamLoads loads,
@@ -77,8 +77,8 @@
         DemandMeter demand,
         EngineModel engines,
         RolloutManager rollouts,
-        ReturnTimes returns,
+        RetryAfterEstimator retryAfter,
         GatewayMetrics metrics,
         LongSupplier peersAgeMillis,
-        MemoryKeeper memory,
+        MemoryManager memory,
         CrashWatch crashes) {}
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SettingsReader.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SettingsReader.java
@@ -102,9 +102,9 @@
                                 text("/node/name"),
                                 text("/node/data_centre"),
                                 root.at("/node/first_start").asBoolean(false),
-                                number("/capacity/core_share", GatewaySettings.USUAL_CORES)
+                                number("/capacity/core_share", GatewaySettings.DEFAULT_CORES)
                                         * number("/capacity/core_speed", 1),
-                                number("/capacity/link_mbps", GatewaySettings.USUAL_LINK_MBPS)),
+                                number("/capacity/link_mbps", GatewaySettings.DEFAULT_LINK_MBPS)),
                         new Listen(
                                 address("/listen/callers"),
                                 address("/listen/health"),
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StartingRequests.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StartupRequestQueue.java
@@ -27,27 +27,27 @@
  *
  * @param <R> a request
  */
-final class StartingRequests<R> {
+final class StartupRequestQueue<R> {
     /**
      * Longest time that a request is held, in milliseconds: policy and upstreams are two reads of
      * the store, which take 4 ms each and some tenths of a second where all processes read at once.
      */
-    static final long HOLD_MILLIS = 300;
+    static final long MAX_HOLD_MILLIS = 300;
 
     /**
      * How long after its start a process holds requests, in milliseconds. One that knows nothing by
      * then has lost the store, and cannot tell when that will be back.
      */
-    static final long STARTING_MILLIS = 1_500;
+    static final long STARTUP_WINDOW_MILLIS = 1_500;
 
-    private static final long CHECK_MILLIS = 10;
+    private static final long CHECK_INTERVAL_MILLIS = 10;
 
     /** Most requests that are held, so that memory is bounded: some megabytes. */
-    private static final int MOST_HELD = 200;
+    private static final int MAX_HELD_REQUESTS = 200;
 
     private final LongSupplier nowMillis;
     private final Timer timer;
-    private final BooleanSupplier informed;
+    private final BooleanSupplier stateKnown;
     private final Outcome<R> outcome;
     private final long startedMillis;
     private final Deque<Held<R>> held = new ArrayDeque<>();
@@ -81,11 +81,11 @@
      * @param informed tells whether policy and upstreams are known
      * @param outcome takes the requests
      */
-    StartingRequests(
+    StartupRequestQueue(
             LongSupplier nowMillis, Timer timer, BooleanSupplier informed, Outcome<R> outcome) {
         this.nowMillis = nowMillis;
         this.timer = timer;
-        this.informed = informed;
+        this.stateKnown = informed;
         this.outcome = outcome;
         this.startedMillis = nowMillis.getAsLong();
     }
@@ -95,34 +95,34 @@
      *
      * @return true until both are known
      */
-    boolean isUninformed() {
-        return !informed.getAsBoolean();
+    boolean isStateUnknown() {
+        return !stateKnown.getAsBoolean();
     }
 
     /** Holds a request, or refuses it at once if waiting would not help. */
     void hold(R request) {
         long now = nowMillis.getAsLong();
-        if (now - startedMillis >= STARTING_MILLIS || held.size() >= MOST_HELD) {
+        if (now - startedMillis >= STARTUP_WINDOW_MILLIS || held.size() >= MAX_HELD_REQUESTS) {
             outcome.refused(request);
             return;
         }
         held.addLast(new Held<>(request, now));
         if (held.size() == 1) {
-            timer.schedule(CHECK_MILLIS, this::check);
+            timer.schedule(CHECK_INTERVAL_MILLIS, this::check);
         }
     }
 
     private void check() {
         held.removeIf(waiting -> outcome.isOver(waiting.request()));
-        while (!held.isEmpty() && informed.getAsBoolean()) {
+        while (!held.isEmpty() && stateKnown.getAsBoolean()) {
             outcome.accepted(held.removeFirst().request());
         }
-        long oldest = nowMillis.getAsLong() - HOLD_MILLIS;
+        long oldest = nowMillis.getAsLong() - MAX_HOLD_MILLIS;
         while (!held.isEmpty() && held.peekFirst().sinceMillis() <= oldest) {
             outcome.refused(held.removeFirst().request());
         }
         if (!held.isEmpty()) {
-            timer.schedule(CHECK_MILLIS, this::check);
+            timer.schedule(CHECK_INTERVAL_MILLIS, this::check);
         }
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreHistory.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreHistory.java
@@ -16,7 +16,7 @@
 package io.trailladder.entry.gateway;
 
 import io.trailladder.core.store.StoreEpoch;
-import io.trailladder.core.store.StoreEpoch.Named;
+import io.trailladder.core.store.StoreEpoch.Observation;
 import io.trailladder.entry.gateway.DecisionLog.Lifecycle;
 import io.trailladder.entry.port.CoordinationStore.EpochListener;
 import io.trailladder.wire.NodeMessage.UpstreamNews;
@@ -105,18 +105,18 @@
 
     private boolean applyEpoch(String source, long epochNumber) {
         long before = epoch.current();
-        Named meaning = epoch.named(epochNumber);
-        if (meaning == Named.NEW) {
+        Observation meaning = epoch.observe(epochNumber);
+        if (meaning == Observation.NEW) {
             metrics.count(GatewayMetrics.Event.STORE_EPOCH_CHANGED);
             String detail = "from " + before + ", reported by " + source;
             DecisionLog.write(new Lifecycle("store epoch", Long.toString(epochNumber), detail));
             onReplaced.forEach(Runnable::run);
-        } else if (meaning != Named.CURRENT) {
+        } else if (meaning != Observation.CURRENT) {
             metrics.count(GatewayMetrics.Event.STORE_EPOCH_PASSED_OVER);
             logSampled("store epoch", meaning + " epoch " + epochNumber + " of " + source);
         }
         // an answer with an invalid epoch counts as one that names none
-        return meaning != Named.OLD;
+        return meaning != Observation.OLD;
     }
 
     /** Logs the first, second, fourth, eighth and so on, since ignored items come in series. */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TurnedAway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TurnedAway.java
@@ -33,10 +33,10 @@
     static final String NO_UPSTREAM = "no upstream left";
 
     /** All upstreams of the service that stay have asked this process for rest, or name a limit. */
-    static final String NONE_TAKES = "all upstreams rest or are limited";
+    static final String NONE_AVAILABLE = "all upstreams rest or are limited";
 
     /** All upstreams left take bodies more slowly than they come. */
-    static final String NO_BODY_ROOM = "no upstream takes bodies";
+    static final String NO_BODY_CAPACITY = "no upstream takes bodies";
 
     /** Every place is taken for longer than the caller waits. */
     static final String NO_PLACE_IN_TIME = "no place in time";
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
@@ -19,7 +19,7 @@
 import io.trailladder.core.upstream.AnswerNotice;
 import io.trailladder.core.upstream.Upstream;
 import io.trailladder.core.upstream.UpstreamLimits;
-import io.trailladder.core.upstream.UpstreamRests;
+import io.trailladder.core.upstream.UpstreamBackoffs;
 import io.trailladder.entry.gateway.GatewayMetrics.Event;
 import java.util.Map;
 import java.util.function.LongSupplier;
@@ -33,24 +33,24 @@
  */
 final class UpstreamNotices {
     /** Most upstreams of which it is known that an unreadable notice was logged. */
-    private static final int MOST_FAULTY = 1_000;
+    private static final int MAX_FAULTY_UPSTREAMS = 1_000;
 
     private final LongSupplier nowMillis;
     private final DirectoryManager directory;
-    private final UpstreamRests rests;
+    private final UpstreamBackoffs backoffs;
     private final UpstreamLimits limits;
     private final GatewayMetrics metrics;
-    private final Map<String, Boolean> faulty = new RecentMap<>(MOST_FAULTY);
+    private final Map<String, Boolean> faulty = new RecentMap<>(MAX_FAULTY_UPSTREAMS);
 
     UpstreamNotices(
             LongSupplier nowMillis,
             DirectoryManager directory,
-            UpstreamRests rests,
+            UpstreamBackoffs rests,
             UpstreamLimits limits,
             GatewayMetrics metrics) {
         this.nowMillis = nowMillis;
         this.directory = directory;
-        this.rests = rests;
+        this.backoffs = rests;
         this.limits = limits;
         this.metrics = metrics;
     }
@@ -65,10 +65,10 @@
      * @param notice what it says
      * @param sentMillis when the request was sent
      */
-    void heard(
+    void received(
             String request, Upstream upstream, int status, AnswerNotice notice, long sentMillis) {
         long now = nowMillis.getAsLong();
-        boolean news = limits.answered(upstream, notice.limit(), sentMillis, now);
+        boolean news = limits.answerReceived(upstream, notice.limit(), sentMillis, now);
         if (news) {
             metrics.count(Event.UPSTREAM_CHANGED_ITS_LIMIT);
         }
@@ -79,7 +79,7 @@
             metrics.count(Event.UPSTREAM_SAID_IT_LEAVES);
             news = true;
         }
-        if (notice.restMillis() > 0 && rests.asked(upstream, notice.restMillis(), now)) {
+        if (notice.backoffMillis() > 0 && backoffs.backoffRequested(upstream, notice.backoffMillis(), now)) {
             metrics.count(Event.UPSTREAM_ASKED_FOR_REST);
             news = true;
         }
@@ -94,7 +94,7 @@
                             upstream.id(),
                             status,
                             notice.leaving(),
-                            Math.min(notice.restMillis(), UpstreamRests.LONGEST_MILLIS),
+                            Math.min(notice.backoffMillis(), UpstreamBackoffs.MAX_BACKOFF_MILLIS),
                             notice.limit(),
                             notice.fault()));
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/EventSplitterProperties.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/EventSplitterProperties.java
@@ -34,7 +34,7 @@
             "id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\ndata: c\n\nid: 3\r\ndata: d\r\n\r\n";
 
     @Property
-    void cutsDoNotChangeEvents(@ForAll @IntRange(min = 1, max = 20) int part) {
+    void chunkSizeDoesNotChangeEvents(@ForAll @IntRange(min = 1, max = 20) int part) {
         EventSplitter splitter = new EventSplitter();
         List<String> ids = new ArrayList<>();
         ByteArrayOutputStream whole = new ByteArrayOutputStream();
@@ -42,30 +42,30 @@
         for (int from = 0; from < bytes.length; from += part) {
             int to = Math.min(bytes.length, from + part);
             byte[] piece = java.util.Arrays.copyOfRange(bytes, from, to);
-            for (StreamEvent event : splitter.take(piece)) {
+            for (StreamEvent event : splitter.append(piece)) {
                 ids.add(event.id());
                 whole.writeBytes(event.bytes());
             }
         }
         assertEquals(List.of("1", "2", "3"), ids);
         assertArrayEquals(bytes, whole.toByteArray());
-        assertEquals(0, splitter.rest().length);
+        assertEquals(0, splitter.remainder().length);
     }
 
     @Example
-    void idIsOfTheFirstLineThatNamesIt() {
+    void idIsTakenFromTheFirstLineThatSetsIt() {
         EventSplitter splitter = new EventSplitter();
         byte[] bytes = "data: id: 7\nid\nid:8 \nid: 9\n\ni\n\n".getBytes(StandardCharsets.UTF_8);
-        List<StreamEvent> events = splitter.take(bytes);
+        List<StreamEvent> events = splitter.append(bytes);
         assertEquals(List.of("8", ""), events.stream().map(StreamEvent::id).toList());
         assertEquals(0, splitter.pendingBytes());
     }
 
     @Example
-    void halfAnEventIsKeptBack() {
+    void incompleteEventIsHeldBack() {
         EventSplitter splitter = new EventSplitter();
         byte[] bytes = "id: 1\ndata: a\n\nid: 2\nda".getBytes(StandardCharsets.UTF_8);
-        assertEquals(1, splitter.take(bytes).size());
-        assertEquals("id: 2\nda", new String(splitter.rest(), StandardCharsets.UTF_8));
+        assertEquals(1, splitter.append(bytes).size());
+        assertEquals("id: 2\nda", new String(splitter.remainder(), StandardCharsets.UTF_8));
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/QuotasTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/QuotasTest.java
@@ -41,7 +41,7 @@
                 1, List.of(), List.of(), List.of(organisation), RequestBounds.DEFAULTS);
     }
 
-    private static double passedAtOnce(Quotas quotas) {
+    private static double grantedAtOnce(Quotas quotas) {
         double passed = 0;
         while (quotas.tryTake(ORGANISATION, 10, 0) == 0) {
             passed += 10;
@@ -50,138 +50,138 @@
     }
 
     @Example
-    void restartGivesLessThanAFirstStart() {
+    void restartGrantsLessThanAFirstStart() {
         Quotas first = new Quotas(true, EXACT);
-        first.policy(policy(1_000, 1_000), 0);
+        first.applyPolicy(policy(1_000, 1_000), 0);
         Quotas restarted = new Quotas(false, EXACT);
-        restarted.policy(policy(1_000, 1_000), 0);
-        assertEquals(1_000, passedAtOnce(first));
-        assertEquals(600, passedAtOnce(restarted));
+        restarted.applyPolicy(policy(1_000, 1_000), 0);
+        assertEquals(1_000, grantedAtOnce(first));
+        assertEquals(600, grantedAtOnce(restarted));
     }
 
     @Example
-    void restartNeverGivesMoreThanASecondOfALargeBurst() {
+    void restartGrantsAtMostOneSecondOfALargeBurst() {
         Quotas restarted = new Quotas(false, EXACT);
-        restarted.policy(policy(1_000, 5_000), 0);
-        assertEquals(1_000, passedAtOnce(restarted));
+        restarted.applyPolicy(policy(1_000, 5_000), 0);
+        assertEquals(1_000, grantedAtOnce(restarted));
     }
 
     @Example
-    void peersUseCountsOnceHoweverOftenItIsTold() {
+    void useOfAPeerCountsOnceHoweverOftenItIsReported() {
         Quotas quotas = new Quotas(true, EXACT);
-        quotas.policy(policy(1_000, 1_000), 0);
-        quotas.peerUsed("p/1", List.of(new OrganisationUse(ORGANISATION, 0, 0, 1_000)), 0);
-        quotas.peerUsed("p/1", List.of(new OrganisationUse(ORGANISATION, 400, 400, 600)), 0);
-        quotas.peerUsed("p/1", List.of(new OrganisationUse(ORGANISATION, 400, 400, 600)), 0);
-        assertEquals(600, passedAtOnce(quotas));
+        quotas.applyPolicy(policy(1_000, 1_000), 0);
+        quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 0, 0, 1_000)), 0);
+        quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 400, 400, 600)), 0);
+        quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 400, 400, 600)), 0);
+        assertEquals(600, grantedAtOnce(quotas));
     }
 
     @Example
-    void lowerLimitBindsAtOnce() {
+    void lowerLimitAppliesAtOnce() {
         Quotas quotas = new Quotas(true, EXACT);
-        quotas.policy(policy(1_000, 1_000), 0);
-        quotas.policy(policy(10, 50), 0);
-        assertTrue(passedAtOnce(quotas) <= 50);
+        quotas.applyPolicy(policy(1_000, 1_000), 0);
+        quotas.applyPolicy(policy(10, 50), 0);
+        assertTrue(grantedAtOnce(quotas) <= 50);
     }
 
     private static Quotas limited(double burst) {
         Quotas quotas = new Quotas(true, EXACT);
-        quotas.policy(policy(0.001, burst), 0);
+        quotas.applyPolicy(policy(0.001, burst), 0);
         return quotas;
     }
 
     @Example
-    void useOfALeafReachesAllThroughItsHubAndComesBackToNobody() {
+    void useOfALeafReachesAllThroughItsHubAndIsCountedOnce() {
         Quotas leaf = limited(1_000);
         Quotas hub = limited(1_000);
         Quotas otherHub = limited(1_000);
         Quotas otherLeaf = limited(1_000);
-        otherHub.peerUsed("hub/1", hub.groupUses(0), 0);
-        otherLeaf.peerUsed("hub2/1/rest", otherHub.restUses("leaf2/1", 0), 0);
+        otherHub.recordPeerUse("hub/1", hub.groupUses(0), 0);
+        otherLeaf.recordPeerUse("hub2/1/rest", otherHub.usesWithoutLeaf("leaf2/1", 0), 0);
         leaf.tryTake(ORGANISATION, 400, 0);
-        hub.leafUsed("leaf/1", leaf.ownUses(0), 0);
-        leaf.peerUsed("hub/1/rest", hub.restUses("leaf/1", 0), 0);
-        otherHub.peerUsed("hub/1", hub.groupUses(0), 0);
-        otherLeaf.peerUsed("hub2/1/rest", otherHub.restUses("leaf2/1", 0), 0);
-        assertEquals(600, passedAtOnce(leaf));
-        assertEquals(600, passedAtOnce(hub));
-        assertEquals(600, passedAtOnce(otherHub));
-        assertEquals(600, passedAtOnce(otherLeaf));
+        hub.recordLeafUse("leaf/1", leaf.ownUses(0), 0);
+        leaf.recordPeerUse("hub/1/rest", hub.usesWithoutLeaf("leaf/1", 0), 0);
+        otherHub.recordPeerUse("hub/1", hub.groupUses(0), 0);
+        otherLeaf.recordPeerUse("hub2/1/rest", otherHub.usesWithoutLeaf("leaf2/1", 0), 0);
+        assertEquals(600, grantedAtOnce(leaf));
+        assertEquals(600, grantedAtOnce(hub));
+        assertEquals(600, grantedAtOnce(otherHub));
+        assertEquals(600, grantedAtOnce(otherLeaf));
     }
 
     @Example
-    void leafThatChangesItsHubTellsNothingTwiceAndNothingIsMissed() {
+    void useOfALeafThatChangesItsHubIsCountedExactlyOnce() {
         Quotas leaf = limited(1_000);
         Quotas first = limited(1_000);
         Quotas second = limited(1_000);
-        second.peerUsed("first/1", first.groupUses(0), 0);
+        second.recordPeerUse("first/1", first.groupUses(0), 0);
         leaf.tryTake(ORGANISATION, 300, 0);
-        first.leafUsed("leaf/1", leaf.ownUses(0), 0);
-        second.peerUsed("first/1", first.groupUses(0), 0);
+        first.recordLeafUse("leaf/1", leaf.ownUses(0), 0);
+        second.recordPeerUse("first/1", first.groupUses(0), 0);
         leaf.tryTake(ORGANISATION, 200, 0);
-        second.leafUsed("leaf/1", leaf.ownUses(0), 0);
-        assertEquals(500, passedAtOnce(second));
+        second.recordLeafUse("leaf/1", leaf.ownUses(0), 0);
+        assertEquals(500, grantedAtOnce(second));
     }
 
     @Example
-    void leafThatReturnsToAnEarlierHubIsToldNothingTwice() {
+    void leafThatReturnsToAnEarlierHubCountsItsReportsOnce() {
         Quotas leaf = limited(1_000);
         Quotas first = limited(1_000);
         Quotas second = limited(1_000);
-        second.peerUsed("first/1", first.groupUses(0), 0);
-        leaf.peerUsed("first/1", first.restUses("leaf/1", 0), 0);
-        leaf.beginAnew("second/1");
-        leaf.peerUsed("second/1", second.restUses("leaf/1", 0), 0);
+        second.recordPeerUse("first/1", first.groupUses(0), 0);
+        leaf.recordPeerUse("first/1", first.usesWithoutLeaf("leaf/1", 0), 0);
+        leaf.resetIncarnation("second/1");
+        leaf.recordPeerUse("second/1", second.usesWithoutLeaf("leaf/1", 0), 0);
         first.tryTake(ORGANISATION, 400, 0);
-        second.peerUsed("first/1", first.groupUses(0), 0);
-        leaf.peerUsed("second/1", second.restUses("leaf/1", 0), 0);
-        leaf.beginAnew("first/1");
-        leaf.peerUsed("first/1", first.restUses("leaf/1", 0), 0);
-        assertEquals(600, passedAtOnce(leaf));
+        second.recordPeerUse("first/1", first.groupUses(0), 0);
+        leaf.recordPeerUse("second/1", second.usesWithoutLeaf("leaf/1", 0), 0);
+        leaf.resetIncarnation("first/1");
+        leaf.recordPeerUse("first/1", first.usesWithoutLeaf("leaf/1", 0), 0);
+        assertEquals(600, grantedAtOnce(leaf));
     }
 
     @Example
-    void leafThatReturnsToAnEarlierHubTellsNothingTwice() {
+    void earlierHubCountsTheUseOfAReturningLeafOnce() {
         Quotas leaf = limited(1_000);
         Quotas first = limited(1_000);
         Quotas second = limited(1_000);
-        first.peerUsed("second/1", second.groupUses(0), 0);
+        first.recordPeerUse("second/1", second.groupUses(0), 0);
         leaf.tryTake(ORGANISATION, 100, 0);
-        first.leafUsed("leaf/1", leaf.ownUses(0), 0);
+        first.recordLeafUse("leaf/1", leaf.ownUses(0), 0);
         leaf.tryTake(ORGANISATION, 300, 0);
-        second.leafUsed("leaf/1", leaf.ownUses(0), 0);
-        first.peerUsed("second/1", second.groupUses(0), 0);
-        first.beginAnew("leaf/1");
-        first.leafUsed("leaf/1", leaf.ownUses(0), 0);
-        assertEquals(600, passedAtOnce(first));
+        second.recordLeafUse("leaf/1", leaf.ownUses(0), 0);
+        first.recordPeerUse("second/1", second.groupUses(0), 0);
+        first.resetIncarnation("leaf/1");
+        first.recordLeafUse("leaf/1", leaf.ownUses(0), 0);
+        assertEquals(600, grantedAtOnce(first));
     }
 
     /** Uses of nothing are not told, so the first one that is told is an increase from nothing. */
     @Example
-    void firstUseOfALifeThatWasHeardBeforeCounts() {
+    void firstUseOfAKnownIncarnationIsCounted() {
         Quotas quotas = limited(1_000);
-        quotas.peerUsed("p/1", List.of(), 0);
-        quotas.peerUsed("q/1", List.of(), 0);
-        quotas.peerUsed("p/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
-        quotas.peerUsed("q/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
-        assertEquals(400, passedAtOnce(quotas));
+        quotas.recordPeerUse("p/1", List.of(), 0);
+        quotas.recordPeerUse("q/1", List.of(), 0);
+        quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
+        quotas.recordPeerUse("q/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
+        assertEquals(400, grantedAtOnce(quotas));
     }
 
     /** What it used before is in the level that it tells. */
     @Example
-    void firstUseOfALifeThatWasNotHeardBeforeTellsTheLevel() {
+    void firstUseOfAnUnknownIncarnationSetsTheLevel() {
         Quotas quotas = limited(1_000);
-        quotas.peerUsed("p/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
-        quotas.beginAnew("p/1");
-        quotas.peerUsed("p/1", List.of(new OrganisationUse(ORGANISATION, 350, 350, 650)), 0);
-        assertEquals(650, passedAtOnce(quotas));
+        quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
+        quotas.resetIncarnation("p/1");
+        quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 350, 350, 650)), 0);
+        assertEquals(650, grantedAtOnce(quotas));
     }
 
     @Example
-    void peersAreToldOutOfTurnOnceMuchWasLetPass() {
+    void earlyReportIsRequestedOnceMuchUseIsUnreported() {
         Quotas quotas = limited(1_000);
         int[] told = {0};
-        quotas.onMuchUsed(() -> told[0]++);
+        quotas.onMuchUnreported(() -> told[0]++);
         for (int i = 0; i < 4; i++) {
             quotas.tryTake(ORGANISATION, 10, 0);
         }
@@ -194,10 +194,10 @@
     }
 
     @Example
-    void limitWithoutABurstTellsNoMoreOften() {
+    void limitWithoutABurstRequestsNoEarlyReport() {
         Quotas quotas = new Quotas(true, EXACT);
-        quotas.policy(policy(1_000, 0), 0);
-        quotas.onMuchUsed(() -> fail("10 of 1,000 a second are little"));
+        quotas.applyPolicy(policy(1_000, 0), 0);
+        quotas.onMuchUnreported(() -> fail("10 of 1,000 a second are little"));
         quotas.tryTake(ORGANISATION, 10, 0);
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreCallsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreCallsTest.java
@@ -29,7 +29,7 @@
     private final StoreCalls calls = new StoreCalls(new GatewayMetrics());
 
     @Example
-    void eachCallIsToldOnce() {
+    void eachCallIsReportedOnce() {
         calls.countCall(Purpose.MEMBERS, Kind.RENEWAL);
         calls.countCall(Purpose.MEMBERS, Kind.RENEWAL);
         calls.countCall(Purpose.POLICY, Kind.FRESH_READ);
