--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashReportsProperties.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashReportsProperties.java
@@ -32,11 +32,11 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** The form in which reports of requests that end upstreams are told. */
+/** Tests the encoding of reports of requests that end upstreams. */
 class CrashReportsProperties {
     private static final long NOW = 5_000_000;
 
-    private static List<CrashReport> drawn(Random random) {
+    private static List<CrashReport> randomReports(Random random) {
         List<CrashReport> reports = new ArrayList<>();
         for (int i = random.nextInt(20); i > 0; i--) {
             List<UpstreamEnd> ends = new ArrayList<>();
@@ -53,23 +53,23 @@
     }
 
     @Property(tries = 500, seed = "20261203")
-    void reportsComeBackUnchangedByTheReadersClock(@ForAll long seed) throws IOException {
-        List<CrashReport> reports = drawn(new Random(seed));
+    void reportsAreReadBackUnchangedByTheReadersClock(@ForAll long seed) throws IOException {
+        List<CrashReport> reports = randomReports(new Random(seed));
         byte[] bytes = CrashReports.write(reports, 100_000, NOW);
         assertEquals(reports, CrashReports.read(ByteBuffer.wrap(bytes), NOW));
     }
 
     @Property(tries = 200, seed = "20261203")
     void asManyReportsAreWrittenAsFit(@ForAll long seed) throws IOException {
-        List<CrashReport> reports = drawn(new Random(seed));
-        int most = new Random(seed).nextInt(2_000);
-        byte[] bytes = CrashReports.write(reports, most, NOW);
-        assertTrue(bytes.length <= most);
+        List<CrashReport> reports = randomReports(new Random(seed));
+        int maxBytes = new Random(seed).nextInt(2_000);
+        byte[] bytes = CrashReports.write(reports, maxBytes, NOW);
+        assertTrue(bytes.length <= maxBytes);
         List<CrashReport> read = CrashReports.read(ByteBuffer.wrap(bytes), NOW);
         assertEquals(reports.subList(0, read.size()), read);
     }
 
-    /** Whatever comes is read, or refused as unsound; nothing else is thrown. */
+    /** Any bytes are read or refused with an {@link IOException}; nothing else is thrown. */
     @Property(tries = 2_000, seed = "20261203")
     void anyBytesAreReadOrRefused(@ForAll byte[] bytes) {
         try {
@@ -83,7 +83,7 @@
     }
 
     @Example
-    void reportThatEndsEarlyIsRefused() {
+    void truncatedReportIsRefused() {
         List<CrashReport> reports =
                 List.of(
                         new CrashReport(
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/EventSplitterProperties.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/EventSplitterProperties.java
@@ -28,32 +28,32 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** A stream is cut into whole events wherever the network cuts it. */
+/** Tests that a stream is split into complete events, whatever chunks the network delivers. */
 class EventSplitterProperties {
     private static final String STREAM =
             "id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\ndata: c\n\nid: 3\r\ndata: d\r\n\r\n";
 
     @Property
-    void cutsDoNotChangeEvents(@ForAll @IntRange(min = 1, max = 20) int part) {
+    void chunkSizeDoesNotChangeEvents(@ForAll @IntRange(min = 1, max = 20) int chunkSize) {
         EventSplitter splitter = new EventSplitter();
         List<String> ids = new ArrayList<>();
-        ByteArrayOutputStream whole = new ByteArrayOutputStream();
+        ByteArrayOutputStream joined = new ByteArrayOutputStream();
         byte[] bytes = STREAM.getBytes(StandardCharsets.UTF_8);
-        for (int from = 0; from < bytes.length; from += part) {
-            int to = Math.min(bytes.length, from + part);
-            byte[] piece = java.util.Arrays.copyOfRange(bytes, from, to);
-            for (StreamEvent event : splitter.append(piece)) {
+        for (int from = 0; from < bytes.length; from += chunkSize) {
+            int to = Math.min(bytes.length, from + chunkSize);
+            byte[] chunk = java.util.Arrays.copyOfRange(bytes, from, to);
+            for (StreamEvent event : splitter.append(chunk)) {
                 ids.add(event.id());
-                whole.writeBytes(event.bytes());
+                joined.writeBytes(event.bytes());
             }
         }
         assertEquals(List.of("1", "2", "3"), ids);
-        assertArrayEquals(bytes, whole.toByteArray());
+        assertArrayEquals(bytes, joined.toByteArray());
         assertEquals(0, splitter.remainder().length);
     }
 
     @Example
-    void idIsOfTheFirstLineThatNamesIt() {
+    void idIsTakenFromTheFirstLineThatSetsIt() {
         EventSplitter splitter = new EventSplitter();
         byte[] bytes = "data: id: 7\nid\nid:8 \nid: 9\n\ni\n\n".getBytes(StandardCharsets.UTF_8);
         List<StreamEvent> events = splitter.append(bytes);
@@ -62,7 +62,7 @@
     }
 
     @Example
-    void halfAnEventIsKeptBack() {
+    void incompleteEventIsHeldBack() {
         EventSplitter splitter = new EventSplitter();
         byte[] bytes = "id: 1\ndata: a\n\nid: 2\nda".getBytes(StandardCharsets.UTF_8);
         assertEquals(1, splitter.append(bytes).size());
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
@@ -29,32 +29,33 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * What processes of two regions know of each other over links in two levels, in virtual time: 12 to
- * 96 processes in six data centres, a message takes 20 ms.
+ * Tests what processes of two regions know of each other over two levels of links, in virtual time.
+ * There are 12 to 96 processes in six data centres, and a message takes 20 ms.
  */
 class RegionLinksTest {
     private static final double LIMIT = 10_000;
     private static final Map<String, String> REGIONS = SimulatedCluster.REGIONS_OF_SIX;
-    private static final long SETTLED_MILLIS = 8_000;
+    private static final long SETTLE_MILLIS = 8_000;
 
-    private static SimulatedCluster settled(int ofEach, Map<String, String> regions) {
-        SimulatedCluster cluster = new SimulatedCluster(6, ofEach, LIMIT, regions);
-        cluster.pass(SETTLED_MILLIS);
+    private static SimulatedCluster settled(int perDataCentre, Map<String, String> regions) {
+        SimulatedCluster cluster = new SimulatedCluster(6, perDataCentre, LIMIT, regions);
+        cluster.advance(SETTLE_MILLIS);
         return cluster;
     }
 
-    private static void allKnow(SimulatedCluster cluster, Upstream upstream) {
+    private static void addToAll(SimulatedCluster cluster, Upstream upstream) {
         cluster.names().forEach(name -> cluster.process(name).upstreams().changed(upstream));
     }
 
-    private static List<String> unaware(SimulatedCluster cluster, String upstream) {
+    private static List<String> processesUnawareOfLeaving(
+            SimulatedCluster cluster, String upstream) {
         return cluster.names().stream()
                 .filter(name -> cluster.process(name).isRunning())
                 .filter(name -> !cluster.process(name).upstreams().isLeaving(upstream))
                 .toList();
     }
 
-    private static void everyoneHearsAll(SimulatedCluster cluster, int processes) {
+    private static void assertAllReceiveFrom(SimulatedCluster cluster, int processes) {
         for (String name : cluster.names()) {
             if (cluster.process(name).isRunning()) {
                 assertEquals(processes, cluster.process(name).view().heardProcesses(), name);
@@ -63,53 +64,56 @@
     }
 
     @Property(tries = 4, seed = "20261203")
-    void everyProcessIsHeardOnceByEveryOther(@ForAll @IntRange(min = 2, max = 16) int ofEach) {
-        everyoneHearsAll(settled(ofEach, REGIONS), 6 * ofEach);
+    void everyProcessIsCountedOnceByEveryOther(
+            @ForAll @IntRange(min = 2, max = 16) int perDataCentre) {
+        assertAllReceiveFrom(settled(perDataCentre, REGIONS), 6 * perDataCentre);
     }
 
     @Example
-    void bytesBetweenRegionsAreFewAndDoNotGrowWithTheProcesses() {
-        long few = bytesASecond(2, REGIONS);
-        long many = bytesASecond(12, REGIONS);
-        long without = bytesASecond(12, Map.of());
-        String seen = few + " of 12, " + many + " of 72, " + without + " of 72 without levels";
-        assertTrue(many < 60_000, seen);
-        assertTrue(many < 2 * few + 1_000, seen);
-        assertTrue(many < without / 4, seen);
+    void trafficBetweenRegionsIsSmallAndDoesNotGrowWithTheProcesses() {
+        long small = bytesPerSecond(2, REGIONS);
+        long large = bytesPerSecond(12, REGIONS);
+        long oneLevel = bytesPerSecond(12, Map.of());
+        String measured =
+                small + " of 12, " + large + " of 72, " + oneLevel + " of 72 without levels";
+        assertTrue(large < 60_000, measured);
+        assertTrue(large < 2 * small + 1_000, measured);
+        assertTrue(large < oneLevel / 4, measured);
     }
 
-    private static long bytesASecond(int ofEach, Map<String, String> regions) {
-        SimulatedCluster cluster = settled(ofEach, regions);
+    private static long bytesPerSecond(int perDataCentre, Map<String, String> regions) {
+        SimulatedCluster cluster = settled(perDataCentre, regions);
         cluster.demand(LIMIT / 2);
-        cluster.pass(2_000);
+        cluster.advance(2_000);
         long before = cluster.bytesBetweenRegions();
-        cluster.pass(10_000);
+        cluster.advance(10_000);
         return (cluster.bytesBetweenRegions() - before) / 10;
     }
 
     /**
-     * The load of 72 processes: 480 requests a second of 16 organisations that begin to run, and 63
-     * upstreams that every process has work at.
+     * The load on 72 processes: 480 requests a second of 16 organisations start, and every process
+     * has requests at 63 upstreams.
      */
     @Example
-    void bytesBetweenRegionsStayFewUnderTheLoadOfManyOrganisationsAndUpstreams() {
+    void trafficBetweenRegionsStaysSmallUnderTheLoadOfManyOrganisationsAndUpstreams() {
         SimulatedCluster cluster = settled(12, REGIONS);
         for (int i = 0; i < 63; i++) {
-            allKnow(cluster, new Upstream("w" + i, "s", "dc" + i % 6, "h:1", 8, false, false, 0));
+            addToAll(cluster, new Upstream("w" + i, "s", "dc" + i % 6, "h:1", 8, false, false, 0));
         }
         cluster.demand(LIMIT / 2);
-        long begun = 0;
+        long startBytes = 0;
         for (int step = 0; step < 600; step++) {
-            begun = step == 100 ? cluster.bytesBetweenRegions() : begun;
-            work(cluster, step);
-            cluster.pass(20);
+            startBytes = step == 100 ? cluster.bytesBetweenRegions() : startBytes;
+            applyLoad(cluster, step);
+            cluster.advance(20);
         }
-        long aSecond = (cluster.bytesBetweenRegions() - begun) / 10;
-        assertTrue(aSecond < 2 * 60_000, aSecond + " bytes a second, both ways together");
+        long perSecond = (cluster.bytesBetweenRegions() - startBytes) / 10;
+        assertTrue(
+                perSecond < 2 * 60_000, perSecond + " bytes per second, both directions together");
     }
 
-    /** Ten requests begin to run, and each process sends one to another upstream. */
-    private static void work(SimulatedCluster cluster, int step) {
+    /** Starts ten requests, and sends one of each process to the next upstream. */
+    private static void applyLoad(SimulatedCluster cluster, int step) {
         List<String> names = cluster.names();
         for (int i = 0; i < 10; i++) {
             String name = names.get((step * 10 + i) % names.size());
@@ -123,37 +127,37 @@
     @Example
     void upstreamThatLeavesIsKnownInTheOtherRegionWithinHalfASecond() {
         SimulatedCluster cluster = settled(12, REGIONS);
-        allKnow(cluster, new Upstream("w", "s", "dc0", "h:1", 8, false, false, 0));
+        addToAll(cluster, new Upstream("w", "s", "dc0", "h:1", 8, false, false, 0));
         List<String> north = cluster.namesOf("dc2");
         cluster.process(north.get(north.size() - 1))
                 .directory()
                 .leavingSeenBy(new LeavingUpstream("w", 0), "itself");
-        cluster.pass(500);
-        assertEquals(List.of(), unaware(cluster, "w"));
+        cluster.advance(500);
+        assertEquals(List.of(), processesUnawareOfLeaving(cluster, "w"));
     }
 
     @Example
-    void upstreamThatLeavesIsKnownWithinTwoSecondsThoughBothCarriersOfARegionAreLost() {
+    void upstreamThatLeavesIsKnownWithinTwoSecondsAfterTheLossOfBothBridgesOfARegion() {
         SimulatedCluster cluster = settled(12, REGIONS);
-        allKnow(cluster, new Upstream("w", "s", "dc0", "h:1", 8, false, false, 0));
+        addToAll(cluster, new Upstream("w", "s", "dc0", "h:1", 8, false, false, 0));
         cluster.kill("p000");
         cluster.kill("p002");
         List<String> north = cluster.namesOf("dc4");
         cluster.process(north.get(north.size() - 1))
                 .directory()
                 .leavingSeenBy(new LeavingUpstream("w", 0), "itself");
-        cluster.pass(2_000);
-        assertEquals(List.of(), unaware(cluster, "w"));
+        cluster.advance(2_000);
+        assertEquals(List.of(), processesUnawareOfLeaving(cluster, "w"));
     }
 
     @Example
-    void versionThatOneProcessKnowsIsKnownEverywhereWithinASecond() {
+    void policyVersionOfOneProcessIsKnownEverywhereWithinASecond() {
         SimulatedCluster cluster = settled(12, REGIONS);
         String leaf = cluster.namesOf("dc5").get(11);
         for (int version = 1; version <= 3; version++) {
             byte[] value = Integer.toString(version).getBytes(StandardCharsets.US_ASCII);
             cluster.process(leaf).policies().offer(value, "store");
-            cluster.pass(1_000);
+            cluster.advance(1_000);
             for (String name : cluster.names()) {
                 assertEquals(version, cluster.process(name).policies().version(), name);
             }
@@ -161,62 +165,62 @@
     }
 
     @Example
-    void carrierThatLosesPowerIsReplacedWithinOnePointTwoSeconds() {
+    void bridgeThatLosesPowerIsReplacedWithinOnePointTwoSeconds() {
         SimulatedCluster cluster = settled(12, REGIONS);
         cluster.losePower("p000");
-        cluster.pass(1_200);
+        cluster.advance(1_200);
         for (String name : cluster.namesOf("dc1")) {
-            int heard = cluster.process(name).view().heardProcesses();
-            assertTrue(heard >= 36 + 24, name + " hears " + heard);
+            int received = cluster.process(name).view().heardProcesses();
+            assertTrue(received >= 36 + 24, name + " receives from " + received);
         }
-        cluster.pass(10_000);
-        everyoneHearsAll(cluster, 71);
+        cluster.advance(10_000);
+        assertAllReceiveFrom(cluster, 71);
     }
 
     @Example
-    void regionsThatLoseEachOtherHearTheirOwnAndComeTogetherAgain() {
+    void disconnectedRegionsStayConnectedInternallyAndReconnect() {
         SimulatedCluster cluster = settled(6, REGIONS);
         cluster.cut(cluster::isBetweenRegions);
-        cluster.pass(3_000);
-        everyoneHearsAll(cluster, 18);
-        cluster.pass(60_000);
-        everyoneHearsAll(cluster, 18);
+        cluster.advance(3_000);
+        assertAllReceiveFrom(cluster, 18);
+        cluster.advance(60_000);
+        assertAllReceiveFrom(cluster, 18);
         cluster.cut((one, other) -> false);
-        cluster.pass(2_000);
-        everyoneHearsAll(cluster, 36);
+        cluster.advance(2_000);
+        assertAllReceiveFrom(cluster, 36);
     }
 
     @Example
-    void hubThatGoesFirstButCannotReachTheOtherRegionIsStoodInFor() {
+    void firstHubThatCannotReachTheOtherRegionIsReplaced() {
         SimulatedCluster cluster = settled(6, REGIONS);
         List<String> apart = cluster.namesOf("dc0");
         cluster.cut((one, other) -> apart.contains(one) && cluster.isBetweenRegions(one, other));
-        cluster.pass(4_000);
-        everyoneHearsAll(cluster, 36);
+        cluster.advance(4_000);
+        assertAllReceiveFrom(cluster, 36);
         cluster.cut((one, other) -> false);
-        cluster.pass(4_000);
-        everyoneHearsAll(cluster, 36);
+        cluster.advance(4_000);
+        assertAllReceiveFrom(cluster, 36);
     }
 
     @Example
-    void leafThatReachesNobodyOfItsRegionIsHeardThroughTheOther() {
+    void leafThatReachesNoProcessOfItsRegionIsConnectedThroughTheOther() {
         SimulatedCluster cluster = settled(4, REGIONS);
         String leaf = cluster.namesOf("dc5").get(3);
         cluster.cut((one, other) -> one.equals(leaf) && !cluster.isBetweenRegions(one, other));
-        cluster.pass(40_000);
-        everyoneHearsAll(cluster, 24);
+        cluster.advance(40_000);
+        assertAllReceiveFrom(cluster, 24);
     }
 
     @Example
-    void usageIsKnownOnceToEveryHubSinceAnyMayReportIt() {
+    void usageIsCountedOnceAtEveryHub() {
         SimulatedCluster cluster = settled(6, REGIONS);
         for (String name : cluster.names()) {
             cluster.process(name).usage().started("t", 1_000);
         }
-        cluster.pass(1_600);
+        cluster.advance(1_600);
         cluster.kill("p000");
         cluster.process("p035").usage().started("t", 1_000);
-        cluster.pass(3_000);
+        cluster.advance(3_000);
         for (String name : cluster.names()) {
             if (cluster.process(name).isRunning() && cluster.process(name).isHub()) {
                 assertEquals(Map.of("t", 37), cluster.process(name).usage().total(0), name);
@@ -225,28 +229,28 @@
     }
 
     @Example
-    void workOfAnotherRegionIsKnownAsOneSumOnceThoughItsCarrierChanges() {
+    void loadOfAnotherRegionIsCountedOnceWhenItsBridgeChanges() {
         SimulatedCluster cluster = settled(6, REGIONS);
-        allKnow(cluster, new Upstream("n1", "s", "dc0", "h:1", 8, false, false, 0));
-        allKnow(cluster, new Upstream("n2", "s", "dc2", "h:1", 8, false, false, 0));
-        allKnow(cluster, new Upstream("m", "s", "dc1", "h:1", 8, false, false, 0));
+        addToAll(cluster, new Upstream("n1", "s", "dc0", "h:1", 8, false, false, 0));
+        addToAll(cluster, new Upstream("n2", "s", "dc2", "h:1", 8, false, false, 0));
+        addToAll(cluster, new Upstream("m", "s", "dc1", "h:1", 8, false, false, 0));
         for (String name : cluster.namesOf("dc2")) {
             cluster.process(name).loads().sent("n1", 100);
         }
         cluster.process(cluster.namesOf("dc2").get(3)).loads().sent("m", 10);
-        cluster.pass(2_000);
-        checkWork(cluster);
+        cluster.advance(2_000);
+        assertLoads(cluster);
         cluster.kill("p000");
-        cluster.pass(3_000);
-        checkWork(cluster);
+        cluster.advance(3_000);
+        assertLoads(cluster);
     }
 
-    private static void checkWork(SimulatedCluster cluster) {
+    private static void assertLoads(SimulatedCluster cluster) {
         for (String name : cluster.namesOf("dc3")) {
             var loads = cluster.process(name).loads();
             assertEquals(6, loads.requests("n1") + loads.requests("n2"), name);
             assertEquals(600, loads.promptTokens("n1") + loads.promptTokens("n2"), name);
-            assertEquals(3, loads.requests("n1"), name + " hears no more than the sum");
+            assertEquals(3, loads.requests("n1"), name + " receives no more than the sum");
             assertEquals(1, loads.requests("m"), name);
         }
         for (String name : cluster.namesOf("dc4")) {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/TurnOrdersTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SendSlotOrdersTest.java
@@ -29,8 +29,8 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** Which turns are whose. */
-class TurnOrdersTest {
+/** Tests how the send slots of a limited upstream are shared among processes. */
+class SendSlotOrdersTest {
     private static final Map<String, String> REGIONS = Map.of("a", "r1", "b", "r1", "c", "r2");
 
     private static GatewayMember member(int number, String dataCentre) {
@@ -42,14 +42,18 @@
     }
 
     private static SendSlotOrder order(
-            int self, String dataCentre, List<GatewayMember> listed, int processes, String where) {
+            int self,
+            String dataCentre,
+            List<GatewayMember> listed,
+            int processes,
+            String upstreamDataCentre) {
         Topology topology = Topology.of(dataCentre, REGIONS);
         return new TurnOrders("g" + self, topology, () -> listed, () -> processes, () -> 0)
-                .of(upstream(where));
+                .of(upstream(upstreamDataCentre));
     }
 
     @Example
-    void eachOfARegionHasOnePlace() {
+    void eachProcessOfARegionHasOnePlace() {
         List<GatewayMember> listed = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             listed.add(member(i, List.of("a", "b", "c").get(i % 3)));
@@ -58,27 +62,32 @@
         for (int i = 0; i < 12; i++) {
             places.add(order(i, List.of("a", "b", "c").get(i % 3), listed, 12, "a"));
         }
-        assertTrue(places.remove(SendSlotOrder.NO_SHARE), "the other region's have none");
+        assertTrue(
+                places.remove(SendSlotOrder.NO_SHARE),
+                "processes of the other region have no share");
         assertEquals(8, places.size());
         places.forEach(place -> assertEquals(8, place.count()));
     }
 
     @Example
-    void oneThatIsNotListedYetCountsItself() {
+    void unlistedProcessCountsItself() {
         List<GatewayMember> listed = List.of(member(0, "a"), member(2, "a"));
         assertEquals(new SendSlotOrder(1, 3), order(1, "a", listed, 3, "a"));
     }
 
-    /** Or all would take every turn when the store has told nothing after a start of all. */
+    /**
+     * Guards against all processes taking every send slot when all have started and the store has
+     * reported no members yet.
+     */
     @Example
-    void whileNobodyIsKnownAPartIsTaken() {
+    void processTakesAShareWhileOthersAreUnknown() {
         assertEquals(10, order(1, "a", List.of(), 1, "a").count());
         assertEquals(340, order(1, "a", List.of(), 340, "a").count());
         assertEquals(8, order(1, "a", List.of(member(1, "a")), 8, "a").count());
     }
 
     @Example
-    void regionWithoutProcessesIsServedByAll() {
+    void slotsOfARegionWithoutProcessesAreSharedByAll() {
         List<GatewayMember> listed = List.of(member(0, "a"), member(1, "b"));
         assertEquals(2, order(0, "a", listed, 2, "c").count());
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SettingsReaderTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SettingsReaderTest.java
@@ -22,9 +22,9 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Wrong settings are named all at once, with value and expected form. */
+/** Tests that all invalid settings are reported together, with value and expected form. */
 class SettingsReaderTest {
-    private static final String GOOD =
+    private static final String VALID =
             """
             {"node": {"name": "n", "data_centre": "z", "first_start": true},
              "listen": {"callers": "127.0.0.1:1", "health": "127.0.0.1:2",
@@ -37,7 +37,7 @@
 
     @Example
     void readsAllOptionsAndIgnoresUnknownOnes() {
-        GatewaySettings settings = SettingsReader.parse("f", GOOD);
+        GatewaySettings settings = SettingsReader.parse("f", VALID);
         assertEquals("n", settings.node().name());
         assertEquals(8_000, settings.timing().graceMillis());
         assertEquals(10_000, settings.retries().windowMillis());
@@ -45,23 +45,23 @@
     }
 
     @Example
-    void namesEveryFault() {
-        String bad =
-                GOOD.replace("\"n\"", "\"\"")
+    void reportsEveryInvalidOption() {
+        String invalid =
+                VALID.replace("\"n\"", "\"\"")
                         .replace("127.0.0.1:6", "nowhere")
                         .replace("0.2", "\"much\"");
         SettingsException e =
-                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", bad));
+                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", invalid));
         assertTrue(e.getMessage().contains("option node.name is ''"), e.getMessage());
         assertTrue(e.getMessage().contains("option store is 'nowhere'"), e.getMessage());
         assertTrue(e.getMessage().contains("option retries.ratio is 'much'"), e.getMessage());
     }
 
     @Example
-    void keyOfTheVersionBeforeIsRefusedWithItsNewName() {
-        String old = GOOD.replace("data_centre", "zone");
+    void keyOfThePreviousVersionIsRefusedWithItsNewName() {
+        String previous = VALID.replace("data_centre", "zone");
         SettingsException e =
-                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", old));
+                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", previous));
         assertTrue(
                 e.getMessage()
                         .contains(
@@ -71,7 +71,7 @@
     }
 
     private static final String TWO_REGIONS =
-            GOOD.replace("\"first_start\"", "\"region\": \"r\", \"first_start\"")
+            VALID.replace("\"first_start\"", "\"region\": \"r\", \"first_start\"")
                     .replace(
                             "\"seeds\"",
                             "\"regions\": {\"z\": \"r\", \"y\": \"q\"},"
@@ -89,17 +89,17 @@
     }
 
     @Example
-    void withoutRegionAndMemoryThereIsOneRegionAndNoBound() {
-        GatewaySettings settings = SettingsReader.parse("f", GOOD);
+    void withoutRegionAndMemoryThereIsOneRegionAndNoLimit() {
+        GatewaySettings settings = SettingsReader.parse("f", VALID);
         assertEquals(GatewaySettings.Regions.ONE, settings.regions());
         assertEquals(GatewaySettings.Limits.UNKNOWN, settings.limits());
         assertEquals(2, settings.notes().size(), settings.notes().toString());
     }
 
     @Example
-    void tableOfRegionsWithoutTheOwnOneIsSetAsideWithANote() {
-        String bad = TWO_REGIONS.replace("\"z\": \"r\"", "\"x\": \"r\"");
-        GatewaySettings settings = SettingsReader.parse("f", bad);
+    void regionTableWithoutTheOwnRegionIsIgnoredWithANote() {
+        String invalid = TWO_REGIONS.replace("\"z\": \"r\"", "\"x\": \"r\"");
+        GatewaySettings settings = SettingsReader.parse("f", invalid);
         assertEquals(GatewaySettings.Regions.ONE, settings.regions());
         assertEquals(
                 List.of(
@@ -110,31 +110,31 @@
     }
 
     @Example
-    void memoryBelowZeroIsAFault() {
-        String bad = TWO_REGIONS.replace("330", "-1");
+    void negativeMemoryIsRefused() {
+        String invalid = TWO_REGIONS.replace("330", "-1");
         SettingsException e =
-                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", bad));
+                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", invalid));
         assertTrue(e.getMessage().contains("option capacity.memory_mb is '-1'"), e.getMessage());
     }
 
     @Example
-    void rolloutsAreOrderedOnlyWhereTheSettingsSaySo() {
-        assertEquals(GatewaySettings.Rollouts.NONE, SettingsReader.parse("f", GOOD).rollouts());
+    void rolloutsAreOrderedOnlyWhereTheSettingsEnableThem() {
+        assertEquals(GatewaySettings.Rollouts.NONE, SettingsReader.parse("f", VALID).rollouts());
         String ordered =
-                GOOD.replace(
+                VALID.replace(
                         "\"not_known\"",
                         "\"rollouts\": {\"share\": 0.1, \"allowance\": 50}, \"x\"");
         assertEquals(
                 new GatewaySettings.Rollouts(true, 0.1, 50),
                 SettingsReader.parse("f", ordered).rollouts());
-        String bad = ordered.replace("0.1", "1.5");
+        String invalid = ordered.replace("0.1", "1.5");
         SettingsException e =
-                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", bad));
+                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", invalid));
         assertTrue(e.getMessage().contains("option rollouts.share is '1.5'"), e.getMessage());
     }
 
     @Example
-    void saysThatAFileIsNoJson() {
+    void fileThatIsNotJsonIsRefused() {
         SettingsException e =
                 assertThrows(SettingsException.class, () -> SettingsReader.parse("f", "node = 1"));
         assertTrue(e.getMessage().contains("is no JSON"), e.getMessage());
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedStore.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedStore.java
@@ -28,47 +28,47 @@
 import java.util.TreeMap;
 
 /**
- * The platform's store as the processes of a {@link SimulatedCluster} see it: those that follow it
- * list the upstreams and watch them, all others call it now and then. It can come back from a copy,
- * and watches can wait on unheard.
+ * Simulates the platform's store for a {@link SimulatedCluster}. Processes that follow the store
+ * list and watch the upstreams; all others call it periodically. The store can be restored from a
+ * copy, and watches can stall, so that they stay open but deliver no changes.
  */
 final class SimulatedStore {
     private static final long LOST_REVISIONS = 400;
-    private static final long HUB_CALLS_MILLIS = 900;
-    private static final long LEAF_CALLS_MILLIS = 3_000;
-    private static final long ANSWER_MILLIS = 40;
+    private static final long HUB_CALL_INTERVAL_MILLIS = 900;
+    private static final long LEAF_CALL_INTERVAL_MILLIS = 3_000;
+    private static final long ANSWER_DELAY_MILLIS = 40;
     private static final int UPSTREAMS = 5;
 
     private final SimulatedCluster cluster;
     private final TreeMap<String, StoreItem> items = new TreeMap<>();
     private final Map<String, Follower> followers = new HashMap<>();
     private final Set<String> cutOff = new HashSet<>();
-    private TreeMap<String, StoreItem> copy = new TreeMap<>();
+    private TreeMap<String, StoreItem> savedItems = new TreeMap<>();
     private long copiedRevision;
     private long revision = 10;
     private long epoch;
-    private int lists;
+    private int listCalls;
 
-    /** What a process that follows the store has asked it. */
+    /** State of the list and watch calls of one process. */
     private static final class Follower {
         private long epoch;
         private long revision;
-        private long listsAtMillis = -1;
-        private boolean watches;
-        private boolean silent;
+        private long listDueMillis = -1;
+        private boolean watching;
+        private boolean stalled;
     }
 
     /**
      * Creates a store with some upstreams.
      *
-     * @param epoch the epoch that it names; 0 for none
+     * @param epoch the epoch that its answers name; 0 for none
      */
     SimulatedStore(SimulatedCluster cluster, long epoch) {
         this.cluster = cluster;
         this.epoch = epoch;
         cluster.onStep(this::serve);
         for (String name : cluster.names()) {
-            cluster.process(name).view().onMissedChange(() -> watchAnew(name));
+            cluster.process(name).view().onMissedChange(() -> restartWatch(name));
         }
         for (int i = 0; i < UPSTREAMS; i++) {
             put("u" + i);
@@ -79,30 +79,30 @@
         return epoch;
     }
 
-    /** Returns how often it was asked for all upstreams. */
-    int lists() {
-        return lists;
+    /** Returns the number of list calls for all upstreams. */
+    int listCalls() {
+        return listCalls;
     }
 
-    /** Has no call of some processes reach it. */
+    /** Disconnects processes from the store: none of their calls reaches it. */
     void cutOff(List<String> names) {
-        names.forEach(name -> cluster.storeAnswers(name, false));
+        names.forEach(name -> cluster.setStoreReachable(name, false));
         cutOff.addAll(names);
     }
 
-    /** Has a process's watch wait on unheard. */
-    void silence(String name) {
-        followers.get(name).silent = true;
+    /** Stalls the watch of a process: it stays open but delivers no changes. */
+    void stallWatch(String name) {
+        followers.get(name).stalled = true;
     }
 
-    private void watchAnew(String name) {
-        followers.get(name).watches = false;
+    private void restartWatch(String name) {
+        followers.get(name).watching = false;
     }
 
-    /** Returns the processes whose watches wait. */
+    /** Returns the names of the processes with an open watch, sorted. */
     List<String> watching() {
         return followers.entrySet().stream()
-                .filter(entry -> entry.getValue().watches)
+                .filter(entry -> entry.getValue().watching)
                 .map(Map.Entry::getKey)
                 .sorted()
                 .toList();
@@ -117,31 +117,31 @@
     void remove(String id) {
         items.remove(id);
         revision++;
-        StoreItem gone = new StoreItem("upstream/" + id, new byte[0], revision, 0, true);
-        followers.forEach((name, follower) -> tell(name, follower, gone));
+        StoreItem removed = new StoreItem("upstream/" + id, new byte[0], revision, 0, true);
+        followers.forEach((name, follower) -> notifyFollower(name, follower, removed));
     }
 
-    /** Copies what it holds, then has upstreams write, so that a return loses revisions. */
+    /** Copies the items, then writes more, so that a restore from the copy loses revisions. */
     void copyAndWrite() {
-        copy = new TreeMap<>(items);
+        savedItems = new TreeMap<>(items);
         copiedRevision = revision;
         for (int i = 0; i < LOST_REVISIONS; i++) {
             put("lost" + i % 7);
         }
-        cluster.pass(1_000);
+        cluster.advance(1_000);
     }
 
-    /** Comes back; no call fails, and who waits for a change hears of none. */
-    void comeBack() {
+    /** Restores the copy in a new epoch; no call fails, and open watches deliver no changes. */
+    void restoreFromCopy() {
         items.clear();
-        items.putAll(copy);
+        items.putAll(savedItems);
         revision = copiedRevision;
         epoch++;
         followers.forEach(
                 (name, follower) -> {
-                    follower.silent = true;
-                    // refused: it asks for changes after a revision that is not there
-                    follower.watches &= !cluster.isOlder(name);
+                    follower.stalled = true;
+                    // The store refuses a watch after a revision that does not exist.
+                    follower.watching &= !cluster.isOlderBuild(name);
                 });
     }
 
@@ -154,16 +154,17 @@
             if (!process.isRunning() || cutOff.contains(name)) {
                 continue;
             }
-            long pause = process.isHub() ? HUB_CALLS_MILLIS : LEAF_CALLS_MILLIS;
-            if ((now + number * 140L) % pause < 20) {
-                answered(process);
+            long intervalMillis =
+                    process.isHub() ? HUB_CALL_INTERVAL_MILLIS : LEAF_CALL_INTERVAL_MILLIS;
+            if ((now + number * 140L) % intervalMillis < 20) {
+                recordAnswer(process);
             }
             follow(name, process, now);
         }
     }
 
-    private void answered(SimulatedProcess process) {
-        if (!cluster.isOlder(process.member().name())) {
+    private void recordAnswer(SimulatedProcess process) {
+        if (!cluster.isOlderBuild(process.member().name())) {
             process.health().history().isCurrent(epoch);
         }
         process.health().answered();
@@ -172,62 +173,62 @@
     private void follow(String name, SimulatedProcess process, long now) {
         Follower follower = followers.computeIfAbsent(name, key -> new Follower());
         if (!process.followsStore()) {
-            follower.watches = false;
-            follower.listsAtMillis = -1;
+            follower.watching = false;
+            follower.listDueMillis = -1;
             return;
         }
-        boolean same = follower.epoch == process.health().history().epoch();
-        if (follower.watches && (same || cluster.isOlder(name))) {
+        boolean sameEpoch = follower.epoch == process.health().history().epoch();
+        if (follower.watching && (sameEpoch || cluster.isOlderBuild(name))) {
             watch(name, follower);
             return;
         }
-        if (follower.listsAtMillis < 0) {
-            follower.listsAtMillis = now + ANSWER_MILLIS;
-        } else if (now >= follower.listsAtMillis) {
+        if (follower.listDueMillis < 0) {
+            follower.listDueMillis = now + ANSWER_DELAY_MILLIS;
+        } else if (now >= follower.listDueMillis) {
             list(process, follower);
         }
     }
 
     private void list(SimulatedProcess process, Follower follower) {
-        lists++;
-        answered(process);
+        listCalls++;
+        recordAnswer(process);
         process.directory().listed(List.copyOf(items.values()), revision);
         follower.epoch = epoch;
         follower.revision = revision;
-        follower.watches = true;
-        follower.silent = false;
-        follower.listsAtMillis = -1;
+        follower.watching = true;
+        follower.stalled = false;
+        follower.listDueMillis = -1;
     }
 
     private void watch(String name, Follower follower) {
         for (StoreItem item : List.copyOf(items.values())) {
             if (item.revision() > follower.revision) {
-                tell(name, follower, item);
+                notifyFollower(name, follower, item);
             }
         }
     }
 
-    private void tell(String name, Follower follower, StoreItem item) {
-        if (follower.watches && !follower.silent && !cutOff.contains(name)) {
+    private void notifyFollower(String name, Follower follower, StoreItem item) {
+        if (follower.watching && !follower.stalled && !cutOff.contains(name)) {
             follower.revision = Math.max(follower.revision, item.revision());
-            cluster.process(name).storeTells(item);
+            cluster.process(name).storeChanged(item);
         }
     }
 
-    /** Returns the processes that do not hold what the store does. */
+    /** Returns the processes whose upstream list or epoch differs from that of the store. */
     List<String> behind() {
         List<String> behind = new ArrayList<>();
         for (String name : cluster.names()) {
             SimulatedProcess process = cluster.process(name);
-            Map<String, String> held = new TreeMap<>();
+            Map<String, String> actual = new TreeMap<>();
             for (UpstreamEntry entry : process.directory().entries()) {
-                held.put(entry.id(), new String(entry.value(), UTF_8));
+                actual.put(entry.id(), new String(entry.value(), UTF_8));
             }
             Map<String, String> expected = new TreeMap<>();
             items.forEach((id, item) -> expected.put(id, new String(item.value(), UTF_8)));
-            boolean onHistory =
-                    process.health().history().epoch() == epoch || cluster.isOlder(name);
-            if (!onHistory || !held.equals(expected)) {
+            boolean onCurrentEpoch =
+                    process.health().history().epoch() == epoch || cluster.isOlderBuild(name);
+            if (!onCurrentEpoch || !actual.equals(expected)) {
                 behind.add(name);
             }
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreCallsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreCallsTest.java
@@ -24,19 +24,19 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Counts of calls to the store. */
+/** Tests the counts of calls to the store. */
 class StoreCallsTest {
     private final StoreCalls calls = new StoreCalls(new GatewayMetrics());
 
     @Example
-    void eachCallIsToldOnce() {
+    void eachCallIsReportedOnce() {
         calls.made(Purpose.MEMBERS, Kind.RENEWAL);
         calls.made(Purpose.MEMBERS, Kind.RENEWAL);
         calls.made(Purpose.POLICY, Kind.FRESH_READ);
-        List<Count> told = calls.takeUntold();
-        assertEquals(2, told.size());
-        assertTrue(told.contains(new Count(Purpose.MEMBERS, Kind.RENEWAL, 2)));
-        assertTrue(told.contains(new Count(Purpose.POLICY, Kind.FRESH_READ, 1)));
+        List<Count> reported = calls.takeUntold();
+        assertEquals(2, reported.size());
+        assertTrue(reported.contains(new Count(Purpose.MEMBERS, Kind.RENEWAL, 2)));
+        assertTrue(reported.contains(new Count(Purpose.POLICY, Kind.FRESH_READ, 1)));
         assertTrue(calls.takeUntold().isEmpty());
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreHistoryTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreHistoryTest.java
@@ -21,7 +21,7 @@
 
 import net.jqwik.api.Example;
 
-/** Which answers of the store and words of peers count. */
+/** Tests which answers of the store and reports of peers belong to the current history. */
 class StoreHistoryTest {
     private final StoreHistory history = new StoreHistory(new GatewayMetrics());
     private int replaced;
@@ -32,16 +32,16 @@
     }
 
     @Example
-    void lateAnswerOfAnEarlierHistoryDoesNotCount() {
+    void lateAnswerOfAnEarlierHistoryIsIgnored() {
         assertTrue(history.isCurrent(8));
         assertFalse(history.isCurrent(7));
         assertEquals(8, history.epoch());
         assertEquals(1, replaced);
     }
 
-    // Guards against a spoiled field that makes all answers count for nothing.
+    // Guards against an invalid epoch field that causes all answers to be ignored.
     @Example
-    void answerWithASpoiledEpochCountsAsOneWithout() {
+    void answerWithAnInvalidEpochCountsAsOneWithout() {
         assertTrue(history.isCurrent(-1));
         assertTrue(history.isCurrent(Long.MAX_VALUE));
         assertTrue(history.isCurrent(0));
@@ -50,7 +50,7 @@
     }
 
     @Example
-    void peerOnAnotherHistoryIsNotHeard() {
+    void peerOnAnotherHistoryIsIgnored() {
         assertTrue(history.mayBeOf(7));
         assertTrue(history.mayBeOf(0), "older builds name none");
         assertFalse(history.mayBeOf(6));
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/TimePartTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/TimePartTest.java
@@ -27,7 +27,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** The agreed time as digests carry it. */
+/** Tests the digest section with the agreed time. */
 class TimePartTest {
     private static final long TRUE_MILLIS = 1_700_000_000_000L;
 
@@ -41,7 +41,7 @@
     }
 
     @Example
-    void aSteppedProcessFollowsTheOthers() throws IOException {
+    void processWithASteppedClockFollowsTheOthers() throws IOException {
         TimePart stepped = part(-3_000);
         stepped.told("a", own(part(0)), 0);
         stepped.told("b", own(part(1)), 0);
@@ -49,7 +49,7 @@
     }
 
     @Example
-    void aHubTellsTheMedianOfItsLeavesWithTheirNumber() throws IOException {
+    void hubReportsTheMedianOfItsLeavesWithTheirNumber() throws IOException {
         TimePart hub = part(2_400);
         hub.told("a", own(part(0)), 0);
         hub.told("b", own(part(0)), 0);
@@ -59,7 +59,7 @@
     }
 
     @Example
-    void whatASilentPeerToldIsForgotten() throws IOException {
+    void reportsOfAForgottenPeerAreDropped() throws IOException {
         TimePart part = part(3_000);
         part.told("a", own(part(0)), 0);
         part.told("b", own(part(0)), 0);
@@ -69,7 +69,7 @@
     }
 
     @Example
-    void bodiesThatCannotBeReadAreRefused() {
+    void malformedBodiesAreRefused() {
         TimePart part = part(0);
         DigestSection shorter = new DigestSection("time", 1, 0, new byte[3]);
         assertThrows(IOException.class, () -> part.told("a", shorter, 0));
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SoundFiguresTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ValidFiguresTest.java
@@ -26,8 +26,9 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-class SoundFiguresTest {
-    private static final EngineEvidence SOUND = EngineEvidence.none("s");
+/** Tests that invalid figures in digests of peers are removed. */
+class ValidFiguresTest {
+    private static final EngineEvidence VALID = EngineEvidence.none("s");
 
     private static NodeDigest digest(List<ServiceDemand> demands, List<EngineEvidence> evidence) {
         return new NodeDigest(
@@ -48,24 +49,24 @@
     }
 
     @Example
-    void soundDigestIsTakenAsItIs() {
-        NodeDigest digest = digest(List.of(new ServiceDemand("s", 1, 2)), List.of(SOUND));
+    void validDigestIsReturnedUnchanged() {
+        NodeDigest digest = digest(List.of(new ServiceDemand("s", 1, 2)), List.of(VALID));
         assertSame(digest, SoundFigures.of("peer", digest));
     }
 
     @Example
-    void figuresThatCannotBeTrueAreLeftOutAndTheRestIsTaken() {
-        FitSums absurd = new FitSums(1, Double.NaN, 1, 1, 1);
+    void invalidFiguresAreRemovedAndTheOthersKept() {
+        FitSums invalid = new FitSums(1, Double.NaN, 1, 1, 1);
         List<ServiceDemand> demands =
                 List.of(
                         new ServiceDemand("negative", -1, 2),
                         new ServiceDemand("infinite", Double.POSITIVE_INFINITY, 2),
                         new ServiceDemand("s", 1, 2));
         List<EngineEvidence> evidence =
-                List.of(SOUND, new EngineEvidence("bad", absurd, FitSums.NONE, 1, 1));
-        NodeDigest sound = SoundFigures.of("peer", digest(demands, evidence));
-        assertEquals(List.of(new ServiceDemand("s", 1, 2)), sound.demands());
-        assertEquals(List.of(SOUND), sound.evidence());
-        assertEquals(List.of("left"), sound.leaving());
+                List.of(VALID, new EngineEvidence("bad", invalid, FitSums.NONE, 1, 1));
+        NodeDigest valid = SoundFigures.of("peer", digest(demands, evidence));
+        assertEquals(List.of(new ServiceDemand("s", 1, 2)), valid.demands());
+        assertEquals(List.of(VALID), valid.evidence());
+        assertEquals(List.of("left"), valid.leaving());
     }
 }
