--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashHistoriesTest.java
@@ -138,7 +138,7 @@
         names.forEach(name -> disturbedMillis.put(name, cluster.now()));
     }
 
-    private void begin() {
+    private void startRequests() {
         cluster.advance(10_000);
         nextArrivalMillis = cluster.now();
         cluster.onStep(this::step);
@@ -182,7 +182,7 @@
         running.add(new Run(process, upstream, cluster.now()));
     }
 
-    /** Ends an upstream; all running processes that had a request there record it. */
+    /** Ends an upstream; the processes that had a request there record it if they are running. */
     private void ends(Run run) {
         ends++;
         if (ends == CrashLedger.REFUSED_FROM) {
@@ -222,7 +222,7 @@
     @Property(tries = 6, generation = GenerationMode.EXHAUSTIVE)
     void crashingRequestIsRefusedByAllProcessesDespiteFailures(
             @ForAll @IntRange(max = 5) int event) {
-        begin();
+        startRequests();
         cluster.advance(1_000);
         EVENTS.get(event).accept(this);
         cluster.advance(10_000);
@@ -244,7 +244,7 @@
 
     @Property(tries = 6, generation = GenerationMode.EXHAUSTIVE)
     void requestsThatRanBesideACrashingOneAreServedInTheEnd(@ForAll @IntRange(max = 5) int event) {
-        begin();
+        startRequests();
         EVENTS.get(event).accept(this);
         cluster.advance(10_000);
         for (int other = 0; other < OTHER_REQUESTS; other++) {
@@ -260,7 +260,7 @@
         cluster =
                 new SimulatedCluster(
                         6, PROCESSES_PER_DATA_CENTRE / 2, 10_000, SimulatedCluster.REGIONS_OF_SIX);
-        begin();
+        startRequests();
         cluster.advance(12_000);
         System.out.println(
                 "two regions: "
@@ -280,7 +280,7 @@
         long before = cluster.bytes();
         cluster.advance(10_000);
         long usualBytes = cluster.bytes() - before;
-        begin();
+        startRequests();
         cluster.advance(10_000);
         before = cluster.bytes();
         cluster.advance(10_000);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashReportsProperties.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashReportsProperties.java
@@ -34,19 +34,20 @@
 
 /** Tests the encoding of reports of requests that end upstreams. */
 class CrashReportsProperties {
-    private static final long NOW = 5_000_000;
+    private static final long NOW_MILLIS = 5_000_000;
 
     private static List<CrashReport> randomReports(Random random) {
         List<CrashReport> reports = new ArrayList<>();
         for (int i = random.nextInt(20); i > 0; i--) {
             List<UpstreamEnd> ends = new ArrayList<>();
             for (int e = random.nextInt(CrashHistory.MOST_ENDS + 1); e > 0; e--) {
-                long at = NOW - random.nextInt(1_000_000);
+                long at = NOW_MILLIS - random.nextInt(1_000_000);
                 ends.add(
                         new UpstreamEnd(
                                 random.nextLong(), random.nextInt(9), at, random.nextInt(9_000)));
             }
-            long cleared = random.nextBoolean() ? CrashReport.NEVER : NOW - random.nextInt(99_999);
+            long cleared =
+                    random.nextBoolean() ? CrashReport.NEVER : NOW_MILLIS - random.nextInt(99_999);
             reports.add(new CrashReport(new RequestFingerprint(random.nextLong()), cleared, ends));
         }
         return reports;
@@ -55,17 +56,17 @@
     @Property(tries = 500, seed = "20261203")
     void reportsAreReadBackUnchangedByTheReadersClock(@ForAll long seed) throws IOException {
         List<CrashReport> reports = randomReports(new Random(seed));
-        byte[] bytes = CrashReports.write(reports, 100_000, NOW);
-        assertEquals(reports, CrashReports.read(ByteBuffer.wrap(bytes), NOW));
+        byte[] bytes = CrashReports.write(reports, 100_000, NOW_MILLIS);
+        assertEquals(reports, CrashReports.read(ByteBuffer.wrap(bytes), NOW_MILLIS));
     }
 
     @Property(tries = 200, seed = "20261203")
     void asManyReportsAreWrittenAsFit(@ForAll long seed) throws IOException {
         List<CrashReport> reports = randomReports(new Random(seed));
         int maxBytes = new Random(seed).nextInt(2_000);
-        byte[] bytes = CrashReports.write(reports, maxBytes, NOW);
+        byte[] bytes = CrashReports.write(reports, maxBytes, NOW_MILLIS);
         assertTrue(bytes.length <= maxBytes);
-        List<CrashReport> read = CrashReports.read(ByteBuffer.wrap(bytes), NOW);
+        List<CrashReport> read = CrashReports.read(ByteBuffer.wrap(bytes), NOW_MILLIS);
         assertEquals(reports.subList(0, read.size()), read);
     }
 
@@ -73,9 +74,9 @@
     @Property(tries = 2_000, seed = "20261203")
     void anyBytesAreReadOrRefused(@ForAll byte[] bytes) {
         try {
-            for (CrashReport report : CrashReports.read(ByteBuffer.wrap(bytes), NOW)) {
+            for (CrashReport report : CrashReports.read(ByteBuffer.wrap(bytes), NOW_MILLIS)) {
                 assertTrue(report.ends().size() <= CrashHistory.MOST_ENDS);
-                report.ends().forEach(end -> assertTrue(end.atMillis() <= NOW));
+                report.ends().forEach(end -> assertTrue(end.atMillis() <= NOW_MILLIS));
             }
         } catch (IOException e) {
             assertTrue(e.getMessage() != null);
@@ -89,11 +90,11 @@
                         new CrashReport(
                                 new RequestFingerprint(7),
                                 CrashReport.NEVER,
-                                List.of(new UpstreamEnd(1, 0, NOW, 5))));
-        byte[] bytes = CrashReports.write(reports, 1_000, NOW);
+                                List.of(new UpstreamEnd(1, 0, NOW_MILLIS, 5))));
+        byte[] bytes = CrashReports.write(reports, 1_000, NOW_MILLIS);
         for (int length = 1; length < bytes.length; length++) {
             ByteBuffer cut = ByteBuffer.wrap(bytes, 0, length);
-            assertThrows(IOException.class, () -> CrashReports.read(cut, NOW));
+            assertThrows(IOException.class, () -> CrashReports.read(cut, NOW_MILLIS));
         }
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitHistoriesTest.java
@@ -34,8 +34,8 @@
 class LimitHistoriesTest {
     private static final int DATA_CENTRES = 3;
     private static final int PROCESSES_PER_DATA_CENTRE = 10;
-    private static final double LIMIT = 10_000;
-    private static final double USUAL_DEMAND = LIMIT / 1.8;
+    private static final double LIMIT_PER_SECOND = 10_000;
+    private static final double USUAL_DEMAND_PER_SECOND = LIMIT_PER_SECOND / 1.8;
     private static final long SETTLE_MILLIS = 10_000;
 
     private SimulatedCluster cluster;
@@ -97,15 +97,15 @@
     }
 
     private static void demandSurges(SimulatedCluster cluster) {
-        cluster.demand(6 * USUAL_DEMAND);
+        cluster.demand(6 * USUAL_DEMAND_PER_SECOND);
         cluster.advance(6_000);
-        cluster.demand(USUAL_DEMAND);
+        cluster.demand(USUAL_DEMAND_PER_SECOND);
     }
 
     private static void limitFallsAndRises(SimulatedCluster cluster) {
-        cluster.limit(LIMIT / 4);
+        cluster.limit(LIMIT_PER_SECOND / 4);
         cluster.advance(4_000);
-        cluster.limit(LIMIT);
+        cluster.limit(LIMIT_PER_SECOND);
     }
 
     private static void entriesWithoutProcesses(SimulatedCluster cluster) {
@@ -122,10 +122,10 @@
         cluster.advance(1_000);
     }
 
-    private void begin() {
-        cluster = new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, LIMIT);
+    private void startWithUsualDemand() {
+        cluster = new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, LIMIT_PER_SECOND);
         cluster.advance(SETTLE_MILLIS);
-        cluster.demand(USUAL_DEMAND);
+        cluster.demand(USUAL_DEMAND_PER_SECOND);
         cluster.advance(SETTLE_MILLIS);
         assertEquals(0, cluster.refusedSince(0), "refused before any event");
     }
@@ -140,7 +140,7 @@
 
     @Property(tries = 9, generation = GenerationMode.EXHAUSTIVE)
     void requestsWithinTheLimitAreServedAWindowAfterAnEvent(@ForAll @IntRange(max = 8) int event) {
-        begin();
+        startWithUsualDemand();
         EVENTS.get(event).accept(cluster);
         assertEquals(0, refusedAWindowLater());
     }
@@ -148,7 +148,7 @@
     @Property(tries = 12, seed = "20261202", generation = GenerationMode.RANDOMIZED)
     void requestsWithinTheLimitAreServedAWindowAfterTwoEvents(
             @ForAll @IntRange(max = 8) int first, @ForAll @IntRange(max = 8) int second) {
-        begin();
+        startWithUsualDemand();
         EVENTS.get(first).accept(cluster);
         EVENTS.get(second).accept(cluster);
         assertEquals(0, refusedAWindowLater());
@@ -156,7 +156,7 @@
 
     @Example
     void hubsThatRestartOneByOneRefuseNothingWithinTheLimit() {
-        begin();
+        startWithUsualDemand();
         long since = cluster.now() + 1;
         List<String> hubs = new ArrayList<>(cluster.namesOf("dc0").subList(0, 2));
         restartOneByOne(cluster, hubs);
@@ -166,8 +166,8 @@
 
     @Property(tries = 9, generation = GenerationMode.EXHAUSTIVE)
     void noWindowExceedsTheLimitUnderHighDemand(@ForAll @IntRange(max = 8) int event) {
-        begin();
-        cluster.demand(6 * USUAL_DEMAND);
+        startWithUsualDemand();
+        cluster.demand(6 * USUAL_DEMAND_PER_SECOND);
         cluster.advance(3_000);
         if (event != LIMIT_CHANGE_EVENT) {
             EVENTS.get(event).accept(cluster);
@@ -183,11 +183,11 @@
      */
     @Example
     void isolatedProcessesDoNotEachSpendTheWholeBurst() {
-        begin();
+        startWithUsualDemand();
         List<String> isolated = cluster.names().stream().filter(n -> n.matches(".*[369]")).toList();
         cluster.cut((one, other) -> isolated.contains(one) || isolated.contains(other));
         cluster.advance(500);
-        cluster.demand(6 * USUAL_DEMAND);
+        cluster.demand(6 * USUAL_DEMAND_PER_SECOND);
         cluster.advance(12_000);
         double fullest = cluster.fullestWindowShare();
         assertTrue(fullest <= 1, "the fullest window granted " + fullest + " of the allowed units");
@@ -196,7 +196,7 @@
     /** Demand that is spread evenly over all processes stays within the share of each. */
     @Example
     void isolatedProcessesRefuseNothingWithinTheirShare() {
-        begin();
+        startWithUsualDemand();
         long since = cluster.now() + 1;
         List<String> isolated = cluster.names().stream().filter(n -> n.matches(".*[369]")).toList();
         cluster.cut((one, other) -> isolated.contains(one) || isolated.contains(other));
@@ -215,11 +215,11 @@
      */
     @Property(tries = 8, generation = GenerationMode.EXHAUSTIVE)
     void twoKillsWithinAWindowDoNotExceedTheLimit(@ForAll @IntRange(max = 7) int steps) {
-        cluster = new SimulatedCluster(DATA_CENTRES, 3, LIMIT);
+        cluster = new SimulatedCluster(DATA_CENTRES, 3, LIMIT_PER_SECOND);
         cluster.advance(SETTLE_MILLIS);
-        cluster.demand(USUAL_DEMAND);
+        cluster.demand(USUAL_DEMAND_PER_SECOND);
         cluster.advance(SETTLE_MILLIS);
-        cluster.demand(6 * USUAL_DEMAND);
+        cluster.demand(6 * USUAL_DEMAND_PER_SECOND);
         cluster.advance(1_000);
         for (int kill = 0; kill < 2; kill++) {
             List<String> killed = cluster.names().subList(2 * kill, 2 * kill + 5);
@@ -241,12 +241,12 @@
      */
     @Example
     void surgeIsReportedBeforeAllProcessesGrantTheWholeBurst() {
-        cluster = new SimulatedCluster(DATA_CENTRES, 3, LIMIT);
+        cluster = new SimulatedCluster(DATA_CENTRES, 3, LIMIT_PER_SECOND);
         cluster.advance(SETTLE_MILLIS);
-        cluster.demand(15 * LIMIT);
+        cluster.demand(15 * LIMIT_PER_SECOND);
         long startMillis = cluster.now();
         cluster.advance(ClusterView.DIGEST_MILLIS);
-        double allowed = LIMIT * (1 + ClusterView.DIGEST_MILLIS / 1_000.0);
+        double allowed = LIMIT_PER_SECOND * (1 + ClusterView.DIGEST_MILLIS / 1_000.0);
         double granted = cluster.grantedSince(startMillis);
         assertTrue(
                 granted <= allowed + SimulatedCluster.TOLERANCE_UNITS,
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MeshUseTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MeshUseTest.java
@@ -30,34 +30,38 @@
     private static final int PROCESSES = DATA_CENTRES * PROCESSES_PER_DATA_CENTRE;
     private static final int SECONDS = 10;
     private static final long SETTLE_MILLIS = 6_000;
-    private static final double LIMIT = 10_000;
+    private static final double LIMIT_PER_SECOND = 10_000;
 
     /**
-     * Expected are 17.5: five a second in each direction on 66 links between hubs and 60 links of
-     * leaves.
+     * Maximum messages per second and process. Expected are 17.5: five a second in each direction
+     * on 66 links between hubs and 60 links of leaves.
      */
     private static final double MAX_MESSAGES_PER_SECOND = 19.3;
 
-    /** Expected are 442.5. */
+    /** Maximum bytes per second and process without requests; expected are 442.5. */
     private static final double MAX_IDLE_BYTES_PER_SECOND = 487;
 
-    /** Expected are 967.5. */
+    /** Maximum bytes per second and process under load; expected are 967.5. */
     private static final double MAX_BUSY_BYTES_PER_SECOND = 1_064;
 
     private final SimulatedCluster cluster =
-            new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, LIMIT);
+            new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, LIMIT_PER_SECOND);
 
     private void assertTraffic(double maxMessages, double maxBytes) {
         cluster.advance(SETTLE_MILLIS);
         long messages = cluster.messages();
         long bytes = cluster.bytes();
         cluster.advance(SECONDS * 1_000L);
-        double each = PROCESSES * SECONDS;
-        double sent = (cluster.messages() - messages) / each;
-        double size = (cluster.bytes() - bytes) / each;
-        String measured = sent + " messages and " + size + " bytes per second and process";
-        assertTrue(sent <= maxMessages, measured);
-        assertTrue(size <= maxBytes, measured);
+        double processSeconds = PROCESSES * SECONDS;
+        double messagesPerSecond = (cluster.messages() - messages) / processSeconds;
+        double bytesPerSecond = (cluster.bytes() - bytes) / processSeconds;
+        String measured =
+                messagesPerSecond
+                        + " messages and "
+                        + bytesPerSecond
+                        + " bytes per second and process";
+        assertTrue(messagesPerSecond <= maxMessages, measured);
+        assertTrue(bytesPerSecond <= maxBytes, measured);
     }
 
     @Example
@@ -67,7 +71,7 @@
 
     @Example
     void trafficIsBoundedUnderLoad() {
-        cluster.demand(LIMIT / 2);
+        cluster.demand(LIMIT_PER_SECOND / 2);
         assertTraffic(MAX_MESSAGES_PER_SECOND, MAX_BUSY_BYTES_PER_SECOND);
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLimitsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLimitsTest.java
@@ -33,8 +33,8 @@
  */
 class RegionLimitsTest {
     private static final int PROCESSES_PER_DATA_CENTRE = 5;
-    private static final double LIMIT = 10_000;
-    private static final double USUAL_DEMAND = LIMIT / 1.8;
+    private static final double LIMIT_PER_SECOND = 10_000;
+    private static final double USUAL_DEMAND_PER_SECOND = LIMIT_PER_SECOND / 1.8;
     private static final long SETTLE_MILLIS = 10_000;
 
     /** The bridge hubs of the two regions as long as nothing fails. */
@@ -121,20 +121,23 @@
         cluster.advance(1_000);
     }
 
-    private void begin() {
+    private void startWithUsualDemand() {
         cluster =
                 new SimulatedCluster(
-                        6, PROCESSES_PER_DATA_CENTRE, LIMIT, SimulatedCluster.REGIONS_OF_SIX);
+                        6,
+                        PROCESSES_PER_DATA_CENTRE,
+                        LIMIT_PER_SECOND,
+                        SimulatedCluster.REGIONS_OF_SIX);
         cluster.advance(SETTLE_MILLIS);
-        cluster.demand(USUAL_DEMAND);
+        cluster.demand(USUAL_DEMAND_PER_SECOND);
         cluster.advance(SETTLE_MILLIS);
         assertEquals(0, cluster.refusedSince(0), "refused before any event");
     }
 
     @Example
     void limitIsKeptUnderHighDemandInBothRegions() {
-        begin();
-        cluster.demand(6 * USUAL_DEMAND);
+        startWithUsualDemand();
+        cluster.demand(6 * USUAL_DEMAND_PER_SECOND);
         cluster.advance(20_000);
         double fullest = cluster.fullestWindowShare();
         assertTrue(fullest <= 1, "the fullest window granted " + fullest + " of the allowed units");
@@ -143,7 +146,7 @@
 
     @Property(tries = 8, generation = GenerationMode.EXHAUSTIVE)
     void requestsWithinTheLimitAreServedAWindowAfterAnEvent(@ForAll @IntRange(max = 7) int event) {
-        begin();
+        startWithUsualDemand();
         EVENTS.get(event).accept(cluster);
         cluster.advance(SimulatedCluster.WINDOW_MILLIS);
         long since = cluster.now() + 1;
@@ -153,8 +156,8 @@
 
     @Property(tries = 8, generation = GenerationMode.EXHAUSTIVE)
     void noWindowExceedsTheLimitUnderHighDemand(@ForAll @IntRange(max = 7) int event) {
-        begin();
-        cluster.demand(6 * USUAL_DEMAND);
+        startWithUsualDemand();
+        cluster.demand(6 * USUAL_DEMAND_PER_SECOND);
         cluster.advance(3_000);
         EVENTS.get(event).accept(cluster);
         cluster.advance(SimulatedCluster.WINDOW_MILLIS);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
@@ -33,12 +33,13 @@
  * There are 12 to 96 processes in six data centres, and a message takes 20 ms.
  */
 class RegionLinksTest {
-    private static final double LIMIT = 10_000;
+    private static final double LIMIT_PER_SECOND = 10_000;
     private static final Map<String, String> REGIONS = SimulatedCluster.REGIONS_OF_SIX;
     private static final long SETTLE_MILLIS = 8_000;
 
     private static SimulatedCluster settled(int perDataCentre, Map<String, String> regions) {
-        SimulatedCluster cluster = new SimulatedCluster(6, perDataCentre, LIMIT, regions);
+        SimulatedCluster cluster =
+                new SimulatedCluster(6, perDataCentre, LIMIT_PER_SECOND, regions);
         cluster.advance(SETTLE_MILLIS);
         return cluster;
     }
@@ -83,7 +84,7 @@
 
     private static long bytesPerSecond(int perDataCentre, Map<String, String> regions) {
         SimulatedCluster cluster = settled(perDataCentre, regions);
-        cluster.demand(LIMIT / 2);
+        cluster.demand(LIMIT_PER_SECOND / 2);
         cluster.advance(2_000);
         long before = cluster.bytesBetweenRegions();
         cluster.advance(10_000);
@@ -91,8 +92,8 @@
     }
 
     /**
-     * The load on 72 processes: 480 requests a second of 16 organisations start, and every process
-     * has requests at 63 upstreams.
+     * Load on 72 processes: 500 requests a second of 16 organisations start, where 480 are
+     * expected, and every process has requests at 63 upstreams.
      */
     @Example
     void trafficBetweenRegionsStaysSmallUnderTheLoadOfManyOrganisationsAndUpstreams() {
@@ -100,7 +101,7 @@
         for (int i = 0; i < 63; i++) {
             addToAll(cluster, new Upstream("w" + i, "s", "dc" + i % 6, "h:1", 8, false, false, 0));
         }
-        cluster.demand(LIMIT / 2);
+        cluster.demand(LIMIT_PER_SECOND / 2);
         long startBytes = 0;
         for (int step = 0; step < 600; step++) {
             startBytes = step == 100 ? cluster.bytesBetweenRegions() : startBytes;
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedCluster.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedCluster.java
@@ -85,7 +85,7 @@
     private long bytesBetweenRegions;
     private ServingPolicy policy;
     private Runnable onStep = () -> {};
-    private Set<String> olderBuilds = Set.of();
+    private Set<String> olderBuildNames = Set.of();
     private double demand;
     private double maxAllowedUnits;
     private long now;
@@ -339,11 +339,11 @@
     }
 
     /** Closes the links that a process opened and no longer plans. */
-    void closeUnwanted(String dialler, Set<String> wantedAddresses) {
+    void closeUnplanned(String dialler, Set<String> plannedAddresses) {
         links.removeIf(
                 link ->
                         link.dialler().equals(dialler)
-                                && !wantedAddresses.contains(link.other() + ":1"));
+                                && !plannedAddresses.contains(link.other() + ":1"));
     }
 
     void close(String one, String other) {
@@ -351,16 +351,17 @@
     }
 
     /** Makes processes run an older build, which neither sends nor reads store epochs. */
-    void olderBuilds(Collection<String> names) {
-        olderBuilds = Set.copyOf(names);
+    void olderBuildNames(Collection<String> names) {
+        olderBuildNames = Set.copyOf(names);
     }
 
     boolean isOlderBuild(String name) {
-        return olderBuilds.contains(name);
+        return olderBuildNames.contains(name);
     }
 
     private NodeMessage withoutUnknownSections(NodeHello from, String to, NodeMessage message) {
-        boolean involvesOlderBuild = olderBuilds.contains(from.name()) || olderBuilds.contains(to);
+        boolean involvesOlderBuild =
+                olderBuildNames.contains(from.name()) || olderBuildNames.contains(to);
         if (!involvesOlderBuild || !(message instanceof NodeDigest digest)) {
             return message;
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
@@ -308,7 +308,7 @@
         }
         boolean fullMesh = planner.size() <= HubTopology.FULL_MESH_MOST && topology.isOneRegion();
         if (planned && !fullMesh) {
-            cluster.closeUnwanted(member.name(), plan.dial());
+            cluster.closeUnplanned(member.name(), plan.dial());
         }
         for (String address : plan.dial()) {
             String name = address.substring(0, address.indexOf(':'));
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreEpochHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreEpochHistoriesTest.java
@@ -148,7 +148,7 @@
         cluster = new SimulatedCluster(3, 10, 10_000);
         List<String> hubs = cluster.names().subList(0, 6);
         List<String> leaves = cluster.names().subList(6, 30);
-        cluster.olderBuilds(hubsAreOlder ? hubs : leaves);
+        cluster.olderBuildNames(hubsAreOlder ? hubs : leaves);
         run();
         store.copyAndWrite();
         store.restoreFromCopy();
