--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MeshUseTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MeshUseTest.java
@@ -22,7 +22,7 @@
 /**
  * Tests the number of messages and bytes that processes send each other, per second of virtual
  * time, so that the cost of an added digest section is noticed. The bounds are 10 % above the
- * expected figures.
+ * reference figures.
  */
 class MeshUseTest {
     private static final int DATA_CENTRES = 6;
@@ -33,15 +33,15 @@
     private static final double LIMIT_PER_SECOND = 10_000;
 
     /**
-     * Maximum messages per second and process. Expected are 17.5: five a second in each direction
-     * on 66 links between hubs and 60 links of leaves.
+     * Maximum messages per second and process. The reference is 17.5: five a second in each
+     * direction on 66 links between hubs and 60 links of leaves.
      */
     private static final double MAX_MESSAGES_PER_SECOND = 19.3;
 
-    /** Maximum bytes per second and process without requests; expected are 442.5. */
+    /** Maximum bytes per second and process without requests; the reference is 442.5. */
     private static final double MAX_IDLE_BYTES_PER_SECOND = 487;
 
-    /** Maximum bytes per second and process under load; expected are 967.5. */
+    /** Maximum bytes per second and process under load; the reference is 967.5. */
     private static final double MAX_BUSY_BYTES_PER_SECOND = 1_064;
 
     private final SimulatedCluster cluster =
