--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitHistoriesTest.java
@@ -209,9 +209,9 @@
     /**
      * More than half of a small cluster is killed twice within one window under high demand.
      *
-     * <p>Runs of the whole system exceeded the limit by 0.5 to 6 % in this case. The simulation
-     * does not reproduce that, and its fullest window stays below 0.95 of the allowed units,
-     * because it does not model the path from the limit to the upstream.
+     * <p>Runs over a day with such kills exceeded the limit by 0.5 to 6 %. The simulation does not
+     * reproduce that, and its fullest window stays below 0.95 of the allowed units, because it does
+     * not model the path from the limit to the upstream.
      */
     @Property(tries = 8, generation = GenerationMode.EXHAUSTIVE)
     void twoKillsWithinAWindowDoNotExceedTheLimit(@ForAll @IntRange(max = 7) int steps) {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
@@ -92,8 +92,8 @@
     }
 
     /**
-     * Load on 72 processes: 500 requests a second of 16 organisations start, where 480 are
-     * expected, and every process has requests at 63 upstreams.
+     * At least the load of 72 processes, which is 480 requests a second of 16 organisations: 500 a
+     * second start, and every process has requests at 63 upstreams.
      */
     @Example
     void trafficBetweenRegionsStaysSmallUnderTheLoadOfManyOrganisationsAndUpstreams() {
