--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ClusterViewTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ClusterViewTest.java
@@ -53,8 +53,8 @@
         ClusterView created =
                 new ClusterView(
                         () -> 0,
-                        new PolicyKeeper(format),
-                        new DirectoryKeeper(format, new UpstreamDirectory(), () -> 0, task -> {}),
+                        new PolicyManager(format),
+                        new DirectoryManager(format, new UpstreamDirectory(), () -> 0, task -> {}),
                         new StoreHealth(metrics),
                         quotas,
                         new UpstreamLoads(),
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ConnectionSharesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ConnectionSharesTest.java
@@ -33,7 +33,7 @@
     void idleConnectionsOfAllProcessesFitIntoTheAcceptedNumber(
             @ForAll @IntRange(min = 1, max = 340) int processes,
             @ForAll @IntRange(min = 1, max = 1_000) int accepted) {
-        int maxIdle = ConnectionShares.part(accepted - UPSTREAM.slots(), processes);
+        int maxIdle = ConnectionShares.share(accepted - UPSTREAM.slots(), processes);
         boolean oneEach = accepted - UPSTREAM.slots() < processes;
         assertTrue(maxIdle >= 1 && maxIdle <= 64);
         assertTrue(oneEach || maxIdle * processes + UPSTREAM.slots() <= accepted);
@@ -42,7 +42,7 @@
     @Example
     void withoutABoundAFixedNumberOfIdleConnectionsIsKept() {
         ConnectionShares shares =
-                new ConnectionShares(new PolicyKeeper(new EmptyPlatformFormat()), () -> 340);
-        assertEquals(64, shares.mostResting("m", UPSTREAM));
+                new ConnectionShares(new PolicyManager(new EmptyPlatformFormat()), () -> 340);
+        assertEquals(64, shares.maxIdle("m", UPSTREAM));
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashHistoriesTest.java
@@ -185,7 +185,7 @@
     /** Ends an upstream; the processes that had a request there record it if they are running. */
     private void ends(Run run) {
         ends++;
-        if (ends == CrashLedger.REFUSED_FROM) {
+        if (ends == CrashLedger.REFUSAL_MIN_ENDS) {
             thirdEndMillis = cluster.now();
         }
         recordEnd(run.process(), CRASHING, run.upstream(), cluster.now() - run.sentMillis());
@@ -204,7 +204,7 @@
     private void recordEnd(
             String process, RequestFingerprint request, Upstream upstream, long ranMillis) {
         if (cluster.process(process).isRunning()) {
-            cluster.process(process).crashes().ended("t", identity(request), upstream, ranMillis);
+            cluster.process(process).crashes().recordEnd("t", identity(request), upstream, ranMillis);
         }
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashPartTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashPartTest.java
@@ -53,7 +53,7 @@
 
     private void recordEnds(CrashWatch watch, long request, int times) {
         for (int i = 0; i < times; i++) {
-            watch.ended("t", request(request), upstream(request + "-" + i), 100);
+            watch.recordEnd("t", request(request), upstream(request + "-" + i), 100);
         }
     }
 
@@ -65,11 +65,11 @@
     @Example
     void endsSeenByTwoProcessesAddUp() throws IOException {
         recordEnds(own, 1, 2);
-        other.ended("t", request(1), upstream("elsewhere"), 100);
-        otherPart.told("own", section(ownPart), now);
+        other.recordEnd("t", request(1), upstream("elsewhere"), 100);
+        otherPart.received("own", section(ownPart), now);
         assertTrue(other.refuses("t", request(1)));
         assertFalse(own.refuses("t", request(1)));
-        ownPart.told("other", section(otherPart), now);
+        ownPart.received("other", section(otherPart), now);
         assertTrue(own.refuses("t", request(1)));
     }
 
@@ -80,10 +80,10 @@
         }
         now += NO_LONGER_RECENT_MILLIS;
         int withoutNewPeer = section(ownPart).body().length;
-        ownPart.told("other", section(otherPart), now);
+        ownPart.received("other", section(otherPart), now);
         DigestSection all = section(ownPart);
         assertTrue(all.body().length > 10 * withoutNewPeer, all.body().length + " bytes");
-        otherPart.told("own", all, now);
+        otherPart.received("own", all, now);
         for (int request = 1; request <= 20; request++) {
             assertTrue(other.refuses("t", request(request)));
         }
@@ -95,8 +95,8 @@
         recordEnds(own, 2, 3);
         now += NO_LONGER_RECENT_MILLIS;
         for (int round = 0; round < 2; round++) {
-            otherPart.told("own", section(ownPart), now);
-            now += ClusterView.DIGEST_MILLIS;
+            otherPart.received("own", section(ownPart), now);
+            now += ClusterView.DIGEST_INTERVAL_MILLIS;
         }
         assertTrue(other.refuses("t", request(1)));
         assertTrue(other.refuses("t", request(2)));
@@ -113,21 +113,21 @@
     @Example
     void invalidSectionIsRefusedAsAWhole() {
         DigestSection shortOne = new DigestSection("crashes", 1, 0, new byte[3]);
-        assertThrows(IOException.class, () -> ownPart.told("p", shortOne, now));
+        assertThrows(IOException.class, () -> ownPart.received("p", shortOne, now));
         byte[] tooManyEnds = new byte[8 + 13];
         tooManyEnds[8 + 12] = 100;
         DigestSection invalid = new DigestSection("crashes", 1, 0, tooManyEnds);
-        assertThrows(IOException.class, () -> ownPart.told("p", invalid, now));
+        assertThrows(IOException.class, () -> ownPart.received("p", invalid, now));
         assertEquals(0, own.ledger().size());
     }
 
     @Example
     void liftByAnOperatorIsReportedToPeers() throws IOException {
         recordEnds(own, 1, 3);
-        otherPart.told("own", section(ownPart), now);
+        otherPart.received("own", section(ownPart), now);
         now += 1_000;
         assertTrue(other.lift(new RequestFingerprint(1)));
-        ownPart.told("other", section(otherPart), now);
+        ownPart.received("other", section(otherPart), now);
         assertFalse(own.refuses("t", request(1)));
     }
 
@@ -136,8 +136,8 @@
         List<RequestFingerprint> reported = new ArrayList<>();
         other.onRefused(reported::add);
         recordEnds(own, 1, 3);
-        otherPart.told("own", section(ownPart), now);
-        otherPart.told("own", section(ownPart), now);
+        otherPart.received("own", section(ownPart), now);
+        otherPart.received("own", section(ownPart), now);
         assertEquals(List.of(new RequestFingerprint(1)), reported);
     }
 
@@ -150,14 +150,14 @@
         List<CrashPart> reporters = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             CrashWatch watch = watch();
-            watch.ended("t", request(1), upstream("w" + i), 50);
+            watch.recordEnd("t", request(1), upstream("w" + i), 50);
             now += 20;
-            watch.ranWhole(request(1));
+            watch.ranToCompletion(request(1));
             now += 20;
             reporters.add(new CrashPart(watch, 10 + i));
         }
         for (CrashPart reporter : reporters) {
-            otherPart.told("teller" + reporters.indexOf(reporter), section(reporter), now);
+            otherPart.received("teller" + reporters.indexOf(reporter), section(reporter), now);
         }
         assertFalse(other.refuses("t", request(1)));
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashReportsProperties.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashReportsProperties.java
@@ -40,7 +40,7 @@
         List<CrashReport> reports = new ArrayList<>();
         for (int i = random.nextInt(20); i > 0; i--) {
             List<UpstreamEnd> ends = new ArrayList<>();
-            for (int e = random.nextInt(CrashHistory.MOST_ENDS + 1); e > 0; e--) {
+            for (int e = random.nextInt(CrashHistory.MAX_ENDS + 1); e > 0; e--) {
                 long at = NOW_MILLIS - random.nextInt(1_000_000);
                 ends.add(
                         new UpstreamEnd(
@@ -56,17 +56,17 @@
     @Property(tries = 500, seed = "20261203")
     void reportsAreReadBackUnchangedByTheReadersClock(@ForAll long seed) throws IOException {
         List<CrashReport> reports = randomReports(new Random(seed));
-        byte[] bytes = CrashReports.write(reports, 100_000, NOW_MILLIS);
-        assertEquals(reports, CrashReports.read(ByteBuffer.wrap(bytes), NOW_MILLIS));
+        byte[] bytes = CrashReportCodec.write(reports, 100_000, NOW_MILLIS);
+        assertEquals(reports, CrashReportCodec.read(ByteBuffer.wrap(bytes), NOW_MILLIS));
     }
 
     @Property(tries = 200, seed = "20261203")
     void asManyReportsAreWrittenAsFit(@ForAll long seed) throws IOException {
         List<CrashReport> reports = randomReports(new Random(seed));
         int maxBytes = new Random(seed).nextInt(2_000);
-        byte[] bytes = CrashReports.write(reports, maxBytes, NOW_MILLIS);
+        byte[] bytes = CrashReportCodec.write(reports, maxBytes, NOW_MILLIS);
         assertTrue(bytes.length <= maxBytes);
-        List<CrashReport> read = CrashReports.read(ByteBuffer.wrap(bytes), NOW_MILLIS);
+        List<CrashReport> read = CrashReportCodec.read(ByteBuffer.wrap(bytes), NOW_MILLIS);
         assertEquals(reports.subList(0, read.size()), read);
     }
 
@@ -74,8 +74,8 @@
     @Property(tries = 2_000, seed = "20261203")
     void anyBytesAreReadOrRefused(@ForAll byte[] bytes) {
         try {
-            for (CrashReport report : CrashReports.read(ByteBuffer.wrap(bytes), NOW_MILLIS)) {
-                assertTrue(report.ends().size() <= CrashHistory.MOST_ENDS);
+            for (CrashReport report : CrashReportCodec.read(ByteBuffer.wrap(bytes), NOW_MILLIS)) {
+                assertTrue(report.ends().size() <= CrashHistory.MAX_ENDS);
                 report.ends().forEach(end -> assertTrue(end.atMillis() <= NOW_MILLIS));
             }
         } catch (IOException e) {
@@ -91,10 +91,10 @@
                                 new RequestFingerprint(7),
                                 CrashReport.NEVER,
                                 List.of(new UpstreamEnd(1, 0, NOW_MILLIS, 5))));
-        byte[] bytes = CrashReports.write(reports, 1_000, NOW_MILLIS);
+        byte[] bytes = CrashReportCodec.write(reports, 1_000, NOW_MILLIS);
         for (int length = 1; length < bytes.length; length++) {
             ByteBuffer cut = ByteBuffer.wrap(bytes, 0, length);
-            assertThrows(IOException.class, () -> CrashReports.read(cut, NOW_MILLIS));
+            assertThrows(IOException.class, () -> CrashReportCodec.read(cut, NOW_MILLIS));
         }
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/DirectoryKeeperTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/DirectoryKeeperTest.java
@@ -40,8 +40,8 @@
     private final List<String> leftIds = new ArrayList<>();
     private final List<Runnable> scheduled = new ArrayList<>();
     private long now;
-    private final DirectoryKeeper manager =
-            new DirectoryKeeper(new PlainFormat(), directory, () -> now, scheduled::add);
+    private final DirectoryManager manager =
+            new DirectoryManager(new PlainFormat(), directory, () -> now, scheduled::add);
 
     DirectoryKeeperTest() {
         manager.onLeaving(upstream -> leftIds.add(upstream.id()));
@@ -94,7 +94,7 @@
         manager.storeRegained();
         manager.listed(List.of(item("a", READY, 1)), 5);
         assertEquals(2, serving());
-        now += DirectoryKeeper.RETURN_MILLIS - 1;
+        now += DirectoryManager.REAPPEARANCE_MILLIS - 1;
         manager.changed(item("b", READY, 6));
         advance(1);
         assertEquals(2, serving());
@@ -107,7 +107,7 @@
         manager.changed(removed("a", 3));
         manager.listed(List.of(), 5);
         assertEquals(2, serving());
-        advance(DirectoryKeeper.RETURN_MILLIS);
+        advance(DirectoryManager.REAPPEARANCE_MILLIS);
         assertEquals(0, serving());
         assertEquals(2, leftIds.size(), leftIds.toString());
     }
@@ -127,17 +127,17 @@
 
     @Example
     void leavingReportedByAPeerStaysInForceToo() {
-        manager.leavingSeenBy(new LeavingUpstream("b", 0), "peer");
+        manager.leavingReportedBy(new LeavingUpstream("b", 0), "peer");
         manager.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 5);
         assertEquals(1, serving());
     }
 
     @Example
     void leavingAnnouncedByTheUpstreamIsReportedOnce() {
-        assertTrue(manager.leavingSaidBy(directory.find("a").orElseThrow()));
-        assertFalse(manager.leavingSaidBy(directory.find("a").orElseThrow()));
+        assertTrue(manager.leavingAnnouncedBy(directory.find("a").orElseThrow()));
+        assertFalse(manager.leavingAnnouncedBy(directory.find("a").orElseThrow()));
         manager.changed(item("a", LEAVING, 3));
-        manager.leavingSeenBy(new LeavingUpstream("a", 0), "peer");
+        manager.leavingReportedBy(new LeavingUpstream("a", 0), "peer");
         assertEquals(List.of("a"), leftIds);
         assertEquals(1, serving());
     }
@@ -168,10 +168,10 @@
         manager.changed(item("a", READY, 400));
         manager.historyReplaced();
         assertTrue(manager.isKnown(), "upstreams stay known");
-        manager.fromPeer(List.of(new UpstreamEntry("a", bytes(READY))), 20, "hub");
+        manager.applyFromPeer(List.of(new UpstreamEntry("a", bytes(READY))), 20, "hub");
         assertEquals(20, manager.revision());
         assertEquals(2, serving(), "a missing upstream may return");
-        advance(DirectoryKeeper.RETURN_MILLIS);
+        advance(DirectoryManager.REAPPEARANCE_MILLIS);
         assertEquals(1, serving());
     }
 
@@ -192,8 +192,8 @@
         manager.changed(removed("a", 400));
         manager.historyReplaced();
         manager.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 5);
-        advance(DirectoryKeeper.RETURN_MILLIS);
-        advance(DirectoryKeeper.RETURN_MILLIS);
+        advance(DirectoryManager.REAPPEARANCE_MILLIS);
+        advance(DirectoryManager.REAPPEARANCE_MILLIS);
         assertEquals(2, serving());
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LeavingHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LeavingHistoriesTest.java
@@ -70,8 +70,8 @@
     private void announceLeaving() {
         List<String> names = cluster.names();
         for (int i = 0; i < LEAVING_UPSTREAMS; i++) {
-            DirectoryKeeper directory = cluster.process(names.get(i % names.size())).directory();
-            directory.leavingSaidBy(directory.find(id(i)).orElseThrow());
+            DirectoryManager directory = cluster.process(names.get(i % names.size())).directory();
+            directory.leavingAnnouncedBy(directory.find(id(i)).orElseThrow());
         }
     }
 
@@ -132,34 +132,34 @@
 
     @Example
     void digestsNameOnlyListedUpstreamsThatLeave() {
-        LeavingNews updates = new LeavingNews(LeavingHistoriesTest::unlessRemoved);
+        LeavingUpdates updates = new LeavingUpdates(LeavingHistoriesTest::unlessRemoved);
         assertTrue(updates.next(0).isEmpty());
         updates.began("gone", 0);
         assertTrue(updates.next(0).isEmpty(), "an upstream that is no longer listed");
         updates.began("listed", 0);
         assertEquals(
                 List.of(new LeavingUpstream("listed", 5)),
-                updates.next(NewsInTurn.NEWS_MILLIS - 1));
+                updates.next(UpdateRotation.FRESH_MILLIS - 1));
     }
 
     @Example
     void everyLeavingUpstreamIsNamedInRotation() {
-        LeavingNews updates = new LeavingNews(LeavingHistoriesTest::unlessRemoved);
+        LeavingUpdates updates = new LeavingUpdates(LeavingHistoriesTest::unlessRemoved);
         Set<LeavingUpstream> fresh = new HashSet<>();
         Set<LeavingUpstream> older = new HashSet<>();
         for (int i = 0; i < LEAVING_UPSTREAMS; i++) {
             updates.began(id(i), 0);
         }
-        for (int digest = 0; digest * LeavingNews.MOST_TOLD < LEAVING_UPSTREAMS; digest++) {
+        for (int digest = 0; digest * LeavingUpdates.MAX_PER_DIGEST < LEAVING_UPSTREAMS; digest++) {
             List<LeavingUpstream> reported = updates.next(0);
             assertTrue(
-                    reported.size() <= LeavingNews.MOST_TOLD, reported.size() + " in one digest");
+                    reported.size() <= LeavingUpdates.MAX_PER_DIGEST, reported.size() + " in one digest");
             fresh.addAll(reported);
         }
-        for (int digest = 0; digest * LeavingNews.MOST_REPEATED < LEAVING_UPSTREAMS; digest++) {
-            List<LeavingUpstream> reported = updates.next(NewsInTurn.NEWS_MILLIS);
+        for (int digest = 0; digest * LeavingUpdates.MAX_REPEATED < LEAVING_UPSTREAMS; digest++) {
+            List<LeavingUpstream> reported = updates.next(UpdateRotation.FRESH_MILLIS);
             assertTrue(
-                    reported.size() <= LeavingNews.MOST_REPEATED,
+                    reported.size() <= LeavingUpdates.MAX_REPEATED,
                     reported.size() + " older ones in one digest");
             older.addAll(reported);
         }
@@ -175,15 +175,15 @@
     void incarnationsAreSentBesideTheNamesThatAllBuildsRead() {
         List<LeavingUpstream> leaving =
                 List.of(new LeavingUpstream("a", 7), new LeavingUpstream("b", 0));
-        DigestSection incarnations = LeavingLives.section(leaving).orElseThrow();
-        assertEquals(leaving, LeavingLives.of(digest(List.of("a", "b"), List.of(incarnations))));
+        DigestSection incarnations = LeavingIncarnations.section(leaving).orElseThrow();
+        assertEquals(leaving, LeavingIncarnations.of(digest(List.of("a", "b"), List.of(incarnations))));
         List<LeavingUpstream> unknown =
                 List.of(new LeavingUpstream("a", 0), new LeavingUpstream("b", 0));
-        assertEquals(unknown, LeavingLives.of(digest(List.of("a", "b"), List.of())));
+        assertEquals(unknown, LeavingIncarnations.of(digest(List.of("a", "b"), List.of())));
         assertEquals(
                 List.of(new LeavingUpstream("a", 0)),
-                LeavingLives.of(digest(List.of("a"), List.of(incarnations))));
-        assertTrue(LeavingLives.section(unknown).isEmpty(), "no incarnation is known");
+                LeavingIncarnations.of(digest(List.of("a"), List.of(incarnations))));
+        assertTrue(LeavingIncarnations.section(unknown).isEmpty(), "no incarnation is known");
     }
 
     private static NodeDigest digest(List<String> leaving, List<DigestSection> sections) {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitExchangeTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitExchangeTest.java
@@ -65,8 +65,8 @@
     private void receiveHubDigest(double unitsSinceLast, long nowMillis) {
         usedByOthers += unitsSinceLast;
         NodeDigest digest = digest(usedByOthers, 1_000);
-        hub.told(digest, nowMillis);
-        limits.told(hub, digest.quotas(), nowMillis);
+        hub.received(digest, nowMillis);
+        limits.received(hub, digest.quotas(), nowMillis);
         limits.share(true, true, PROCESSES, PROCESSES, nowMillis);
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitHistoriesTest.java
@@ -245,8 +245,8 @@
         cluster.advance(SETTLE_MILLIS);
         cluster.demand(15 * LIMIT_PER_SECOND);
         long startMillis = cluster.now();
-        cluster.advance(ClusterView.DIGEST_MILLIS);
-        double allowed = LIMIT_PER_SECOND * (1 + ClusterView.DIGEST_MILLIS / 1_000.0);
+        cluster.advance(ClusterView.DIGEST_INTERVAL_MILLIS);
+        double allowed = LIMIT_PER_SECOND * (1 + ClusterView.DIGEST_INTERVAL_MILLIS / 1_000.0);
         double granted = cluster.grantedSince(startMillis);
         assertTrue(
                 granted <= allowed + SimulatedCluster.TOLERANCE_UNITS,
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
@@ -59,7 +59,7 @@
     private static void assertAllReceiveFrom(SimulatedCluster cluster, int processes) {
         for (String name : cluster.names()) {
             if (cluster.process(name).isRunning()) {
-                assertEquals(processes, cluster.process(name).view().heardProcesses(), name);
+                assertEquals(processes, cluster.process(name).view().totalProcesses(), name);
             }
         }
     }
@@ -132,7 +132,7 @@
         List<String> north = cluster.namesOf("dc2");
         cluster.process(north.get(north.size() - 1))
                 .directory()
-                .leavingSeenBy(new LeavingUpstream("w", 0), "itself");
+                .leavingReportedBy(new LeavingUpstream("w", 0), "itself");
         cluster.advance(500);
         assertEquals(List.of(), processesUnawareOfLeaving(cluster, "w"));
     }
@@ -146,7 +146,7 @@
         List<String> north = cluster.namesOf("dc4");
         cluster.process(north.get(north.size() - 1))
                 .directory()
-                .leavingSeenBy(new LeavingUpstream("w", 0), "itself");
+                .leavingReportedBy(new LeavingUpstream("w", 0), "itself");
         cluster.advance(2_000);
         assertEquals(List.of(), processesUnawareOfLeaving(cluster, "w"));
     }
@@ -171,7 +171,7 @@
         cluster.losePower("p000");
         cluster.advance(1_200);
         for (String name : cluster.namesOf("dc1")) {
-            int received = cluster.process(name).view().heardProcesses();
+            int received = cluster.process(name).view().totalProcesses();
             assertTrue(received >= 36 + 24, name + " receives from " + received);
         }
         cluster.advance(10_000);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RolloutKeeperTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RolloutKeeperTest.java
@@ -18,7 +18,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.trailladder.core.rollout.Rollout;
-import io.trailladder.core.rollout.RolloutNews;
+import io.trailladder.core.rollout.RolloutUpdate;
 import io.trailladder.core.rollout.RolloutOrder;
 import io.trailladder.core.rollout.RolloutPhase;
 import io.trailladder.core.rollout.RolloutStatus;
@@ -34,8 +34,8 @@
     private static final RolloutOrder ORDER = new RolloutOrder("m", "v2", 20_000, 400);
 
     private final VersionGate gate = new VersionGate();
-    private final RolloutKeeper manager =
-            new RolloutKeeper(
+    private final RolloutManager manager =
+            new RolloutManager(
                     new EmptyPlatformFormat(),
                     gate,
                     new GatewaySettings.Rollouts(true, 0.1, 50),
@@ -44,7 +44,7 @@
                     new GatewayMetrics());
 
     private void receiveUpdate(RolloutOrder order, RolloutPhase phase) {
-        manager.heard(new RolloutNews(order, phase, 10_000, 1, List.of()), true);
+        manager.receive(new RolloutUpdate(order, phase, 10_000, 1, List.of()), true);
     }
 
     private Optional<State> lostState() {
@@ -60,7 +60,7 @@
         manager.recorded(new RolloutStatus("m", "v2", State.IN_PROGRESS, 401), true);
         receiveUpdate(ORDER, RolloutPhase.ROLLED_BACK);
         manager.historyReplaced();
-        receiveUpdate(ORDER.at(12), RolloutPhase.ROLLED_BACK);
+        receiveUpdate(ORDER.withRevision(12), RolloutPhase.ROLLED_BACK);
         assertEquals(Optional.of(State.ROLLED_BACK), lostState());
     }
 
@@ -69,11 +69,11 @@
         receiveUpdate(ORDER, RolloutPhase.SAMPLING);
         manager.recorded(new RolloutStatus("m", "v2", State.IN_PROGRESS, 401), true);
         manager.historyReplaced();
-        receiveUpdate(ORDER.at(12), RolloutPhase.SAMPLING);
+        receiveUpdate(ORDER.withRevision(12), RolloutPhase.SAMPLING);
         assertEquals(Optional.of(State.IN_PROGRESS), lostState());
         manager.recorded(new RolloutStatus("m", "v2", State.IN_PROGRESS, 13), true);
         assertEquals(Optional.empty(), lostState());
-        receiveUpdate(ORDER.at(12), RolloutPhase.ROLLED_BACK);
+        receiveUpdate(ORDER.withRevision(12), RolloutPhase.ROLLED_BACK);
         assertEquals(Optional.of(State.ROLLED_BACK), lostState());
         manager.recorded(new RolloutStatus("m", "v2", State.ROLLED_BACK, 14), true);
         assertEquals(Optional.empty(), lostState());
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SendSlotOrdersTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SendSlotOrdersTest.java
@@ -48,7 +48,7 @@
             int processes,
             String upstreamDataCentre) {
         Topology topology = Topology.of(dataCentre, REGIONS);
-        return new TurnOrders("g" + self, topology, () -> listed, () -> processes, () -> 0)
+        return new SendSlotOrders("g" + self, topology, () -> listed, () -> processes, () -> 0)
                 .of(upstream(upstreamDataCentre));
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
@@ -64,8 +64,8 @@
     private final Map<String, Long> lastReceivedMillis = new HashMap<>();
     private final UpstreamDirectory upstreams = new UpstreamDirectory();
     private Topology topology;
-    private DirectoryKeeper directory;
-    private PolicyKeeper policies;
+    private DirectoryManager directory;
+    private PolicyManager policies;
     private UpstreamLoads loads;
     private LinkPlanner planner;
     private LinkPlan plan;
@@ -108,9 +108,9 @@
         quotas = new Quotas(firstStart, cluster.tolerance());
         GatewayMetrics metrics = new GatewayMetrics();
         PlatformFormat format = new VersionFormat();
-        policies = new PolicyKeeper(format);
+        policies = new PolicyManager(format);
         health = new StoreHealth(metrics);
-        directory = new DirectoryKeeper(format, upstreams, cluster::now, task -> {});
+        directory = new DirectoryManager(format, upstreams, cluster::now, task -> {});
         health.history().onReplaced(directory::historyReplaced);
         suppliedByPeers = false;
         usage = new UsageLedger(member.name() + '/' + incarnation, USAGE_WINDOW_MILLIS);
@@ -132,7 +132,7 @@
         limits = new UpstreamLimits(cluster::now, this::sendSlotOrder);
         view.add(LimitPart.of(limits, cluster::now, () -> earlyDigestRequested = true));
         view.add(new CrashPart(crashes, member.name().hashCode() * 31L + incarnation));
-        crashes.onOwnNews(view::tellSoon);
+        crashes.onNewEnd(view::sendDigestsSoon);
         quotas.onMuchUnreported(() -> earlyDigestRequested = true);
         view.start(new Links(), () -> false);
         quotas.applyPolicy(cluster.policy(), cluster.now());
@@ -161,11 +161,11 @@
         return upstreams;
     }
 
-    DirectoryKeeper directory() {
+    DirectoryManager directory() {
         return directory;
     }
 
-    PolicyKeeper policies() {
+    PolicyManager policies() {
         return policies;
     }
 
@@ -218,7 +218,7 @@
     void sendRequestedDigest() {
         if (earlyDigestRequested) {
             earlyDigestRequested = false;
-            view.tellSoon();
+            view.sendDigestsSoon();
         }
     }
 
@@ -238,7 +238,7 @@
         if ((now + offsetMillis) % DIAL_INTERVAL_MILLIS < 20) {
             maintainLinks(now);
         }
-        if ((now + offsetMillis) % ClusterView.DIGEST_MILLIS < 20) {
+        if ((now + offsetMillis) % ClusterView.DIGEST_INTERVAL_MILLIS < 20) {
             view.tick();
         }
     }
@@ -306,7 +306,7 @@
         if (planned) {
             plan = planner.plan(view.isNeeded(), now);
         }
-        boolean fullMesh = planner.size() <= HubTopology.FULL_MESH_MOST && topology.isOneRegion();
+        boolean fullMesh = planner.size() <= HubTopology.FULL_MESH_MAX_PROCESSES && topology.isOneRegion();
         if (planned && !fullMesh) {
             cluster.closeUnplanned(member.name(), plan.dial());
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreCallsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreCallsTest.java
@@ -30,13 +30,13 @@
 
     @Example
     void eachCallIsReportedOnce() {
-        calls.made(Purpose.MEMBERS, Kind.RENEWAL);
-        calls.made(Purpose.MEMBERS, Kind.RENEWAL);
-        calls.made(Purpose.POLICY, Kind.FRESH_READ);
-        List<Count> reported = calls.takeUntold();
+        calls.countCall(Purpose.MEMBERS, Kind.RENEWAL);
+        calls.countCall(Purpose.MEMBERS, Kind.RENEWAL);
+        calls.countCall(Purpose.POLICY, Kind.FRESH_READ);
+        List<Count> reported = calls.takeUnreported();
         assertEquals(2, reported.size());
         assertTrue(reported.contains(new Count(Purpose.MEMBERS, Kind.RENEWAL, 2)));
         assertTrue(reported.contains(new Count(Purpose.POLICY, Kind.FRESH_READ, 1)));
-        assertTrue(calls.takeUntold().isEmpty());
+        assertTrue(calls.takeUnreported().isEmpty());
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreHistoryTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreHistoryTest.java
@@ -51,8 +51,8 @@
 
     @Example
     void peerOnAnotherHistoryIsIgnored() {
-        assertTrue(history.mayBeOf(7));
-        assertTrue(history.mayBeOf(0), "older builds name none");
-        assertFalse(history.mayBeOf(6));
+        assertTrue(history.mayMatch(7));
+        assertTrue(history.mayMatch(0), "older builds name none");
+        assertFalse(history.mayMatch(6));
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ValidFiguresTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ValidFiguresTest.java
@@ -51,7 +51,7 @@
     @Example
     void validDigestIsReturnedUnchanged() {
         NodeDigest digest = digest(List.of(new ServiceDemand("s", 1, 2)), List.of(VALID));
-        assertSame(digest, SoundFigures.of("peer", digest));
+        assertSame(digest, ValidFigures.of("peer", digest));
     }
 
     @Example
@@ -64,7 +64,7 @@
                         new ServiceDemand("s", 1, 2));
         List<EngineEvidence> evidence =
                 List.of(VALID, new EngineEvidence("bad", invalid, FitSums.NONE, 1, 1));
-        NodeDigest valid = SoundFigures.of("peer", digest(demands, evidence));
+        NodeDigest valid = ValidFigures.of("peer", digest(demands, evidence));
         assertEquals(List.of(new ServiceDemand("s", 1, 2)), valid.demands());
         assertEquals(List.of(VALID), valid.evidence());
         assertEquals(List.of("left"), valid.leaving());
