--- a/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
@@ -278,7 +278,7 @@
                 relay.size(),
                 book.copies(),
                 claims.size(),
-                claims.owned(),
+                claims.ownedRanges(),
                 heard == 0 ? -1 : System.currentTimeMillis() - heard,
                 peers,
                 upstreams);
@@ -310,7 +310,7 @@
 
     private boolean busy(long sinceMillis) {
         boolean handsRangesOver =
-                claims.owned() > 0
+                claims.ownedRanges() > 0
                         && MonotonicClock.millis() - sinceMillis < RANGES_MILLIS
                         && links.live().stream().anyMatch(peer -> serves(peer));
         return book.open() > 0 || relay.size() > 0 || handsRangesOver;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/Admission.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/Admission.java
@@ -28,7 +28,7 @@
 import java.util.Optional;
 
 /**
- * Decides whether this entry takes a request, passes it to another data centre, or refuses it.
+ * Decides whether this entry serves a request, forwards it to another data centre, or refuses it.
  *
  * @since 0.1
  */
@@ -50,7 +50,9 @@
     }
 
     /**
-     * Finds the row, takes its limit, and passes the request on if another data centre is better.
+     * Returns the row of a request that this entry is to serve. Returns empty if the request was
+     * refused, or forwarded to a data centre that is allowed or predicted to serve it earlier. A
+     * request that was already admitted elsewhere does not count against its row's limit again.
      */
     Optional<Row> admit(IncomingRequest request, String target, TargetKind kind, CallerSink sink) {
         String here = context.self().dataCentre();
@@ -60,7 +62,7 @@
                         .row(new RowKey(request.organisation(), target))
                         .filter(r -> r.kind() == kind);
         if (row.isEmpty()) {
-            Answers.failure(sink, "", refusal(request, Kind.NO_ROW, 0));
+            Answers.sendFailure(sink, "", refusal(request, Kind.NO_ROW, 0));
             return Optional.empty();
         }
         if (!row.get().allows(here)) {
@@ -70,21 +72,21 @@
         if (request.header(ADMITTED_HEADER).isEmpty()) {
             long waitMillis = context.policies().tryAcquire(row.get());
             if (waitMillis > 0) {
-                Answers.failure(sink, "", refusal(request, Kind.LIMIT, waitMillis));
+                Answers.sendFailure(sink, "", refusal(request, Kind.LIMIT, waitMillis));
                 return Optional.empty();
             }
         }
-        boolean passedOn =
+        boolean forwarded =
                 !request.relayed()
-                        && chooser.elsewhere(target, row.get().dataCentres(), here)
-                                .map(peer -> passOn(request, peer, sink))
+                        && chooser.fasterEntry(target, row.get().dataCentres(), here)
+                                .map(peer -> forward(request, peer, sink))
                                 .orElse(false);
-        if (passedOn) {
+        if (forwarded) {
             return Optional.empty();
         }
         boolean full = book.open() >= context.settings().limits().maxStreams();
         if (full || !context.placements().serves(target)) {
-            Answers.failure(sink, "", refusal(request, Kind.NO_CAPACITY, RETRY_AFTER_MILLIS));
+            Answers.sendFailure(sink, "", refusal(request, Kind.NO_CAPACITY, RETRY_AFTER_MILLIS));
             return Optional.empty();
         }
         return row;
@@ -92,14 +94,14 @@
 
     private void refuseOrRelay(IncomingRequest request, Row row, CallerSink sink) {
         if (request.relayed()) {
-            // the sender's table differs; it is never handled here
-            Answers.failure(sink, "", refusal(request, Kind.ROW_NARROWED, RETRY_AFTER_MILLIS));
+            // The sender's table differs from this one; the request is never served here.
+            Answers.sendFailure(sink, "", refusal(request, Kind.ROW_NARROWED, RETRY_AFTER_MILLIS));
         } else {
             relay(request, Optional.of(row.target()), row.dataCentres(), sink);
         }
     }
 
-    private boolean passOn(IncomingRequest request, EntryInfo peer, CallerSink sink) {
+    private boolean forward(IncomingRequest request, EntryInfo peer, CallerSink sink) {
         List<Header> headers = new ArrayList<>(request.headers());
         headers.add(new Header(ADMITTED_HEADER, "yes"));
         IncomingRequest admitted =
@@ -113,24 +115,24 @@
         return relay.forward(peer.id(), "", admitted, sink, false);
     }
 
-    /** Passes a request unread to an entry in one of the data centres. */
+    /** Forwards a request, without reading its body, to an entry in one of the data centres. */
     void relay(
             IncomingRequest request,
             Optional<String> target,
             List<String> dataCentres,
             CallerSink sink) {
-        boolean passedOn =
-                chooser.foreign(target, dataCentres)
+        boolean forwarded =
+                chooser.entryIn(target, dataCentres)
                         .map(peer -> relay.forward(peer.id(), "", request, sink, false))
                         .orElse(false);
-        if (!passedOn) {
-            Answers.failure(sink, "", refusal(request, Kind.NO_CAPACITY, RETRY_AFTER_MILLIS));
+        if (!forwarded) {
+            Answers.sendFailure(sink, "", refusal(request, Kind.NO_CAPACITY, RETRY_AFTER_MILLIS));
         }
     }
 
     /**
-     * Refuses a request before its key was claimed. Only a request without key is then surely not
-     * run: one with a key may have run when it was sent before.
+     * Returns the refusal of a request whose key has not been claimed. Only a request without a key
+     * has certainly not run; one with a key may have run when it was sent before.
      */
     static Failure refusal(IncomingRequest request, Kind kind, long retryAfterMillis) {
         boolean keyed = request.header(IncomingRequest.KEY_HEADER).isPresent();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/AnswerFeed.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/AnswerFeed.java
@@ -24,8 +24,8 @@
 import java.util.List;
 
 /**
- * Brings one answer to one receiver, at the receiver's pace. What the receiver has not yet taken
- * stays in the answer's log, so a slow receiver costs no memory of its own.
+ * Sends one answer to one receiver, as fast as the receiver reads it. Tokens that the receiver has
+ * not read stay in the answer's log, so a slow receiver needs no buffer of its own.
  *
  * @since 0.1
  */
@@ -36,7 +36,7 @@
     private final List<Header> headers;
     private int cursor;
     private boolean headSent;
-    private boolean over;
+    private boolean ended;
 
     AnswerFeed(RequestRecord request, CallerSink sink, String servedIn, int from) {
         this.sink = sink;
@@ -53,22 +53,25 @@
         return sink;
     }
 
-    boolean isOver() {
-        return over;
+    boolean isEnded() {
+        return ended;
     }
 
-    /** Returns the last event that the receiver was sent; below 0 if none was. */
+    /** Returns the position of the last event sent to the receiver; negative if none was sent. */
     int lastEvent() {
         return headSent ? cursor - 1 : -1;
     }
 
-    /** Sends what the receiver can take; returns false if it cannot take all. */
+    /**
+     * Sends as much as the receiver accepts; returns false if tokens remain to be sent when it is
+     * writable again.
+     */
     boolean pump(AnswerLog log) {
-        if (over) {
+        if (ended) {
             return true;
         }
         if (!stream) {
-            sendWhole(log);
+            sendIfComplete(log);
             return true;
         }
         sendHead();
@@ -76,38 +79,38 @@
             if (!sink.writable()) {
                 return false;
             }
-            sink.body(writer.event(cursor, token));
+            sink.body(writer.tokenEvent(cursor, token));
             cursor++;
         }
         if (log.isComplete()) {
-            sink.body(writer.end(log.size()));
+            sink.body(writer.endEvent(log.size()));
             end();
         }
         return true;
     }
 
-    /** Gives the receiver the final answer of a failed request. */
+    /** Ends the receiver's answer with a failure. */
     void fail(String requestId, Failure failure) {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         if (!headSent) {
-            Answers.failure(sink, requestId, failure);
+            Answers.sendFailure(sink, requestId, failure);
             return;
         }
         sink.body(writer.failureEvent(failure));
         sink.abort();
     }
 
-    /** Tells the receiver to ask any entry for the rest. */
-    void moved(String requestId) {
-        if (over) {
+    /** Ends the receiver's answer here and tells it to request the rest from any entry. */
+    void redirect(String requestId) {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         if (!stream) {
-            Answers.failure(
+            Answers.sendFailure(
                     sink, requestId, new Failure(Outcome.UNKNOWN, Failure.Kind.STOPPING, 1));
             return;
         }
@@ -116,11 +119,11 @@
         sink.end();
     }
 
-    private void sendWhole(AnswerLog log) {
+    private void sendIfComplete(AnswerLog log) {
         if (log.isComplete()) {
-            over = true;
-            byte[] body = writer.whole(log.text(), log.size());
-            Answers.whole(sink, 200, "application/json", headers, body);
+            ended = true;
+            byte[] body = writer.completeAnswer(log.text(), log.size());
+            Answers.send(sink, 200, "application/json", headers, body);
         }
     }
 
@@ -135,7 +138,7 @@
     }
 
     private void end() {
-        over = true;
+        ended = true;
         sink.end();
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CallBook.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CallResults.java
@@ -24,12 +24,12 @@
 import java.util.Map;
 
 /**
- * Remembers the answers of at-most-once calls that this entry made, in bounded memory, so that a
- * caller who asks again gets the first answer.
+ * Keeps the results of at-most-once calls that this entry made, in bounded memory, so that a caller
+ * who repeats a call receives the first answer.
  *
  * @since 0.1
  */
-final class CallBook {
+final class CallResults {
     private static final int MAX_CALLS = 2_000;
     private static final int MAX_ANSWER_BYTES = 16 * 1024;
     private static final long RETRY_AFTER_MILLIS = 1_000;
@@ -45,7 +45,7 @@
                 }
             };
 
-    /** A call with those who wait for its answer. */
+    /** A call and the receivers that wait for its result. */
     private static final class Call {
         final String organisation;
         final List<CallerSink> waiting = new ArrayList<>();
@@ -56,21 +56,24 @@
         }
     }
 
-    CallBook(String servedIn) {
+    CallResults(String servedIn) {
         this.servedIn = servedIn;
     }
 
-    /** Records that a call begins. */
+    /** Records the start of a call. */
     synchronized void begin(String callId, String organisation) {
         calls.put(callId, new Call(organisation));
     }
 
-    /** Forgets a call that was not made. */
-    synchronized void forget(String callId) {
+    /** Removes a call that was not made. */
+    synchronized void remove(String callId) {
         calls.remove(callId);
     }
 
-    /** Records a call's result and sends it to those who wait for it. */
+    /**
+     * Records the result of a call and sends it to the receivers that wait for it. Large answers
+     * are not kept after that.
+     */
     void end(String callId, Result result) {
         List<CallerSink> waiting;
         synchronized (this) {
@@ -81,21 +84,21 @@
             waiting = List.copyOf(call.waiting);
             call.waiting.clear();
             call.result = result;
-            if (result instanceof Result.Whole whole
-                    && whole.reply().body().length > MAX_ANSWER_BYTES) {
+            if (result instanceof Result.Completed completed
+                    && completed.reply().body().length > MAX_ANSWER_BYTES) {
                 calls.remove(callId);
             }
         }
         waiting.forEach(sink -> result.send(sink, callId, servedIn));
     }
 
-    /** Sends the first answer of a call, now or when it is there. */
-    void answer(String callId, String organisation, CallerSink sink) {
+    /** Sends the result of a call, immediately or as soon as the call ends. */
+    void sendResult(String callId, String organisation, CallerSink sink) {
         Result result;
         synchronized (this) {
             Call call = calls.get(callId);
             if (call == null || !call.organisation.equals(organisation)) {
-                result = unknown();
+                result = unknownResult();
             } else if (call.result == null) {
                 call.waiting.add(sink);
                 return;
@@ -106,8 +109,8 @@
         result.send(sink, callId, servedIn);
     }
 
-    /** What is said of a call whose answer is not known here. */
-    static Result unknown() {
+    /** Returns the result that is sent for a call whose result this entry does not have. */
+    static Result unknownResult() {
         return new Result.Failed(
                 new Failure(Outcome.UNKNOWN, Failure.Kind.CLAIM_UNKNOWN, RETRY_AFTER_MILLIS));
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CompletionWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CompletionWriter.java
@@ -23,21 +23,21 @@
 /**
  * Writes model answers in the forms of {@code /v1/completions} and {@code /v1/chat/completions}.
  *
- * <p>Every event of a stream carries the token's position as its id, so that a caller can ask for
+ * <p>Every token event of a stream has the token's position as its id, so that a caller can request
  * the rest with {@code Last-Event-ID}.
  *
  * @since 0.1
  */
 final class CompletionWriter {
     private final RequestRecord request;
-    private final String before;
-    private final String after;
+    private final String eventPrefix;
+    private final String eventSuffix;
 
     CompletionWriter(RequestRecord request) {
         this.request = request;
         String object = request.chat() ? "chat.completion.chunk" : "text_completion";
         String choice = request.chat() ? "\"delta\":{\"content\":\"" : "\"text\":\"";
-        before =
+        eventPrefix =
                 "data: {\"id\":\""
                         + quoted(request.requestId())
                         + "\",\"object\":\""
@@ -48,19 +48,30 @@
                         + quoted(request.model())
                         + "\",\"choices\":[{\"index\":0,"
                         + choice;
-        after = request.chat() ? "\"},\"finish_reason\":" : "\",\"finish_reason\":";
+        eventSuffix = request.chat() ? "\"},\"finish_reason\":" : "\",\"finish_reason\":";
     }
 
-    byte[] event(int position, String token) {
-        return bytes("id: " + position + "\n" + before + quoted(token) + after + "null}]}\n\n");
+    byte[] tokenEvent(int position, String token) {
+        return bytes(
+                "id: "
+                        + position
+                        + "\n"
+                        + eventPrefix
+                        + quoted(token)
+                        + eventSuffix
+                        + "null}]}\n\n");
     }
 
-    byte[] end(int tokens) {
+    byte[] endEvent(int tokens) {
         return bytes(
-                before + after + "\"stop\"}],\"usage\":" + usage(tokens) + "}\n\ndata: [DONE]\n\n");
+                eventPrefix
+                        + eventSuffix
+                        + "\"stop\"}],\"usage\":"
+                        + usage(tokens)
+                        + "}\n\ndata: [DONE]\n\n");
     }
 
-    /** Tells the caller of a stream to ask any entry for the rest. */
+    /** Returns the event that tells the caller of a stream to request the rest from any entry. */
     byte[] movedEvent() {
         return bytes(
                 "event: moved\nretry: 100\ndata: {\"request\":\""
@@ -73,7 +84,7 @@
         return bytes("event: error\ndata: " + json + "\n\n");
     }
 
-    byte[] whole(String text, int tokens) {
+    byte[] completeAnswer(String text, int tokens) {
         String choice =
                 request.chat()
                         ? "\"message\":{\"role\":\"assistant\",\"content\":\""
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CopySender.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CopySender.java
@@ -63,7 +63,7 @@
     }
 
     private static boolean wantsCopy(Held h) {
-        return !h.endCopied && !h.runner.isMovedAway() && h.runner.mayRunAgain();
+        return !h.endCopied && !h.runner.isMovedAway() && h.runner.isRepeatable();
     }
 
     /** Asks the entry that a request was taken up from, once it is back, whether it works on it. */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
@@ -44,14 +44,14 @@
 import org.tinylog.Logger;
 
 /**
- * Runs one accepted model request: carries out what its {@link GenerationMachine} decides, and
- * brings the answer to whoever asks for it.
+ * Runs one accepted model request: carries out the actions of its {@link GenerationMachine} and
+ * sends the answer to the attached receivers.
  *
  * @since 0.1
  */
-public final class GenerationRunner implements Placements.Ticket {
-    private static final long EXPORT_MILLIS = 500;
-    private static final int TOKEN_MILLIS = 25;
+public final class GenerationRunner implements Placements.PendingRequest {
+    private static final long EXPORT_TIMEOUT_MILLIS = 500;
+    private static final int EXPECTED_TOKEN_MILLIS = 25;
     private static final long RETRY_AFTER_MILLIS = 2_000;
     private static final String KIND = "model";
 
@@ -65,25 +65,26 @@
     private final long startedMillis = MonotonicClock.millis();
     private final List<AnswerFeed> feeds = new ArrayList<>();
     private volatile RoutingQuery query;
-    private volatile boolean begun;
-    private EngineApi.Running running;
-    private LocalUpstream current;
-    private LocalUpstream reserved;
+    private volatile boolean answerStarted;
+    private EngineApi.RunningAttempt runningAttempt;
+    private LocalUpstream currentUpstream;
+    private LocalUpstream reservedUpstream;
     private long wakeAtMillis;
     private long lastTokenMillis;
-    private long lateFrames;
+    private long lateFramesCounted;
     private int lastEvent = -1;
     private Failure failure;
     private boolean movedAway;
-    private boolean toldMoved;
+    private boolean receiversRedirected;
 
     /**
      * Creates the runner of an accepted request.
      *
-     * @param context what serving code shares
-     * @param request the request, with the tokens it has so far
+     * @param context the dependencies shared by the serving code
+     * @param request the request, with the tokens of its answer so far
      * @param row the row that allows it
-     * @param onEnd called once the request has had its final answer
+     * @param onEnd called when the request has ended with a complete answer, a failure or a
+     *     cancellation for lack of receivers
      */
     public GenerationRunner(
             ServingContext context,
@@ -95,7 +96,7 @@
         this.row = row;
         this.onEnd = onEnd;
         this.log = new AnswerLog(request.tokens(), request.complete());
-        this.begun = log.size() > 0;
+        this.answerStarted = log.size() > 0;
         this.blocks = PromptBlocks.of(request.organisation(), request.model(), request.prompt());
         this.query = query(Set.of());
         GenerationMachine.Settings settings =
@@ -103,8 +104,8 @@
                         request.maxTokens(),
                         context.settings().limits().queueMillis(row.latencyTargetMillis()),
                         context.settings().limits().patienceMillis(),
-                        TOKEN_MILLIS,
-                        EXPORT_MILLIS,
+                        EXPECTED_TOKEN_MILLIS,
+                        EXPORT_TIMEOUT_MILLIS,
                         row.repeatable());
         this.machine =
                 new GenerationMachine(
@@ -114,15 +115,18 @@
                         startedMillis);
     }
 
-    /** Begins. */
+    /** Starts the request, unless another entry has it already. */
     public synchronized void start() {
         if (!movedAway) {
             perform(machine.start());
         }
     }
 
-    /** Begins where another entry left off; an answer that is whole needs nothing more. */
-    public synchronized void goOn() {
+    /**
+     * Resumes a request that another entry had accepted. If its answer is already complete, only
+     * {@code onEnd} is called.
+     */
+    public synchronized void resume() {
         if (log.isComplete()) {
             onEnd.accept(this);
         } else {
@@ -131,11 +135,12 @@
     }
 
     /**
-     * Tells whether the request may run again where it may have run before.
+     * Returns whether the request may be sent to an upstream again after an upstream may have run
+     * it.
      *
-     * @return false if it runs at most once
+     * @return false if it must run at most once
      */
-    public boolean mayRunAgain() {
+    public boolean isRepeatable() {
         return row.repeatable();
     }
 
@@ -149,9 +154,9 @@
     }
 
     /**
-     * Returns the request with its tokens so far.
+     * Returns the request with the tokens of its answer so far.
      *
-     * @return what another entry needs to go on with it
+     * @return what another entry needs to resume it
      */
     public synchronized RequestRecord record() {
         return request.with(log.from(0), log.isComplete());
@@ -168,7 +173,7 @@
     }
 
     /**
-     * Tells whether the answer is whole.
+     * Returns whether the answer is complete.
      *
      * @return true if so
      */
@@ -177,7 +182,7 @@
     }
 
     /**
-     * Tells whether the request has had its final answer.
+     * Returns whether the request has ended, on this entry at least.
      *
      * @return true if so
      */
@@ -186,16 +191,17 @@
     }
 
     /**
-     * Tells whether the request was given up because nobody wanted its answer.
+     * Returns whether the request was cancelled because no receiver was left.
      *
-     * @return true if it has neither its whole answer nor a failure, and nothing makes more of it
+     * @return true if it has ended without a complete answer or a failure, and was not moved to
+     *     another entry
      */
     public synchronized boolean isAbandoned() {
         return machine.isEnded() && !log.isComplete() && failure == null && !movedAway;
     }
 
     /**
-     * Tells whether another entry goes on with the request.
+     * Returns whether the request was moved to another entry.
      *
      * @return true after {@link #suspend}
      */
@@ -204,41 +210,41 @@
     }
 
     /**
-     * Brings the answer to a receiver.
+     * Attaches a receiver and sends the answer to it.
      *
      * @param sink the receiver
-     * @param from the first token it wants
+     * @param from position of the first token to send
      */
     public synchronized void attach(CallerSink sink, int from) {
         AnswerFeed feed = new AnswerFeed(request, sink, context.self().dataCentre(), from);
         feeds.add(feed);
-        sink.whenGone(() -> gone(feed));
+        sink.whenDisconnected(() -> receiverDisconnected(feed));
         if (failure != null) {
             feed.fail(request.requestId(), failure);
-        } else if (toldMoved) {
-            feed.moved(request.requestId());
+        } else if (receiversRedirected) {
+            feed.redirect(request.requestId());
         } else {
             pump(feed);
         }
     }
 
     /**
-     * Tells whether the request is running, or about to run, at an upstream.
+     * Returns whether the request runs at an upstream, or is about to continue there.
      *
      * @param upstream the upstream's name
-     * @return true if its leaving concerns this request
+     * @return true if the upstream's leaving affects this request
      */
     public synchronized boolean runsAt(String upstream) {
         return machine.upstream().equals(upstream) || machine.wants(upstream);
     }
 
     /**
-     * Is told that an upstream is leaving.
+     * Handles the notice that an upstream is leaving.
      *
      * @param upstream the upstream's name
-     * @param noticeMillis how long it will still run, in milliseconds
+     * @param noticeMillis time until the upstream ends, in milliseconds
      */
-    public synchronized void leaving(String upstream, long noticeMillis) {
+    public synchronized void upstreamLeaving(String upstream, long noticeMillis) {
         List<GenerationAction> actions =
                 machine.leaving(upstream, noticeMillis, MonotonicClock.millis());
         if (!actions.isEmpty()) {
@@ -247,7 +253,7 @@
         perform(actions);
     }
 
-    /** Ends the request if the table no longer allows it here. */
+    /** Ends the request with a failure if the table no longer allows it in this data centre. */
     public synchronized void recheckRow() {
         RowKey key = new RowKey(request.organisation(), request.model());
         Optional<Row> present = context.policies().table().row(key);
@@ -258,18 +264,19 @@
     }
 
     /**
-     * Returns the last event that any receiver of this entry was sent.
+     * Returns the last event that was sent to any receiver of this entry.
      *
-     * @return its position; below 0 if none was sent any
+     * @return its position; negative if no event was sent
      */
     public synchronized int lastEvent() {
         return lastEvent;
     }
 
     /**
-     * Stops working on the request. Receivers are told nothing before {@link #moved}.
+     * Stops the work on the request here, so that another entry can resume it. Receivers are not
+     * notified before {@link #redirectReceivers}.
      *
-     * @return the request with its tokens so far, all that any receiver was sent among them
+     * @return the request with its tokens so far, including all that were sent to any receiver
      */
     public synchronized RequestRecord suspend() {
         movedAway = true;
@@ -279,13 +286,16 @@
         return record();
     }
 
-    /** Sends every receiver to the entries that have the request now. */
-    public synchronized void moved() {
-        toldMoved = true;
-        feeds.forEach(feed -> feed.moved(request.requestId()));
+    /**
+     * Ends the answers of all receivers here, so that they request the rest from the entry that has
+     * the request now.
+     */
+    public synchronized void redirectReceivers() {
+        receiversRedirected = true;
+        feeds.forEach(feed -> feed.redirect(request.requestId()));
     }
 
-    /** Gives the receivers a final answer because this entry is about to end. */
+    /** Ends the request with a failure, because this entry is stopping. */
     public synchronized void endUnfinished() {
         perform(machine.abort(Failure.Kind.STOPPING, RETRY_AFTER_MILLIS));
     }
@@ -306,14 +316,14 @@
     }
 
     @Override
-    public boolean begun() {
-        return begun;
+    public boolean answerStarted() {
+        return answerStarted;
     }
 
     @Override
     public synchronized void placed(LocalUpstream upstream) {
-        if (reserved != null && machine.wants(reserved.id())) {
-            // placed twice: once from the queue and once at once; the first one counts
+        if (reservedUpstream != null && machine.wants(reservedUpstream.id())) {
+            // Placed twice, from the queue and immediately: the first upstream is kept.
             context.placements().release(upstream.id());
             return;
         }
@@ -340,7 +350,7 @@
         } else if (action instanceof WakeAt wake) {
             wakeAt(wake.atMillis());
         } else if (action instanceof Complete) {
-            context.placements().went(current.id(), true);
+            context.placements().attemptEnded(currentUpstream.id(), true);
             end("whole");
         } else if (action instanceof Fail fail) {
             fail(fail.failure());
@@ -359,15 +369,15 @@
 
     private void dispatch(Dispatch dispatch) {
         if (dispatch.attempt() == 1) {
-            long waited = MonotonicClock.millis() - startedMillis;
-            context.metrics().queued(request.organisation(), KIND, waited);
+            long waitedMillis = MonotonicClock.millis() - startedMillis;
+            context.metrics().queued(request.organisation(), KIND, waitedMillis);
         } else {
             boolean imported = !dispatch.kvHandle().isEmpty();
             int tokens = blocks.tokens() + dispatch.resumeFrom();
             context.metrics().resumed(imported, tokens);
         }
-        current = reserved;
-        reserved = null;
+        currentUpstream = reservedUpstream;
+        reservedUpstream = null;
         EngineApi.Attempt attempt =
                 new EngineApi.Attempt(
                         request.requestId(),
@@ -380,16 +390,21 @@
                         dispatch.kvHandle(),
                         row.weight());
         Logger.debug(
-                "request {} attempt {} goes to {}",
+                "request {}: sending attempt {} to upstream {}",
                 request.requestId(),
                 dispatch.attempt(),
-                current.id());
-        running = context.engines().generate(current, attempt, new AttemptListener(dispatch));
+                currentUpstream.id());
+        runningAttempt =
+                context.engines().generate(currentUpstream, attempt, new AttemptListener(dispatch));
     }
 
     private void export(Export export) {
         context.engines()
-                .export(current, request.requestId(), export.attempt(), EXPORT_MILLIS)
+                .export(
+                        currentUpstream,
+                        request.requestId(),
+                        export.attempt(),
+                        EXPORT_TIMEOUT_MILLIS)
                 .handle((handle, failed) -> failed == null ? handle : "")
                 .thenAccept(handle -> exported(export.attempt(), handle));
     }
@@ -400,7 +415,7 @@
     }
 
     private void emitted() {
-        begun = true;
+        answerStarted = true;
         long now = MonotonicClock.millis();
         if (log.size() == 1) {
             context.metrics().firstToken(request.organisation(), now - startedMillis);
@@ -413,26 +428,26 @@
 
     private void pump(AnswerFeed feed) {
         if (!feed.pump(log)) {
-            feed.sink().whenWritable(() -> pumpLater(feed));
+            feed.sink().whenWritable(() -> pumpWhenWritable(feed));
         }
         lastEvent = Math.max(lastEvent, feed.lastEvent());
     }
 
-    private synchronized void pumpLater(AnswerFeed feed) {
+    private synchronized void pumpWhenWritable(AnswerFeed feed) {
         pump(feed);
     }
 
-    private synchronized void gone(AnswerFeed feed) {
+    private synchronized void receiverDisconnected(AnswerFeed feed) {
         feeds.remove(feed);
         if (feeds.isEmpty() && !machine.isEnded()) {
-            long grace = context.settings().limits().reattachMillis();
-            context.timer().schedule(this::cancelIfAlone, grace, TimeUnit.MILLISECONDS);
+            long graceMillis = context.settings().limits().reattachMillis();
+            context.timer().schedule(this::cancelIfNoReceiver, graceMillis, TimeUnit.MILLISECONDS);
         }
     }
 
-    private synchronized void cancelIfAlone() {
-        boolean alone = feeds.stream().allMatch(AnswerFeed::isOver);
-        if (alone && !machine.isEnded()) {
+    private synchronized void cancelIfNoReceiver() {
+        boolean noReceiver = feeds.stream().allMatch(AnswerFeed::isEnded);
+        if (noReceiver && !machine.isEnded()) {
             perform(machine.cancelled());
             end("caller-gone");
         }
@@ -446,20 +461,20 @@
     }
 
     private void end(String outcome) {
-        running = null;
+        runningAttempt = null;
         context.placements().withdraw(this);
         releaseCurrent();
         releaseUnused();
         feeds.forEach(this::pump);
-        long took = MonotonicClock.millis() - startedMillis;
-        context.metrics().ended(request.organisation(), KIND, outcome, took);
+        long durationMillis = MonotonicClock.millis() - startedMillis;
+        context.metrics().ended(request.organisation(), KIND, outcome, durationMillis);
         onEnd.accept(this);
     }
 
     private void wakeAt(long atMillis) {
         wakeAtMillis = atMillis;
-        long delay = Math.max(1, atMillis - MonotonicClock.millis());
-        context.timer().schedule(() -> wake(atMillis), delay, TimeUnit.MILLISECONDS);
+        long delayMillis = Math.max(1, atMillis - MonotonicClock.millis());
+        context.timer().schedule(() -> wake(atMillis), delayMillis, TimeUnit.MILLISECONDS);
     }
 
     private synchronized void wake(long atMillis) {
@@ -469,30 +484,30 @@
     }
 
     private void stopRunning() {
-        if (running != null) {
-            running.cancel();
-            running = null;
+        if (runningAttempt != null) {
+            runningAttempt.cancel();
+            runningAttempt = null;
         }
         releaseCurrent();
     }
 
     private void reserve(LocalUpstream upstream) {
         releaseUnused();
-        reserved = upstream;
+        reservedUpstream = upstream;
     }
 
     private void releaseUnused() {
-        boolean wanted = machine.wants(reserved == null ? "" : reserved.id());
-        if (reserved != null && !wanted) {
-            context.placements().release(reserved.id());
-            reserved = null;
+        boolean wanted = machine.wants(reservedUpstream == null ? "" : reservedUpstream.id());
+        if (reservedUpstream != null && !wanted) {
+            context.placements().release(reservedUpstream.id());
+            reservedUpstream = null;
         }
     }
 
     private void releaseCurrent() {
-        if (current != null) {
-            context.placements().release(current.id());
-            current = null;
+        if (currentUpstream != null) {
+            context.placements().release(currentUpstream.id());
+            currentUpstream = null;
         }
     }
 
@@ -500,10 +515,10 @@
         return new RoutingQuery(request.model(), blocks, request.maxTokens(), excluded);
     }
 
-    /** Passes one attempt's answer to the machine. */
+    /** Passes the answer of one attempt to the state machine. */
     private final class AttemptListener implements EngineApi.Listener {
         private final Dispatch dispatch;
-        private final LocalUpstream upstream = current;
+        private final LocalUpstream upstream = currentUpstream;
 
         AttemptListener(Dispatch dispatch) {
             this.dispatch = dispatch;
@@ -532,12 +547,12 @@
         }
 
         @Override
-        public void failed(boolean sent, boolean garbage) {
+        public void failed(boolean sent, boolean malformed) {
             synchronized (GenerationRunner.this) {
                 List<GenerationAction> actions =
                         machine.broken(dispatch.attempt(), sent, MonotonicClock.millis());
                 if (!actions.isEmpty()) {
-                    context.placements().went(upstream.id(), false);
+                    context.placements().attemptEnded(upstream.id(), false);
                     context.metrics().count(Event.RETRY);
                 }
                 perform(actions);
@@ -545,15 +560,16 @@
         }
 
         private boolean belongs(String requestId, int attempt) {
-            boolean ours = requestId.equals(request.requestId()) && attempt == dispatch.attempt();
-            if (!ours) {
+            boolean matches =
+                    requestId.equals(request.requestId()) && attempt == dispatch.attempt();
+            if (!matches) {
                 context.metrics().count(Event.CROSSED_FRAME);
             }
-            return ours;
+            return matches;
         }
 
         private void countLateFrames() {
-            for (; lateFrames < machine.droppedFrames(); lateFrames++) {
+            for (; lateFramesCounted < machine.droppedFrames(); lateFramesCounted++) {
                 context.metrics().count(Event.LATE_FRAME);
             }
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/HeldRequests.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/HeldRequests.java
@@ -96,7 +96,7 @@
         RequestRecord record = h.runner.suspend();
         held.remove(h.requestId(), h);
         copySender.drop(h.keeper, h.requestId());
-        h.runner.moved();
+        h.runner.redirectReceivers();
         return record;
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/HttpEngineApi.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/HttpEngineApi.java
@@ -35,39 +35,40 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Reaches engines over HTTP; answers come as server-sent events.
+ * Calls engines over HTTP; answers are server-sent events.
  *
- * <p>Attempts are numbered from a base of each entry's own on the wire, so that a late cancel of
- * one entry never stops the attempt of another that goes on with the same request.
+ * <p>On the wire, each entry numbers its attempts from a random base of its own, so that a late
+ * cancel from one entry does not stop the attempt of another entry that has resumed the same
+ * request.
  *
  * @since 0.1
  */
 public final class HttpEngineApi implements EngineApi {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long CONTROL_MILLIS = 1_000;
+    private static final long CONTROL_TIMEOUT_MILLIS = 1_000;
     private static final int OK = 200;
-    private static final int MAX_BASE = 1 << 20;
+    private static final int ATTEMPT_BASES = 1 << 20;
     private static final int ATTEMPTS_PER_BASE = 1_000;
 
     private final HttpClient client;
-    private final long idleMillis;
-    private final int attemptBase = new SecureRandom().nextInt(MAX_BASE) * ATTEMPTS_PER_BASE;
+    private final long idleTimeoutMillis;
+    private final int attemptBase = new SecureRandom().nextInt(ATTEMPT_BASES) * ATTEMPTS_PER_BASE;
 
     /**
      * Creates the adapter.
      *
-     * @param client makes the calls
-     * @param idleMillis longest silence of an engine, in milliseconds
+     * @param client the HTTP client
+     * @param idleTimeoutMillis maximum time without data from an engine, in milliseconds
      */
-    public HttpEngineApi(HttpClient client, long idleMillis) {
+    public HttpEngineApi(HttpClient client, long idleTimeoutMillis) {
         this.client = client;
-        this.idleMillis = idleMillis;
+        this.idleTimeoutMillis = idleTimeoutMillis;
     }
 
     @Override
-    public Running generate(LocalUpstream engine, Attempt attempt, Listener listener) {
+    public RunningAttempt generate(LocalUpstream engine, Attempt attempt, Listener listener) {
         HostPort address = HostPort.parse(engine.address());
-        ObjectNode body = named(attempt.requestId(), attempt.attempt());
+        ObjectNode body = attemptBody(attempt.requestId(), attempt.attempt());
         body.put("organisation", attempt.organisation())
                 .put("model", attempt.model())
                 .put("prompt", attempt.prompt())
@@ -76,19 +77,19 @@
                 .put("priority", attempt.priority());
         ArrayNode resume = body.putArray("resume");
         attempt.resume().forEach(resume::add);
-        HttpCall call = HttpCall.post(address, "/v1/generate", body.toString(), idleMillis);
+        HttpCall call = HttpCall.post(address, "/v1/generate", body.toString(), idleTimeoutMillis);
         HttpExchange exchange = client.send(call, new Events(listener, attemptBase));
         return () -> {
             exchange.cancel();
-            String name = named(attempt.requestId(), attempt.attempt()).toString();
-            client.call(HttpCall.post(address, "/v1/cancel", name, CONTROL_MILLIS));
+            String cancelBody = attemptBody(attempt.requestId(), attempt.attempt()).toString();
+            client.call(HttpCall.post(address, "/v1/cancel", cancelBody, CONTROL_TIMEOUT_MILLIS));
         };
     }
 
     @Override
     public CompletableFuture<String> export(
             LocalUpstream engine, String requestId, int attempt, long timeoutMillis) {
-        String body = named(requestId, attempt).toString();
+        String body = attemptBody(requestId, attempt).toString();
         HostPort address = HostPort.parse(engine.address());
         return client.call(HttpCall.post(address, "/v1/export", body, timeoutMillis))
                 .thenApply(reply -> json(reply).path("handle").asText());
@@ -97,7 +98,7 @@
     @Override
     public CompletableFuture<LoadReport> load(LocalUpstream engine) {
         HostPort address = HostPort.parse(engine.address());
-        return client.call(HttpCall.get(address, "/v1/load", CONTROL_MILLIS))
+        return client.call(HttpCall.get(address, "/v1/load", CONTROL_TIMEOUT_MILLIS))
                 .thenApply(reply -> report(json(reply)));
     }
 
@@ -111,7 +112,7 @@
                 Math.max(1, node.path("tokenMillis").asInt(1)));
     }
 
-    private ObjectNode named(String requestId, int attempt) {
+    private ObjectNode attemptBody(String requestId, int attempt) {
         return JSON.createObjectNode()
                 .put("request", requestId)
                 .put("attempt", attemptBase + attempt);
@@ -123,12 +124,12 @@
                 return JSON.readTree(reply.body());
             }
         } catch (IOException e) {
-            // reported below like an unexpected status
+            // Reported below in the same way as an unexpected status.
         }
-        throw new PlatformException("an engine call", "status " + reply.status());
+        throw new PlatformException("an export or load call to an engine", "status " + reply.status());
     }
 
-    /** Turns the bytes of an answer into tokens. */
+    /** Parses the bytes of an answer into tokens. */
     private static final class Events implements HttpListener {
         private final Listener listener;
         private final int attemptBase;
@@ -186,7 +187,7 @@
                 ended = true;
                 listener.ended(requestId, attempt, node.path("end").asInt());
             } else {
-                throw new IOException("an event that is neither token nor end");
+                throw new IOException("event is neither a token nor the end of the answer");
             }
         }
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestBook.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestBook.java
@@ -223,7 +223,10 @@
             }
             long left = Math.max(0, noticeMillis - delay);
             context.timer()
-                    .schedule(() -> runner.leaving(upstream, left), delay, TimeUnit.MILLISECONDS);
+                    .schedule(
+                            () -> runner.upstreamLeaving(upstream, left),
+                            delay,
+                            TimeUnit.MILLISECONDS);
             delay = Math.min(delay + MOVE_PACE_MILLIS, noticeMillis / 2);
         }
     }
@@ -236,10 +239,10 @@
     public void handOver() {
         for (Held h : held.leave()) {
             GenerationRunner runner = h.runner;
-            boolean mayMove = runner.mayRunAgain() && keepers.choose(runner.request()).isPresent();
+            boolean mayMove = runner.isRepeatable() && keepers.choose(runner.request()).isPresent();
             if (mayMove) {
                 RequestRecord record = runner.suspend();
-                handOvers.offer(record, h.keeper, runner.lastEvent(), runner::moved);
+                handOvers.offer(record, h.keeper, runner.lastEvent(), runner::redirectReceivers);
             }
         }
     }
@@ -258,7 +261,7 @@
                 h.runner.endUnfinished();
             } else {
                 h.runner.suspend();
-                h.runner.moved();
+                h.runner.redirectReceivers();
             }
         }
     }
@@ -372,7 +375,7 @@
         if (same(known.runner.request(), request)) {
             known.runner.attach(sink, 0);
         } else {
-            Answers.failure(sink, "", Failure.notRun(Failure.Kind.CLAIM_MISMATCH, 0));
+            Answers.sendFailure(sink, "", Failure.notRun(Failure.Kind.CLAIM_MISMATCH, 0));
         }
     }
 
@@ -380,7 +383,7 @@
         Optional<Holding> holding = held.add(request, row, keeper, known -> true);
         if (holding.isEmpty()) {
             copySender.drop(keeper, request.requestId());
-            Answers.failure(sink, request.requestId(), stopping(request));
+            Answers.sendFailure(sink, request.requestId(), stopping(request));
         } else if (holding.get().added()) {
             GenerationRunner runner = holding.get().held().runner;
             runner.attach(sink, 0);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestDispatcher.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestDispatcher.java
@@ -46,7 +46,7 @@
     private final PeerRelay relay;
     private final Admission admission;
     private final RequestRecovery recovery;
-    private final CallBook calls;
+    private final CallResults calls;
     private volatile boolean draining;
 
     /**
@@ -70,7 +70,7 @@
         this.book = book;
         this.claims = claims;
         this.relay = relay;
-        this.calls = new CallBook(context.self().dataCentre());
+        this.calls = new CallResults(context.self().dataCentre());
         this.admission = new Admission(context, book, relay, chooser);
         this.recovery = new RequestRecovery(context.timer(), book, relay, finder);
     }
@@ -100,9 +100,9 @@
         if (path.startsWith(REQUESTS_PATH)) {
             recovery.findAgain(request, sink);
         } else if (request.relayed() && path.startsWith(CALLS_PATH)) {
-            calls.answer(path.substring(CALLS_PATH.length()), request.organisation(), sink);
+            calls.sendResult(path.substring(CALLS_PATH.length()), request.organisation(), sink);
         } else if (draining) {
-            Answers.failure(
+            Answers.sendFailure(
                     sink, "", Admission.refusal(request, Kind.STOPPING, RETRY_AFTER_MILLIS));
         } else if (request.service().isPresent()) {
             serveService(request, request.service().get(), sink);
@@ -241,7 +241,7 @@
                                 callClaimed(request, row, key, callId, sink);
                                 return;
                             }
-                            calls.forget(callId);
+                            calls.remove(callId);
                             if (reply.verdict() == ClaimReply.Verdict.DUPLICATE) {
                                 first(CALLS_PATH, request, reply, sink);
                             }
@@ -250,7 +250,7 @@
 
     private void callClaimed(
             IncomingRequest request, Row row, ClaimKey key, String callId, CallerSink sink) {
-        calls.answer(callId, request.organisation(), sink);
+        calls.sendResult(callId, request.organisation(), sink);
         new ServiceRunner(
                         context,
                         request,
@@ -280,7 +280,7 @@
             case DUPLICATE -> false;
             case MISMATCH -> refused(sink, requestId, Failure.notRun(Kind.CLAIM_MISMATCH, 0));
             case UNKNOWN -> {
-                CallBook.unknown().send(sink, requestId, context.self().dataCentre());
+                CallResults.unknownResult().send(sink, requestId, context.self().dataCentre());
                 yield false;
             }
             case UNAVAILABLE ->
@@ -293,7 +293,7 @@
     }
 
     private static boolean refused(CallerSink sink, String requestId, Failure failure) {
-        Answers.failure(sink, requestId, failure);
+        Answers.sendFailure(sink, requestId, failure);
         return false;
     }
 
@@ -311,7 +311,7 @@
         if (reply.holder().equals(context.self().id())) {
             serve(lookUp, sink);
         } else if (!relay.forward(reply.holder(), "", lookUp, sink, false)) {
-            CallBook.unknown().send(sink, reply.requestId(), context.self().dataCentre());
+            CallResults.unknownResult().send(sink, reply.requestId(), context.self().dataCentre());
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRecovery.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRecovery.java
@@ -93,7 +93,7 @@
 
         /** Brings the caller the rest from a runner of this entry, if there is one. */
         boolean attach(Optional<GenerationRunner> runner, Found found) {
-            CallerSink rest = begun ? new BegunSink(sink) : sink;
+            CallerSink rest = begun ? new ResumedAnswerSink(sink) : sink;
             runner.ifPresent(
                     present -> {
                         log(found, "");
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/ServiceRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/ServiceRunner.java
@@ -36,12 +36,12 @@
 import java.util.function.Consumer;
 
 /**
- * Runs one call of a plain service. The answer is taken whole before any of it is passed on, so
- * that a caller never sees a cut one.
+ * Runs one call of a plain service. The answer is received completely before any of it is sent on,
+ * so that a caller never receives a truncated one.
  *
  * @since 0.1
  */
-final class ServiceRunner implements Placements.Ticket {
+final class ServiceRunner implements Placements.PendingRequest {
     private static final String KIND = "service";
     private static final long RETRY_AFTER_MILLIS = 2_000;
 
@@ -57,35 +57,35 @@
     private enum State {
         WAITING,
         SENT,
-        OVER
+        ENDED
     }
 
-    /** How a call ended. */
+    /** The result of a call. */
     sealed interface Result {
         /** The service answered. */
-        record Whole(HttpReply reply) implements Result {}
+        record Completed(HttpReply reply) implements Result {}
 
         /** The call failed. */
         record Failed(Failure failure) implements Result {}
 
         /** Sends the result to a caller. */
         default void send(CallerSink sink, String requestId, String servedIn) {
-            if (this instanceof Whole whole) {
-                HttpReply reply = whole.reply();
+            if (this instanceof Completed completed) {
+                HttpReply reply = completed.reply();
                 String type = reply.contentType();
                 List<Header> headers =
                         List.of(
                                 new Header(Answers.REQUEST_HEADER, requestId),
                                 new Header(Answers.OUTCOME_HEADER, Outcome.RAN.headerValue()),
                                 new Header(Answers.SERVED_HEADER, servedIn));
-                Answers.whole(
+                Answers.send(
                         sink,
                         reply.status(),
                         type.isEmpty() ? "application/octet-stream" : type,
                         headers,
                         reply.body());
             } else if (this instanceof Failed failed) {
-                Answers.failure(sink, requestId, failed.failure());
+                Answers.sendFailure(sink, requestId, failed.failure());
             }
         }
     }
@@ -106,7 +106,7 @@
     }
 
     void start() {
-        context.timer().schedule(this::giveUp, patienceMillis(), TimeUnit.MILLISECONDS);
+        context.timer().schedule(this::giveUp, queueTimeoutMillis(), TimeUnit.MILLISECONDS);
         place();
     }
 
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public boolean begun() {
+    public boolean answerStarted() {
         return false;
     }
 
@@ -136,8 +136,8 @@
             context.placements().release(upstream.id());
             return;
         }
-        long waited = MonotonicClock.millis() - startedMillis;
-        context.metrics().queued(row.organisation(), KIND, waited);
+        long waitedMillis = MonotonicClock.millis() - startedMillis;
+        context.metrics().queued(row.organisation(), KIND, waitedMillis);
         state = State.SENT;
         context.client()
                 .call(call(upstream))
@@ -149,48 +149,48 @@
         Optional<LocalUpstream> upstream = context.placements().request(this);
         if (upstream.isPresent()) {
             placed(upstream.get());
-        } else if (MonotonicClock.millis() - startedMillis >= patienceMillis()) {
+        } else if (MonotonicClock.millis() - startedMillis >= queueTimeoutMillis()) {
             giveUp();
         }
     }
 
-    /** The wait for an upstream is over; a call that was sent is not given up here. */
+    /** Fails the call if it still waits for an upstream; a call that was sent is not affected. */
     private synchronized void giveUp() {
         if (state == State.WAITING) {
-            state = State.OVER;
+            state = State.ENDED;
             context.placements().withdraw(this);
             finish(new Result.Failed(machine.notPlaced(RETRY_AFTER_MILLIS)), "not-run");
         }
     }
 
-    private long patienceMillis() {
+    private long queueTimeoutMillis() {
         return context.settings().limits().queueMillis(row.latencyTargetMillis());
     }
 
     private void answered(LocalUpstream upstream, HttpReply reply, Throwable failure) {
         context.placements().release(upstream.id());
-        context.placements().went(upstream.id(), failure == null);
+        context.placements().attemptEnded(upstream.id(), failure == null);
         if (failure == null) {
             machine.succeeded();
-            finish(new Result.Whole(reply), "whole");
+            finish(new Result.Completed(reply), "whole");
             return;
         }
         HttpFailureException cause =
                 failure instanceof HttpFailureException http
                         ? http
                         : (HttpFailureException) failure.getCause();
-        Optional<Failure> last = machine.broken(upstream.id(), cause.sent(), kind(cause));
-        if (last.isEmpty()) {
+        Optional<Failure> finalFailure = machine.broken(upstream.id(), cause.sent(), kind(cause));
+        if (finalFailure.isEmpty()) {
             place();
         } else {
-            Failure given = last.get();
-            finish(new Result.Failed(given), given.outcome().headerValue());
+            Failure reason = finalFailure.get();
+            finish(new Result.Failed(reason), reason.outcome().headerValue());
         }
     }
 
     private void finish(Result result, String outcome) {
-        long took = MonotonicClock.millis() - startedMillis;
-        context.metrics().ended(row.organisation(), KIND, outcome, took);
+        long durationMillis = MonotonicClock.millis() - startedMillis;
+        context.metrics().ended(row.organisation(), KIND, outcome, durationMillis);
         onResult.accept(result);
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/TakeUps.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/TakeUps.java
@@ -180,7 +180,7 @@
         if (!keeper.isEmpty()) {
             context.links().send(keeper, new RecordPut(request));
         }
-        mine.runner.goOn();
+        mine.runner.resume();
         boolean goesOn = mayRun || request.complete();
         log(copy, cause, goesOn ? Result.GOES_ON : Result.MAY_HAVE_RUN);
         return Optional.of(mine.runner);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntry.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntry.java
@@ -154,7 +154,7 @@
 
     void received(EntryInfo from, PeerMessage message) {
         if (message instanceof Heartbeat heartbeat) {
-            chooser.heard(from.id(), heartbeat);
+            chooser.heartbeatReceived(from.id(), heartbeat);
         } else {
             router.received(from, message);
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/serve/HttpEngineApiTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/serve/HttpEngineApiTest.java
@@ -81,7 +81,7 @@
                             0);
             Recorder stopping = new Recorder();
             Recorder heir = new Recorder();
-            EngineApi.Running handedOver =
+            EngineApi.RunningAttempt handedOver =
                     new HttpEngineApi(client, IDLE_MILLIS).generate(upstream, attempt, stopping);
             stopping.awaitFirst();
             new HttpEngineApi(client, IDLE_MILLIS).generate(upstream, attempt, heir);
