--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/Admission.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/Admission.java
@@ -50,9 +50,10 @@
     }
 
     /**
-     * Returns the row of a request that this entry is to serve. Returns empty if the request was
-     * refused, or forwarded to a data centre that is allowed or predicted to serve it earlier. A
-     * request that was already admitted elsewhere does not count against its row's limit again.
+     * Returns the row of a request that this entry is to serve; empty if the request was refused or
+     * forwarded. It is forwarded if the row does not allow this data centre, or if another one is
+     * predicted to serve it earlier. A request that another entry has admitted is not counted
+     * against its row's limit again.
      */
     Optional<Row> admit(IncomingRequest request, String target, TargetKind kind, CallerSink sink) {
         String here = context.self().dataCentre();
@@ -94,7 +95,8 @@
 
     private void refuseOrRelay(IncomingRequest request, Row row, CallerSink sink) {
         if (request.relayed()) {
-            // The sender's table differs from this one; the request is never served here.
+            // The sender's table differs from this one; the request is never served here, nor
+            // forwarded again.
             Answers.sendFailure(sink, "", refusal(request, Kind.ROW_NARROWED, RETRY_AFTER_MILLIS));
         } else {
             relay(request, Optional.of(row.target()), row.dataCentres(), sink);
@@ -115,7 +117,10 @@
         return relay.forward(peer.id(), "", admitted, sink, false);
     }
 
-    /** Forwards a request, without reading its body, to an entry in one of the data centres. */
+    /**
+     * Forwards a request unchanged to an entry in one of the data centres; refuses it if there is
+     * none.
+     */
     void relay(
             IncomingRequest request,
             Optional<String> target,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/AnswerFeed.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/AnswerFeed.java
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Sends as much as the receiver accepts; returns false if tokens remain to be sent when it is
-     * writable again.
+     * Sends all tokens that are available; returns false if the receiver cannot take all of them
+     * now.
      */
     boolean pump(AnswerLog log) {
         if (ended) {
@@ -103,7 +103,10 @@
         sink.abort();
     }
 
-    /** Ends the receiver's answer here and tells it to request the rest from any entry. */
+    /**
+     * Ends the receiver's answer here: a stream with an event that tells it to request the rest
+     * from any entry, any other answer with a failure.
+     */
     void redirect(String requestId) {
         if (ended) {
             return;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CallResults.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CallResults.java
@@ -31,7 +31,7 @@
  */
 final class CallResults {
     private static final int MAX_CALLS = 2_000;
-    private static final int MAX_ANSWER_BYTES = 16 * 1024;
+    private static final int MAX_KEPT_ANSWER_BYTES = 16 * 1024;
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final String servedIn;
@@ -85,7 +85,7 @@
             call.waiting.clear();
             call.result = result;
             if (result instanceof Result.Completed completed
-                    && completed.reply().body().length > MAX_ANSWER_BYTES) {
+                    && completed.reply().body().length > MAX_KEPT_ANSWER_BYTES) {
                 calls.remove(callId);
             }
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CallerSink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CallerSink.java
@@ -47,21 +47,21 @@
     void abort();
 
     /**
-     * Returns whether more can be sent without being buffered.
+     * Returns whether more can be sent without accumulating in memory.
      *
      * @return false while the receiver does not read fast enough
      */
     boolean writable();
 
     /**
-     * Registers an action for when {@link #writable} becomes true.
+     * Registers an action to run when {@link #writable} becomes true.
      *
      * @param ready run at most once
      */
     void whenWritable(Runnable ready);
 
     /**
-     * Registers an action for when the receiver disconnects before the end of the answer.
+     * Registers an action to run when the receiver disconnects before the end of the answer.
      *
      * @param action run at most once
      */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CompletionRequest.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CompletionRequest.java
@@ -42,7 +42,7 @@
 
     private static final int DEFAULT_MAX_TOKENS = 256;
     private static final int MAX_TOKENS = 16_384;
-    private static final int MAX_DEPTH = 32;
+    private static final int MAX_NESTING_DEPTH = 32;
     private static final ObjectMapper JSON = mapper();
 
     /**
@@ -106,7 +106,7 @@
         ObjectMapper mapper = JsonMapper.builder().build();
         mapper.getFactory()
                 .setStreamReadConstraints(
-                        StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build());
+                        StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build());
         return mapper;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CompletionWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CompletionWriter.java
@@ -39,13 +39,13 @@
         String choice = request.chat() ? "\"delta\":{\"content\":\"" : "\"text\":\"";
         eventPrefix =
                 "data: {\"id\":\""
-                        + quoted(request.requestId())
+                        + escaped(request.requestId())
                         + "\",\"object\":\""
                         + object
                         + "\",\"created\":"
                         + request.createdMillis() / 1000
                         + ",\"model\":\""
-                        + quoted(request.model())
+                        + escaped(request.model())
                         + "\",\"choices\":[{\"index\":0,"
                         + choice;
         eventSuffix = request.chat() ? "\"},\"finish_reason\":" : "\",\"finish_reason\":";
@@ -57,7 +57,7 @@
                         + position
                         + "\n"
                         + eventPrefix
-                        + quoted(token)
+                        + escaped(token)
                         + eventSuffix
                         + "null}]}\n\n");
     }
@@ -75,7 +75,7 @@
     byte[] movedEvent() {
         return bytes(
                 "event: moved\nretry: 100\ndata: {\"request\":\""
-                        + quoted(request.requestId())
+                        + escaped(request.requestId())
                         + "\"}\n\n");
     }
 
@@ -88,18 +88,18 @@
         String choice =
                 request.chat()
                         ? "\"message\":{\"role\":\"assistant\",\"content\":\""
-                                + quoted(text)
+                                + escaped(text)
                                 + "\"}"
-                        : "\"text\":\"" + quoted(text) + "\"";
+                        : "\"text\":\"" + escaped(text) + "\"";
         return bytes(
                 "{\"id\":\""
-                        + quoted(request.requestId())
+                        + escaped(request.requestId())
                         + "\",\"object\":\""
                         + (request.chat() ? "chat.completion" : "text_completion")
                         + "\",\"created\":"
                         + request.createdMillis() / 1000
                         + ",\"model\":\""
-                        + quoted(request.model())
+                        + escaped(request.model())
                         + "\",\"choices\":[{\"index\":0,"
                         + choice
                         + ",\"finish_reason\":\"stop\"}],\"usage\":"
@@ -111,7 +111,7 @@
         return "{\"completion_tokens\":" + tokens + "}";
     }
 
-    private static String quoted(String text) {
+    private static String escaped(String text) {
         return String.valueOf(JsonStringEncoder.getInstance().quoteAsString(text));
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/DataCentreChooser.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/DataCentreChooser.java
@@ -95,7 +95,7 @@
 
     /**
      * Returns an entry of another data centre that is predicted to serve a request earlier than
-     * this entry, with the delay of forwarding included.
+     * this entry, including the delay of forwarding.
      *
      * @param target model or service
      * @param allowed the data centres that the row allows
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
@@ -115,7 +115,7 @@
                         startedMillis);
     }
 
-    /** Starts the request, unless another entry has it already. */
+    /** Starts the request, unless it was moved to another entry before. */
     public synchronized void start() {
         if (!movedAway) {
             perform(machine.start());
@@ -182,7 +182,7 @@
     }
 
     /**
-     * Returns whether the request has ended, on this entry at least.
+     * Returns whether the work on the request has ended here, also by {@link #suspend}.
      *
      * @return true if so
      */
@@ -287,8 +287,8 @@
     }
 
     /**
-     * Ends the answers of all receivers here, so that they request the rest from the entry that has
-     * the request now.
+     * Ends the answers of all receivers here. They can request the rest from any entry, which finds
+     * the entry that has the request now.
      */
     public synchronized void redirectReceivers() {
         receiversRedirected = true;
@@ -346,7 +346,7 @@
         } else if (action instanceof Export export) {
             export(export);
         } else if (action instanceof Emit) {
-            emitted();
+            tokenEmitted();
         } else if (action instanceof WakeAt wake) {
             wakeAt(wake.atMillis());
         } else if (action instanceof Complete) {
@@ -414,7 +414,7 @@
         releaseUnused();
     }
 
-    private void emitted() {
+    private void tokenEmitted() {
         answerStarted = true;
         long now = MonotonicClock.millis();
         if (log.size() == 1) {
@@ -527,7 +527,7 @@
         @Override
         public void token(String requestId, int attempt, int position, String text) {
             synchronized (GenerationRunner.this) {
-                if (belongs(requestId, attempt)) {
+                if (matchesAttempt(requestId, attempt)) {
                     long now = MonotonicClock.millis();
                     perform(machine.token(dispatch.attempt(), position, text, now));
                     countLateFrames();
@@ -538,7 +538,7 @@
         @Override
         public void ended(String requestId, int attempt, int tokens) {
             synchronized (GenerationRunner.this) {
-                if (belongs(requestId, attempt)) {
+                if (matchesAttempt(requestId, attempt)) {
                     long now = MonotonicClock.millis();
                     perform(machine.ended(dispatch.attempt(), tokens, now));
                     countLateFrames();
@@ -559,7 +559,7 @@
             }
         }
 
-        private boolean belongs(String requestId, int attempt) {
+        private boolean matchesAttempt(String requestId, int attempt) {
             boolean matches =
                     requestId.equals(request.requestId()) && attempt == dispatch.attempt();
             if (!matches) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/HttpEngineApi.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/HttpEngineApi.java
@@ -78,7 +78,7 @@
         ArrayNode resume = body.putArray("resume");
         attempt.resume().forEach(resume::add);
         HttpCall call = HttpCall.post(address, "/v1/generate", body.toString(), idleTimeoutMillis);
-        HttpExchange exchange = client.send(call, new Events(listener, attemptBase));
+        HttpExchange exchange = client.send(call, new AnswerParser(listener, attemptBase));
         return () -> {
             exchange.cancel();
             String cancelBody = attemptBody(attempt.requestId(), attempt.attempt()).toString();
@@ -126,18 +126,19 @@
         } catch (IOException e) {
             // Reported below in the same way as an unexpected status.
         }
-        throw new PlatformException("an export or load call to an engine", "status " + reply.status());
+        throw new PlatformException(
+                "an export or load call to an engine", "status " + reply.status());
     }
 
     /** Parses the bytes of an answer into tokens. */
-    private static final class Events implements HttpListener {
+    private static final class AnswerParser implements HttpListener {
         private final Listener listener;
         private final int attemptBase;
         private final SseLines lines = new SseLines();
         private boolean refused;
         private boolean ended;
 
-        Events(Listener listener, int attemptBase) {
+        AnswerParser(Listener listener, int attemptBase) {
             this.listener = listener;
             this.attemptBase = attemptBase;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/Placements.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/Placements.java
@@ -52,7 +52,7 @@
     private final Executor callbacks;
     private final LocalUpstreamDirectory directory = new LocalUpstreamDirectory();
     private final Router router;
-    private final Map<String, WeightedQueue<PendingRequest>> waiting = new HashMap<>();
+    private final Map<String, WeightedQueue<PendingRequest>> queues = new HashMap<>();
     private final Set<PendingRequest> queued = new HashSet<>();
     private final Deque<LoggedDecision> decisions = new ArrayDeque<>();
 
@@ -165,7 +165,7 @@
     public void placeWaiting() {
         List<Assignment> assignments = new ArrayList<>();
         synchronized (this) {
-            waiting.values().forEach(queue -> placeWaiting(queue, assignments));
+            queues.values().forEach(queue -> placeWaiting(queue, assignments));
         }
         // Not on the calling thread, which may hold the lock of another request.
         assignments.forEach(
@@ -217,7 +217,7 @@
      * @param leaving the names of those that are leaving
      * @return the upstreams that are newly leaving
      */
-    public synchronized List<LocalUpstream> listed(
+    public synchronized List<LocalUpstream> applyList(
             Collection<LocalUpstream> listed, Collection<String> leaving) {
         return directory.listed(listed, leaving);
     }
@@ -330,6 +330,6 @@
     }
 
     private WeightedQueue<PendingRequest> queue(String target) {
-        return waiting.computeIfAbsent(target, t -> new WeightedQueue<>());
+        return queues.computeIfAbsent(target, t -> new WeightedQueue<>());
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RowPolicies.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RowPolicies.java
@@ -153,7 +153,8 @@
     }
 
     /**
-     * Sets this entry's share of each row's rate limit in proportion to its demand.
+     * Sets this entry's share of each row's rate limit from its demand and that of the other
+     * entries.
      *
      * @param peerDemand total demand at the other entries by row, in requests per second
      * @param peers number of other entries
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/ServiceRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/ServiceRunner.java
@@ -106,7 +106,7 @@
     }
 
     void start() {
-        context.timer().schedule(this::giveUp, queueTimeoutMillis(), TimeUnit.MILLISECONDS);
+        context.timer().schedule(this::failIfWaiting, queueTimeoutMillis(), TimeUnit.MILLISECONDS);
         place();
     }
 
@@ -150,12 +150,12 @@
         if (upstream.isPresent()) {
             placed(upstream.get());
         } else if (MonotonicClock.millis() - startedMillis >= queueTimeoutMillis()) {
-            giveUp();
+            failIfWaiting();
         }
     }
 
     /** Fails the call if it still waits for an upstream; a call that was sent is not affected. */
-    private synchronized void giveUp() {
+    private synchronized void failIfWaiting() {
         if (state == State.WAITING) {
             state = State.ENDED;
             context.placements().withdraw(this);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/FleetSync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/FleetSync.java
@@ -174,7 +174,7 @@
 
     private void listed(List<LocalUpstream> upstreams, List<String> leaving) {
         listedMillis = MonotonicClock.millis();
-        for (LocalUpstream upstream : placements.listed(upstreams, leaving)) {
+        for (LocalUpstream upstream : placements.applyList(upstreams, leaving)) {
             listener.leaving(upstream.id(), LISTED_NOTICE_MILLIS);
         }
         placements.placeWaiting();
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntry.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntry.java
@@ -61,7 +61,7 @@
         this.info = info;
         this.timer = timer;
         Placements placements = new Placements(info.dataCentre(), 1, timer);
-        placements.listed(
+        placements.applyList(
                 List.of(new LocalUpstream("e-1", info.dataCentre(), "127.0.0.1:1", MODEL)),
                 List.of());
         ServingContext context =
