--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/AnswerNotice.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/AnswerNotice.java
@@ -19,13 +19,13 @@
  * What the head of an answer says of the upstream itself, beside the answer.
  *
  * @param leaving true if the upstream says that it leaves
- * @param restMillis how long it wants no request of this process, in milliseconds; 0 if it does not
+ * @param backoffMillis how long it wants no request of this process, in milliseconds; 0 if it does not
  *     say so
  * @param limit how many requests it takes from all processes together
  * @param fault what could not be read, with the form that was expected; empty if all could
  * @since 0.5
  */
-public record AnswerNotice(boolean leaving, long restMillis, LimitNotice limit, String fault) {
+public record AnswerNotice(boolean leaving, long backoffMillis, LimitNotice limit, String fault) {
     /** Says nothing. */
     public static final AnswerNotice NONE = new AnswerNotice(false, 0, LimitNotice.ABSENT, "");
 
@@ -36,7 +36,7 @@
      */
     public boolean isNone() {
         return !leaving
-                && restMillis == 0
+                && backoffMillis == 0
                 && limit.kind() == LimitNotice.Kind.ABSENT
                 && fault.isEmpty();
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/CostTerms.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/CostTerms.java
@@ -28,21 +28,21 @@
  */
 final class CostTerms {
     /** How often the way there and back counts: bytes between data centres are dear. */
-    private static final double WAY_WEIGHT = 4;
+    private static final double LATENCY_WEIGHT = 4;
 
     /** What each kilobyte sent to another data centre of the region counts, in milliseconds. */
     private static final double MILLIS_PER_KB = 0.5;
 
     /** How often the request's own reading counts: it delays itself and what comes after. */
-    private static final double WORK_WEIGHT = 2;
+    private static final double OWN_READING_WEIGHT = 2;
 
     /**
      * What an upstream counts that fails all of its requests, in milliseconds: a usual objective.
      */
-    private static final double FAILING_MILLIS = 400;
+    private static final double FAILURE_COST_MILLIS = 400;
 
     /** How long a data centre is avoided after a connection there failed, in milliseconds. */
-    private static final long SUSPECT_MILLIS = 1_500;
+    private static final long SUSPECT_DURATION_MILLIS = 1_500;
 
     /** What an upstream of such a data centre counts, in milliseconds: more than any objective. */
     private static final double SUSPECT_PENALTY_MILLIS = 600;
@@ -65,13 +65,13 @@
                 CostTerm.of("suspect", this::suspect),
                 CostTerm.of("reading", CostTerms::reading),
                 CostTerm.of("batch", CostTerms::batch),
-                CostTerm.of("place", CostTerms::place));
+                CostTerm.of("place", CostTerms::slotWait));
     }
 
     /** Records that no connection to an upstream came about. */
     void unreachable(Upstream upstream, long nowMillis) {
         if (!topology.isLocal(upstream.dataCentre())) {
-            suspectUntilMillis.put(upstream.dataCentre(), nowMillis + SUSPECT_MILLIS);
+            suspectUntilMillis.put(upstream.dataCentre(), nowMillis + SUSPECT_DURATION_MILLIS);
         }
     }
 
@@ -82,11 +82,11 @@
         }
         double wayMillis = 2 * distance.oneWayMillis();
         double perKb = MILLIS_PER_KB * distance.bytePrice();
-        return WAY_WEIGHT * wayMillis + perKb * candidate.request().bodyBytes() / BYTES_PER_KB;
+        return LATENCY_WEIGHT * wayMillis + perKb * candidate.request().bodyBytes() / BYTES_PER_KB;
     }
 
     private double failures(Candidate candidate) {
-        return loads.failedPart(candidate.upstream().id()) * FAILING_MILLIS;
+        return loads.failedFraction(candidate.upstream().id()) * FAILURE_COST_MILLIS;
     }
 
     private double suspect(Candidate candidate) {
@@ -102,7 +102,7 @@
         }
         EngineEstimate engine = candidate.engine();
         int uncached = Math.max(0, tokensIn - candidate.cachedTokens());
-        double toRead = candidate.waitingTokens() + WORK_WEIGHT * uncached;
+        double toRead = candidate.waitingTokens() + OWN_READING_WEIGHT * uncached;
         return engine.firstMillis() + toRead * engine.millisPerToken();
     }
 
@@ -111,11 +111,11 @@
         return prompted ? candidate.running() * candidate.engine().pauseMillisPerRequest() : 0;
     }
 
-    private static double place(Candidate candidate) {
+    private static double slotWait(Candidate candidate) {
         EngineEstimate engine = candidate.engine();
         int slots = candidate.upstream().slots();
         if (candidate.request().prompt().tokensIn() > 0) {
-            return engine.placeMillis(candidate.running(), slots);
+            return engine.slotWaitMillis(candidate.running(), slots);
         }
         return engine.runMillis() * (candidate.running() + 1.0) / Math.max(1, slots);
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/Crossing.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/CrossRegionChoice.java
@@ -19,12 +19,12 @@
  * Why a request is sent to another region.
  *
  * @param region the region it is sent to
- * @param hereMillis when the best upstream of the own region would have begun to answer, in
- *     milliseconds; {@link #NOBODY_HERE} if none there serves
- * @param thereMillis when the chosen one is expected to, the way included, in milliseconds
+ * @param localMillis when the best upstream of the own region would have begun to answer, in
+ *     milliseconds; {@link #NO_LOCAL_UPSTREAM} if none there serves
+ * @param remoteMillis when the chosen one is expected to, the way included, in milliseconds
  * @since 0.4
  */
-public record Crossing(String region, long hereMillis, long thereMillis) {
+public record CrossRegionChoice(String region, long localMillis, long remoteMillis) {
     /** Told in place of a time if no upstream of the own region serves. */
-    public static final long NOBODY_HERE = -1;
+    public static final long NO_LOCAL_UPSTREAM = -1;
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/CrossingRule.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/CrossRegionRule.java
@@ -31,59 +31,59 @@
  * only its part of these: so all of them together stay below what is free, though none counts the
  * others' work until they have told it.
  */
-final class CrossingRule {
+final class CrossRegionRule {
     /**
      * Part of the time left to the objective within which the own region must be expected to begin.
      * The rest is for what the expectation cannot know: the work that others sent in the time of a
      * digest. Chosen, not measured.
      */
-    private static final double OWN_PART = 0.8;
+    private static final double MAX_LOCAL_FRACTION = 0.8;
 
     /**
      * Part of that time within which another region must be expected to begin: a request is not
      * sent the long way for a doubtful gain. Chosen, not measured.
      */
-    private static final double OTHER_PART = 0.5;
+    private static final double MAX_REMOTE_FRACTION = 0.5;
 
     /**
      * Part of an upstream's places that a region keeps for its own callers: a jump of their load by
      * a third finds places at once. Chosen, not measured.
      */
-    private static final double KEPT_PART = 0.25;
+    private static final double RESERVED_SLOT_FRACTION = 0.25;
 
     /**
      * Part of an objective that prompts from other regions may have an upstream read for: what its
      * own callers send meanwhile begins within the rest. Chosen; with places alone as the measure a
      * burst of three times a region's load made 3 of 100 callers of the other one late.
      */
-    private static final double LENT_READING_PART = 0.25;
+    private static final double REMOTE_READING_FRACTION = 0.25;
 
-    private static final double WAY_MILLIS = 2 * Distance.OTHER_REGION.oneWayMillis();
+    private static final double ROUND_TRIP_MILLIS = 2 * Distance.OTHER_REGION.oneWayMillis();
 
     /** Numbers below this are as good as random for the names of requests. */
-    private static final double DRAWS = 1 << 20;
+    private static final double HASH_BUCKETS = 1 << 20;
 
     private final Topology topology;
     private final UpstreamLoads loads;
     private final IntSupplier processes;
 
-    CrossingRule(Topology topology, UpstreamLoads loads, IntSupplier processes) {
+    CrossRegionRule(Topology topology, UpstreamLoads loads, IntSupplier processes) {
         this.topology = topology;
         this.loads = loads;
         this.processes = processes;
     }
 
     /** Tells whether the best upstream of the own region is good enough to look no further. */
-    boolean isEnough(Candidate own) {
+    boolean isLocalSufficient(Candidate own) {
         if (isEjected(own)) {
             return false;
         }
-        boolean free = placeMillis(own) == 0;
+        boolean free = slotWaitMillis(own) == 0;
         if (!own.engine().isLearned() || !isPrompted(own)) {
-            return free || beginMillis(own) <= OWN_PART * leftMillis(own);
+            return free || firstAnswerMillis(own) <= MAX_LOCAL_FRACTION * remainingMillis(own);
         }
-        double left = leftMillis(own);
-        return left <= 0 || beginMillis(own) <= OWN_PART * left;
+        double left = remainingMillis(own);
+        return left <= 0 || firstAnswerMillis(own) <= MAX_LOCAL_FRACTION * left;
     }
 
     /**
@@ -93,18 +93,18 @@
      * @param noneHere true if no upstream of the own region serves: then every free place is taken
      *     too, and one is waited for so long that the callers there still find it in time
      */
-    boolean hasRoom(Candidate other, boolean noneHere) {
+    boolean hasCapacity(Candidate other, boolean noneHere) {
         if (!noneHere) {
-            return other.running() < lent(other.upstream());
+            return other.running() < remoteSlots(other.upstream());
         }
-        double place = placeMillis(other);
+        double place = slotWaitMillis(other);
         return place == 0
                 || (other.engine().isLearned()
-                        && beginMillis(other) + WAY_MILLIS <= OTHER_PART * leftMillis(other));
+                        && firstAnswerMillis(other) + ROUND_TRIP_MILLIS <= MAX_REMOTE_FRACTION * remainingMillis(other));
     }
 
     /** Tells whether a request is better sent to another region's upstream than to the own one. */
-    boolean isWorthTheWay(Candidate own, Candidate other) {
+    boolean isRemoteBetter(Candidate own, Candidate other) {
         if (isEjected(other)) {
             return false;
         }
@@ -113,10 +113,10 @@
         }
         if (!isPrompted(own)) {
             // Runs are learned with the time spent waiting, so only what is waited here can tell.
-            return placeMillis(own) > WAY_MILLIS;
+            return slotWaitMillis(own) > ROUND_TRIP_MILLIS;
         }
-        double there = beginMillis(other) + WAY_MILLIS;
-        return there <= OTHER_PART * leftMillis(own) && there < beginMillis(own);
+        double there = firstAnswerMillis(other) + ROUND_TRIP_MILLIS;
+        return there <= MAX_REMOTE_FRACTION * remainingMillis(own) && there < firstAnswerMillis(own);
     }
 
     /**
@@ -124,11 +124,11 @@
      * region share the room there in equal parts. Of parts below one request, requests draw whether
      * they may use it.
      */
-    boolean isInShare(Candidate other, List<Upstream> serving) {
+    boolean isWithinShare(Candidate other, List<Upstream> serving) {
         ServingRequest request = other.request();
         String region = topology.region(other.upstream().dataCentre());
         int tokens = Math.max(1, request.prompt().tokensIn());
-        double lentTokens = LENT_READING_PART * request.route().objectiveMillis() / perToken(other);
+        double lentTokens = REMOTE_READING_FRACTION * request.route().objectiveMillis() / millisPerToken(other);
         double places = 0;
         double readings = 0;
         int sent = 0;
@@ -136,29 +136,29 @@
         for (Upstream upstream : serving) {
             String id = upstream.id();
             if (topology.region(upstream.dataCentre()).equals(region)) {
-                places += Math.max(0, lent(upstream) - loads.requests(id));
+                places += Math.max(0, remoteSlots(upstream) - loads.requests(id));
                 readings += Math.max(0, lentTokens - loads.promptTokens(id)) / tokens;
                 sent += loads.ownRequests(id);
                 sentTokens += loads.ownPromptTokens(id);
             }
         }
-        double draw = draw(request.id());
-        return fits(places, sent, draw)
-                && (!isPrompted(other) || fits(readings, sentTokens / (double) tokens, draw));
+        double draw = hashFraction(request.id());
+        return fitsShare(places, sent, draw)
+                && (!isPrompted(other) || fitsShare(readings, sentTokens / (double) tokens, draw));
     }
 
     /** Tells whether one more request is within this process's part of a room. */
-    private boolean fits(double room, double sent, double draw) {
+    private boolean fitsShare(double room, double sent, double draw) {
         double share = (room + sent) / Math.max(1, processes.getAsInt());
         return share >= 1 ? sent + 1 <= share : sent == 0 && draw < share;
     }
 
     /** Describes a choice of another region; no candidate here if none there serves. */
-    Crossing crossing(Candidate own, Candidate other) {
-        return new Crossing(
+    CrossRegionChoice describe(Candidate own, Candidate other) {
+        return new CrossRegionChoice(
                 topology.region(other.upstream().dataCentre()),
-                own == null ? Crossing.NOBODY_HERE : Math.round(beginMillis(own)),
-                Math.round(beginMillis(other) + WAY_MILLIS));
+                own == null ? CrossRegionChoice.NO_LOCAL_UPSTREAM : Math.round(firstAnswerMillis(own)),
+                Math.round(firstAnswerMillis(other) + ROUND_TRIP_MILLIS));
     }
 
     private boolean isEjected(Candidate candidate) {
@@ -166,9 +166,9 @@
     }
 
     /** Time to the first event of a stream, or to the answer of a request without a prompt. */
-    private static double beginMillis(Candidate candidate) {
+    private static double firstAnswerMillis(Candidate candidate) {
         EngineEstimate engine = candidate.engine();
-        double place = placeMillis(candidate);
+        double place = slotWaitMillis(candidate);
         if (!isPrompted(candidate)) {
             return place + engine.runMillis();
         }
@@ -178,31 +178,31 @@
         return place + engine.firstMillis() + toRead * engine.millisPerToken();
     }
 
-    private static double placeMillis(Candidate candidate) {
-        return candidate.engine().placeMillis(candidate.running(), candidate.upstream().slots());
+    private static double slotWaitMillis(Candidate candidate) {
+        return candidate.engine().slotWaitMillis(candidate.running(), candidate.upstream().slots());
     }
 
     private static boolean isPrompted(Candidate candidate) {
         return candidate.request().prompt().tokensIn() > 0;
     }
 
-    private static double perToken(Candidate candidate) {
+    private static double millisPerToken(Candidate candidate) {
         return Math.max(Double.MIN_NORMAL, candidate.engine().millisPerToken());
     }
 
-    private static double leftMillis(Candidate candidate) {
+    private static double remainingMillis(Candidate candidate) {
         ServingRequest request = candidate.request();
         long objective = request.acceptedMillis() + request.route().objectiveMillis();
         return (double) objective - candidate.nowMillis();
     }
 
     /** Returns how many places of an upstream other regions may have. */
-    private static double lent(Upstream upstream) {
-        return upstream.slots() * (1 - KEPT_PART);
+    private static double remoteSlots(Upstream upstream) {
+        return upstream.slots() * (1 - RESERVED_SLOT_FRACTION);
     }
 
-    private static double draw(String id) {
+    private static double hashFraction(String id) {
         long hash = Hashing.xxh3_64().hashCharsToLong(id);
-        return Math.floorMod(hash, (long) DRAWS) / DRAWS;
+        return Math.floorMod(hash, (long) HASH_BUCKETS) / HASH_BUCKETS;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/DemandMeter.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/DemandMeter.java
@@ -31,19 +31,19 @@
     private static final double SMOOTHING_MILLIS = 6_000;
 
     /** Least time over which a rate is taken, in milliseconds: a few requests. */
-    private static final double LEAST_SPAN_MILLIS = 500;
+    private static final double MIN_SPAN_MILLIS = 500;
 
     private final Map<String, Rate> rates = new HashMap<>();
 
     /** Decaying sums of work since its beginning. */
     private static final class Rate {
-        private final long begunMillis;
+        private final long startMillis;
         private double tokens;
         private double squaredTokens;
         private long updatedMillis;
 
         Rate(long nowMillis) {
-            begunMillis = nowMillis;
+            startMillis = nowMillis;
             updatedMillis = nowMillis;
         }
 
@@ -62,9 +62,9 @@
 
         /** The span that the sums stand for; shorter than the memory at the beginning. */
         double spanMillis() {
-            double age = updatedMillis - begunMillis;
+            double age = updatedMillis - startMillis;
             double span = SMOOTHING_MILLIS * (1 - Math.exp(-age / SMOOTHING_MILLIS));
-            return Math.max(LEAST_SPAN_MILLIS, span);
+            return Math.max(MIN_SPAN_MILLIS, span);
         }
     }
 
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/LeavingUpstream.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/LeavingUpstream.java
@@ -20,8 +20,8 @@
  * life does not leave.
  *
  * @param id the upstream's name
- * @param bornMillis when that life started, in milliseconds of the time of day; 0 if not told,
+ * @param startedMillis when that life started, in milliseconds of the time of day; 0 if not told,
  *     which counts as the life that is listed
  * @since 0.5
  */
-public record LeavingUpstream(String id, long bornMillis) {}
+public record LeavingUpstream(String id, long startedMillis) {}
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/LimitCost.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/LimitCost.java
@@ -24,7 +24,7 @@
  */
 final class LimitCost implements CostTerm {
     /** What a turn costs that has just begun, in milliseconds: less than to read most prompts. */
-    private static final double HELD_BACK_MILLIS = 50;
+    private static final double MAX_COST_MILLIS = 50;
 
     private final UpstreamLimits limits;
 
@@ -39,6 +39,6 @@
 
     @Override
     public double millis(Candidate candidate) {
-        return limits.isEmpty() ? 0 : limits.keptPart(candidate.upstream()) * HELD_BACK_MILLIS;
+        return limits.isEmpty() ? 0 : limits.remainingFraction(candidate.upstream()) * MAX_COST_MILLIS;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/LimitReport.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/LimitReport.java
@@ -19,20 +19,20 @@
  * What a process believes of an upstream's limit, as it is told to peers.
  *
  * @param upstream the upstream's name
- * @param bornMillis which life of it, by the time of its start; 0 if not told
+ * @param startedMillis which life of it, by the time of its start; 0 if not told
  * @param limit the limit it names, or that it names none any more
  * @param sentMillis when the request was sent whose answer said so, in milliseconds
- * @param heardMillis when that answer came, in milliseconds
+ * @param receivedMillis when that answer came, in milliseconds
  * @param usedMillis when a request was last sent to it, as far as is known, by the agreed time of
  *     day, so that the same use is the same to all
  * @since 0.6
  */
 public record LimitReport(
         String upstream,
-        long bornMillis,
+        long startedMillis,
         LimitNotice limit,
         long sentMillis,
-        long heardMillis,
+        long receivedMillis,
         long usedMillis) {
 
     /**
@@ -42,14 +42,14 @@
      * @param millis by how much
      * @return a copy
      */
-    LimitReport older(long millis) {
+    LimitReport agedBy(long millis) {
         return new LimitReport(
-                upstream, bornMillis, limit, sentMillis - millis, heardMillis - millis, usedMillis);
+                upstream, startedMillis, limit, sentMillis - millis, receivedMillis - millis, usedMillis);
     }
 
     /** Returns the report with another time of the last use. */
     LimitReport usedAt(long millis) {
-        return new LimitReport(upstream, bornMillis, limit, sentMillis, heardMillis, millis);
+        return new LimitReport(upstream, startedMillis, limit, sentMillis, receivedMillis, millis);
     }
 
     /**
@@ -63,12 +63,12 @@
     boolean replaces(LimitReport known) {
         if (limit.isNamed() && known.limit.isNamed()) {
             boolean lowerAtOnce =
-                    heardMillis == known.heardMillis && limit.perSecond() < known.limit.perSecond();
-            return heardMillis > known.heardMillis || lowerAtOnce;
+                    receivedMillis == known.receivedMillis && limit.perSecond() < known.limit.perSecond();
+            return receivedMillis > known.receivedMillis || lowerAtOnce;
         }
         if (limit.isNamed()) {
-            return known.sentMillis < heardMillis;
+            return known.sentMillis < receivedMillis;
         }
-        return sentMillis >= known.heardMillis;
+        return sentMillis >= known.receivedMillis;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/PrefixIndex.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/PrefixIndex.java
@@ -27,17 +27,17 @@
  * @since 0.2
  */
 public final class PrefixIndex {
-    private final Map<Place, Integer> places;
+    private final Map<CachedBlock, Integer> cachedBlocks;
 
     /** A prompt part at an upstream. */
-    private record Place(
+    private record CachedBlock(
             String upstream,
             String block) { // written out: the methods that records get are linked at their first
         // call, which takes a
         // process that starts some 5 ms of processor time for each record
         @Override
         public boolean equals(Object other) {
-            return other instanceof Place that
+            return other instanceof CachedBlock that
                     && upstream.equals(that.upstream)
                     && block.equals(that.block);
         }
@@ -54,7 +54,7 @@
      * @param capacity how many parts are remembered; those unused for longest are forgotten first
      */
     public PrefixIndex(int capacity) {
-        places = new RecentMap<>(capacity);
+        cachedBlocks = new RecentMap<>(capacity);
     }
 
     /**
@@ -63,9 +63,9 @@
      * @param upstream the upstream's name
      * @param prompt the prompt
      */
-    public void read(String upstream, Prompt prompt) {
+    public void recordPrompt(String upstream, Prompt prompt) {
         for (PromptBlock block : prompt.blocks()) {
-            places.put(new Place(upstream, block.id()), block.tokens());
+            cachedBlocks.put(new CachedBlock(upstream, block.id()), block.tokens());
         }
     }
 
@@ -79,7 +79,7 @@
     public int cachedTokens(String upstream, Prompt prompt) {
         int tokens = 0;
         for (PromptBlock block : prompt.blocks()) {
-            if (places.get(new Place(upstream, block.id())) == null) {
+            if (cachedBlocks.get(new CachedBlock(upstream, block.id())) == null) {
                 return tokens;
             }
             tokens += block.tokens();
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/PromptHomes.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/PromptAffinity.java
@@ -25,18 +25,18 @@
  * The upstreams that every process draws a prompt's subject to, by rendezvous hashing, so that
  * parts which nobody has read yet are read at few of them.
  */
-final class PromptHomes {
+final class PromptAffinity {
     /** Part of a prompt's shared tokens that its first and second home are trusted to hold. */
-    private static final double FIRST_TRUST = 0.9;
+    private static final double FIRST_CACHED_FRACTION = 0.9;
 
-    private static final double SECOND_TRUST = 0.45;
+    private static final double SECOND_CACHED_FRACTION = 0.45;
 
-    private static final PromptHomes NONE = new PromptHomes("", "");
+    private static final PromptAffinity NONE = new PromptAffinity("", "");
 
     private final String first;
     private final String second;
 
-    private PromptHomes(String first, String second) {
+    private PromptAffinity(String first, String second) {
         this.first = first;
         this.second = second;
     }
@@ -45,8 +45,8 @@
      * Finds the homes of a prompt among the upstreams of a region that serve: each region reads a
      * shared part for itself, and finds it again without a way to another one.
      */
-    static PromptHomes of(Prompt prompt, List<Upstream> serving, Topology topology, String region) {
-        String subject = prompt.subject();
+    static PromptAffinity of(Prompt prompt, List<Upstream> serving, Topology topology, String region) {
+        String subject = prompt.sharedBlockId();
         if (subject.isEmpty()) {
             return NONE;
         }
@@ -70,15 +70,15 @@
                 secondRank = rank;
             }
         }
-        return new PromptHomes(first == null ? "" : first.id(), second == null ? "" : second.id());
+        return new PromptAffinity(first == null ? "" : first.id(), second == null ? "" : second.id());
     }
 
     /** Returns how many tokens of a prompt an upstream is trusted to hold, for being a home. */
-    int trustedTokens(Upstream upstream, Prompt prompt) {
+    int expectedCachedTokens(Upstream upstream, Prompt prompt) {
         if (upstream.id().equals(first)) {
-            return (int) (sharedTokens(prompt) * FIRST_TRUST);
+            return (int) (sharedTokens(prompt) * FIRST_CACHED_FRACTION);
         }
-        return upstream.id().equals(second) ? (int) (sharedTokens(prompt) * SECOND_TRUST) : 0;
+        return upstream.id().equals(second) ? (int) (sharedTokens(prompt) * SECOND_CACHED_FRACTION) : 0;
     }
 
     private static int sharedTokens(Prompt prompt) {
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/RegionUse.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/RegionUse.java
@@ -34,7 +34,7 @@
  */
 public final class RegionUse {
     /** Begins the names of sums; names of upstreams do not begin so. */
-    private static final char MARK = '@';
+    private static final char SUM_PREFIX = '@';
 
     private static final char SEPARATOR = '/';
 
@@ -48,7 +48,7 @@
      * @return a name that no upstream has
      */
     public static String name(String region, String service) {
-        return MARK + region + SEPARATOR + service;
+        return SUM_PREFIX + region + SEPARATOR + service;
     }
 
     /**
@@ -109,7 +109,7 @@
         }
         List<UpstreamUse> single = new ArrayList<>();
         for (UpstreamUse use : told) {
-            if (use.upstream().isEmpty() || use.upstream().charAt(0) != MARK) {
+            if (use.upstream().isEmpty() || use.upstream().charAt(0) != SUM_PREFIX) {
                 single.add(use);
                 continue;
             }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/Selection.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/Selection.java
@@ -27,10 +27,10 @@
  * @param waitingTokens prompt tokens waiting there, of all entries
  * @param cachedTokens tokens of the prompt it probably holds
  * @param candidates how many upstreams were weighed
- * @param placeMillis how long a place there is expected to be waited for, in milliseconds; 0 while
+ * @param slotWaitMillis how long a place there is expected to be waited for, in milliseconds; 0 while
  *     one is free, or while too little is known of the upstreams
  * @param costs what made up the predicted time, by cost term
- * @param crossing why another region was chosen; empty if the own one was
+ * @param crossRegion why another region was chosen; empty if the own one was
  * @since 0.2
  */
 public record Selection(
@@ -40,9 +40,9 @@
         int waitingTokens,
         int cachedTokens,
         int candidates,
-        long placeMillis,
+        long slotWaitMillis,
         List<CostShare> costs,
-        Optional<Crossing> crossing) {
+        Optional<CrossRegionChoice> crossRegion) {
     /** Copies the costs. */
     public Selection {
         costs = List.copyOf(costs);
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/LimitTurn.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/SendSlot.java
@@ -21,7 +21,7 @@
  * @param upstream the upstream's name
  * @param number the turn's number
  * @param takenMillis when it was taken, by the agreed time of day
- * @param usedBeforeMillis when the limit was used last before, by the agreed time of day
+ * @param previousUseMillis when the limit was used last before, by the agreed time of day
  * @since 0.6
  */
-public record LimitTurn(String upstream, long number, long takenMillis, long usedBeforeMillis) {}
+public record SendSlot(String upstream, long number, long takenMillis, long previousUseMillis) {}
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/TurnOrder.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/SendSlotOrder.java
@@ -22,9 +22,9 @@
  * @param count how many share it; 0 if this process has no part in it
  * @since 0.6
  */
-public record TurnOrder(int index, int count) {
+public record SendSlotOrder(int index, int count) {
     /** Has no turns at all. */
-    public static final TurnOrder NO_PART = new TurnOrder(0, 0);
+    public static final SendSlotOrder NO_SHARE = new SendSlotOrder(0, 0);
 
     /**
      * Finds the first own turn from some turn on.
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/LimitTurns.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/SendSlots.java
@@ -30,23 +30,23 @@
  * second only, so that its use is known to the next process: then, too, there are at most the
  * requests of the limit, and while no process hears another, one a second.
  */
-final class LimitTurns {
+final class SendSlots {
     /** Least limit that is kept to, in requests a second: else its end would not be noticed. */
-    static final double LEAST_PER_SECOND = 0.05;
+    static final double MIN_PER_SECOND = 0.05;
 
     /** Greatest limit that is kept to, in requests a second: more than all processes send. */
-    static final double MOST_PER_SECOND = 100_000;
+    static final double MAX_PER_SECOND = 100_000;
 
     private static final double MILLIS_PER_SECOND = 1_000;
-    private static final double LONGEST_TURN_MILLIS = 1_000;
-    private static final double KEPT_MILLIS = 1_000;
-    private static final double RARE_KEPT_MILLIS = 500;
+    private static final double MAX_SLOT_MILLIS = 1_000;
+    private static final double VALIDITY_MILLIS = 1_000;
+    private static final double LOW_RATE_VALIDITY_MILLIS = 500;
 
     private final String upstream;
     private final long offset;
-    private double everyMillis;
-    private double turnMillis;
-    private long passed;
+    private double intervalMillis;
+    private double slotMillis;
+    private long lastConsumed;
     private long usedMillis;
 
     /**
@@ -58,30 +58,30 @@
      * @param usedMillis when it was last used, by the agreed time of day
      * @param agreedMillis the agreed time of day
      */
-    LimitTurns(String upstream, double perSecond, long usedMillis, long agreedMillis) {
+    SendSlots(String upstream, double perSecond, long usedMillis, long agreedMillis) {
         this.upstream = upstream;
         this.offset = upstream.hashCode();
-        pace(perSecond);
-        this.passed = numberAt(agreedMillis);
+        setRate(perSecond);
+        this.lastConsumed = slotAt(agreedMillis);
         this.usedMillis = Math.min(usedMillis, agreedMillis);
     }
 
     /** Changes the limit. Turns that were used stay so. */
-    void perSecond(double perSecond) {
-        double freeFromMillis = (passed + 1) * turnMillis;
-        pace(perSecond);
-        passed = (long) Math.ceil(freeFromMillis / turnMillis) - 1;
+    void changeRate(double perSecond) {
+        double freeFromMillis = (lastConsumed + 1) * slotMillis;
+        setRate(perSecond);
+        lastConsumed = (long) Math.ceil(freeFromMillis / slotMillis) - 1;
     }
 
-    private void pace(double perSecond) {
-        double kept = Math.min(MOST_PER_SECOND, Math.max(LEAST_PER_SECOND, perSecond));
-        everyMillis = MILLIS_PER_SECOND / kept;
-        turnMillis = Math.min(everyMillis, LONGEST_TURN_MILLIS);
+    private void setRate(double perSecond) {
+        double kept = Math.min(MAX_PER_SECOND, Math.max(MIN_PER_SECOND, perSecond));
+        intervalMillis = MILLIS_PER_SECOND / kept;
+        slotMillis = Math.min(intervalMillis, MAX_SLOT_MILLIS);
     }
 
     /** Tells whether the limit is rare, less than a request a second: then uses must be told. */
-    boolean isRare() {
-        return everyMillis > LONGEST_TURN_MILLIS;
+    boolean isLowRate() {
+        return intervalMillis > MAX_SLOT_MILLIS;
     }
 
     /** Returns when the limit was used last, as far as is known, by the agreed time of day. */
@@ -95,15 +95,15 @@
      * @param agreedMillis when, by the agreed time of day
      * @return true if a later use was not known
      */
-    boolean used(long agreedMillis) {
+    boolean recordUse(long agreedMillis) {
         boolean news = agreedMillis > usedMillis;
         usedMillis = Math.max(usedMillis, agreedMillis);
         return news;
     }
 
     /** Returns the time between two turns of this process, in milliseconds. */
-    double ownEveryMillis(TurnOrder order) {
-        return everyMillis * Math.max(1, order.count());
+    double ownIntervalMillis(SendSlotOrder order) {
+        return intervalMillis * Math.max(1, order.count());
     }
 
     /**
@@ -114,13 +114,13 @@
      * @param agreedMillis the agreed time of day
      * @return milliseconds, 0 if it may now
      */
-    long waitMillis(TurnOrder order, double heldPart, long agreedMillis) {
-        long turn = next(order, agreedMillis);
+    long waitMillis(SendSlotOrder order, double heldPart, long agreedMillis) {
+        long turn = nextOwn(order, agreedMillis);
         if (turn == Long.MAX_VALUE) {
             return Long.MAX_VALUE;
         }
-        double opens = turn * turnMillis + heldPart * keptMillis();
-        double begins = Math.max(freeMillis(agreedMillis), opens);
+        double opens = turn * slotMillis + heldPart * validityMillis();
+        double begins = Math.max(earliestMillis(agreedMillis), opens);
         return (long) Math.ceil(begins - agreedMillis);
     }
 
@@ -132,57 +132,57 @@
      * @return from 1, when it begins, to 0; 0 if there is less than a turn a second, which must not
      *     pass unused, or nobody learns that the limit has ended
      */
-    double keptPart(TurnOrder order, long agreedMillis) {
-        if (isRare()) {
+    double remainingFraction(SendSlotOrder order, long agreedMillis) {
+        if (isLowRate()) {
             return 0;
         }
-        long turn = next(order, agreedMillis);
-        double age = agreedMillis - turn * turnMillis;
-        return Math.min(1, Math.max(0, 1 - age / KEPT_MILLIS));
+        long turn = nextOwn(order, agreedMillis);
+        double age = agreedMillis - turn * slotMillis;
+        return Math.min(1, Math.max(0, 1 - age / VALIDITY_MILLIS));
     }
 
     /** Takes the oldest turn that this process may use; empty if there is none now. */
-    Optional<LimitTurn> take(TurnOrder order, long agreedMillis) {
+    Optional<SendSlot> take(SendSlotOrder order, long agreedMillis) {
         if (waitMillis(order, 0, agreedMillis) > 0) {
             return Optional.empty();
         }
-        LimitTurn turn =
-                new LimitTurn(upstream, next(order, agreedMillis), agreedMillis, usedMillis);
-        passed = turn.number();
-        used(agreedMillis);
+        SendSlot turn =
+                new SendSlot(upstream, nextOwn(order, agreedMillis), agreedMillis, usedMillis);
+        lastConsumed = turn.number();
+        recordUse(agreedMillis);
         return Optional.of(turn);
     }
 
     /** Takes a turn back under which nothing was sent, if none was taken after it. */
-    void giveBack(LimitTurn turn) {
-        if (turn.number() == passed) {
-            passed--;
+    void returnSlot(SendSlot turn) {
+        if (turn.number() == lastConsumed) {
+            lastConsumed--;
         }
         if (turn.takenMillis() == usedMillis) {
-            usedMillis = turn.usedBeforeMillis();
+            usedMillis = turn.previousUseMillis();
         }
     }
 
-    private long next(TurnOrder order, long agreedMillis) {
-        long current = numberAt(agreedMillis);
+    private long nextOwn(SendSlotOrder order, long agreedMillis) {
+        long current = slotAt(agreedMillis);
         // the agreed time may have been set back
-        passed = Math.min(passed, current);
+        lastConsumed = Math.min(lastConsumed, current);
         usedMillis = Math.min(usedMillis, agreedMillis);
-        double keptFrom = freeMillis(agreedMillis) - keptMillis();
-        long from = Math.max(passed + 1, (long) Math.floor(keptFrom / turnMillis) + 1);
+        double keptFrom = earliestMillis(agreedMillis) - validityMillis();
+        long from = Math.max(lastConsumed + 1, (long) Math.floor(keptFrom / slotMillis) + 1);
         return order.firstOwn(from, offset);
     }
 
-    private double freeMillis(long agreedMillis) {
+    private double earliestMillis(long agreedMillis) {
         double now = agreedMillis;
-        return isRare() ? Math.max(now, usedMillis + everyMillis) : now;
+        return isLowRate() ? Math.max(now, usedMillis + intervalMillis) : now;
     }
 
-    private double keptMillis() {
-        return isRare() ? RARE_KEPT_MILLIS : KEPT_MILLIS;
+    private double validityMillis() {
+        return isLowRate() ? LOW_RATE_VALIDITY_MILLIS : VALIDITY_MILLIS;
     }
 
-    private long numberAt(long agreedMillis) {
-        return (long) Math.floor(agreedMillis / turnMillis);
+    private long slotAt(long agreedMillis) {
+        return (long) Math.floor(agreedMillis / slotMillis);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/ServiceDemand.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/ServiceDemand.java
@@ -45,7 +45,7 @@
      *
      * @return false if one is negative, not a number or absurdly large
      */
-    public boolean isSound() {
+    public boolean isValid() {
         return service != null
                 && tokensPerMilli >= 0
                 && tokensPerMilli <= MAX_TOKENS_PER_MILLI
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/PlaceForecast.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/SlotForecast.java
@@ -24,9 +24,9 @@
  *
  * @since 0.3
  */
-public final class PlaceForecast {
+public final class SlotForecast {
     /** Least time told, in milliseconds: a caller's way back to another process takes as long. */
-    public static final long LEAST_MILLIS = 50;
+    public static final long MIN_MILLIS = 50;
 
     /**
      * Told where no upstream serves and none can be ordered, in milliseconds: the heartbeat with
@@ -34,7 +34,7 @@
      */
     public static final long UNKNOWN_MILLIS = 1_000;
 
-    private PlaceForecast() {}
+    private SlotForecast() {}
 
     /**
      * Works the time out. An upstream with free places that turns a request away is taken to be
@@ -45,7 +45,7 @@
      * @param engine what is believed of their speed
      * @param bootMillis how long an upstream that is ordered takes to serve, in milliseconds; empty
      *     if none can be ordered
-     * @return milliseconds, at least {@link #LEAST_MILLIS}
+     * @return milliseconds, at least {@link #MIN_MILLIS}
      */
     public static long millis(
             Collection<Upstream> serving,
@@ -53,20 +53,20 @@
             EngineEstimate engine,
             OptionalLong bootMillis) {
         if (serving.isEmpty()) {
-            return Math.max(LEAST_MILLIS, bootMillis.orElse(UNKNOWN_MILLIS));
+            return Math.max(MIN_MILLIS, bootMillis.orElse(UNKNOWN_MILLIS));
         }
         double soonest =
                 serving.stream()
-                        .mapToDouble(upstream -> placeMillis(upstream, loads, engine))
+                        .mapToDouble(upstream -> slotWaitMillis(upstream, loads, engine))
                         .min()
                         .orElseThrow();
-        return Math.max(LEAST_MILLIS, Math.round(soonest));
+        return Math.max(MIN_MILLIS, Math.round(soonest));
     }
 
-    private static double placeMillis(
+    private static double slotWaitMillis(
             Upstream upstream, UpstreamLoads loads, EngineEstimate engine) {
         double oneEnds = engine.runMillis() / Math.max(1, upstream.slots());
         return Math.max(
-                oneEnds, engine.placeMillis(loads.requests(upstream.id()), upstream.slots()));
+                oneEnds, engine.slotWaitMillis(loads.requests(upstream.id()), upstream.slots()));
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/Upstream.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/Upstream.java
@@ -25,10 +25,10 @@
  * @param slots requests it works on at once
  * @param draining true if it is known to leave
  * @param reclaimable true if the cloud may take it back
- * @param leavesMillis how long it still runs once it is draining, in milliseconds; 0 if not told
+ * @param leavesInMillis how long it still runs once it is draining, in milliseconds; 0 if not told
  * @param version version of its software; empty if not told
- * @param coldLeftMillis how long it is still slow after its start, in milliseconds
- * @param bornMillis when it started, in milliseconds of the time of day; 0 if not told
+ * @param coldRemainingMillis how long it is still slow after its start, in milliseconds
+ * @param startedMillis when it started, in milliseconds of the time of day; 0 if not told
  * @since 0.2
  */
 public record Upstream(
@@ -39,10 +39,10 @@
         int slots,
         boolean draining,
         boolean reclaimable,
-        long leavesMillis,
+        long leavesInMillis,
         String version,
-        long coldLeftMillis,
-        long bornMillis) {
+        long coldRemainingMillis,
+        long startedMillis) {
     /**
      * Creates an upstream that tells neither its version nor when it started.
      *
@@ -94,9 +94,9 @@
                         slots,
                         true,
                         reclaimable,
-                        leavesMillis,
+                        leavesInMillis,
                         version,
-                        coldLeftMillis,
-                        bornMillis);
+                        coldRemainingMillis,
+                        startedMillis);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamAvailability.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamAvailability.java
@@ -29,10 +29,10 @@
  */
 public final class UpstreamAvailability {
     /** Longest part of its time for which a turn is held: the rest is left to find a taker. */
-    static final double MOST_HELD = 0.8;
+    static final double MAX_RESERVED_FRACTION = 0.8;
 
     private final UpstreamDirectory directory;
-    private final UpstreamRests rests;
+    private final UpstreamBackoffs backoffs;
     private final UpstreamLimits limits;
     private final UrgencyMeter urgency = new UrgencyMeter();
 
@@ -41,11 +41,11 @@
         /** It takes requests. */
         TAKES_REQUESTS,
         /** It is not listed any more, or has started anew under its name. */
-        GONE,
+        REMOVED,
         /** It has said that it leaves, in its entry or an answer, here or to a peer. */
         LEAVING,
         /** It has asked this process for rest, which is not over. */
-        RESTING,
+        BACKING_OFF,
         /** It names a limit, and it is not this process's turn. */
         LIMITED
     }
@@ -56,8 +56,8 @@
      * @param directory the upstreams listed, and which of them leave
      * @param rests those that asked for rest
      */
-    public UpstreamAvailability(UpstreamDirectory directory, UpstreamRests rests) {
-        this(directory, rests, new UpstreamLimits(() -> 0, upstream -> TurnOrder.NO_PART));
+    public UpstreamAvailability(UpstreamDirectory directory, UpstreamBackoffs rests) {
+        this(directory, rests, new UpstreamLimits(() -> 0, upstream -> SendSlotOrder.NO_SHARE));
     }
 
     /**
@@ -68,9 +68,9 @@
      * @param limits those that name how many requests they take
      */
     public UpstreamAvailability(
-            UpstreamDirectory directory, UpstreamRests rests, UpstreamLimits limits) {
+            UpstreamDirectory directory, UpstreamBackoffs rests, UpstreamLimits limits) {
         this.directory = directory;
-        this.rests = rests;
+        this.backoffs = rests;
         this.limits = limits;
     }
 
@@ -82,7 +82,7 @@
      * @return its state
      */
     public State of(Upstream upstream, long nowMillis) {
-        State state = beforeLimit(upstream, nowMillis);
+        State state = stateIgnoringLimit(upstream, nowMillis);
         boolean limited = state == State.TAKES_REQUESTS && limits.waitMillis(upstream) > 0;
         return limited ? State.LIMITED : state;
     }
@@ -96,20 +96,20 @@
      * @return its state
      */
     public State of(Upstream upstream, boolean hasTurn, long nowMillis) {
-        State state = beforeLimit(upstream, nowMillis);
+        State state = stateIgnoringLimit(upstream, nowMillis);
         boolean limited = state == State.TAKES_REQUESTS && !hasTurn && limits.isLimited(upstream);
         return limited ? State.LIMITED : state;
     }
 
-    private State beforeLimit(Upstream upstream, long nowMillis) {
+    private State stateIgnoringLimit(Upstream upstream, long nowMillis) {
         if (directory.isLeaving(upstream.id())) {
             return State.LEAVING;
         }
         Optional<Upstream> listed = directory.find(upstream.id());
-        if (listed.isEmpty() || listed.get().bornMillis() != upstream.bornMillis()) {
-            return State.GONE;
+        if (listed.isEmpty() || listed.get().startedMillis() != upstream.startedMillis()) {
+            return State.REMOVED;
         }
-        return rests.leftMillis(upstream, nowMillis) > 0 ? State.RESTING : State.TAKES_REQUESTS;
+        return backoffs.remainingMillis(upstream, nowMillis) > 0 ? State.BACKING_OFF : State.TAKES_REQUESTS;
     }
 
     /**
@@ -118,7 +118,7 @@
      * @param service the service
      * @return the upstreams
      */
-    public List<Upstream> staying(String service) {
+    public List<Upstream> notLeaving(String service) {
         return directory.serving(service);
     }
 
@@ -129,9 +129,9 @@
      * @param priority its rank; 0 is the most urgent
      * @param nowMillis the time
      */
-    public void asked(String service, int priority, long nowMillis) {
+    public void requestReceived(String service, int priority, long nowMillis) {
         if (!limits.isEmpty()) {
-            urgency.asked(service, priority, nowMillis);
+            urgency.requestReceived(service, priority, nowMillis);
         }
     }
 
@@ -142,14 +142,14 @@
      * @param service a service
      * @param priority the rank of the request that would take it
      * @param nowMillis the time
-     * @return from 0 to {@link #MOST_HELD}; 0 while some upstream of the service names no limit
+     * @return from 0 to {@link #MAX_RESERVED_FRACTION}; 0 while some upstream of the service names no limit
      */
-    public double heldPart(String service, int priority, long nowMillis) {
+    public double reservedFraction(String service, int priority, long nowMillis) {
         if (limits.isEmpty()) {
             return 0;
         }
         double needed = urgency.moreUrgentPerMilli(service, priority, nowMillis);
-        return Math.min(MOST_HELD, needed * ownEveryMillis(service));
+        return Math.min(MAX_RESERVED_FRACTION, needed * ownIntervalMillis(service));
     }
 
     /**
@@ -160,17 +160,17 @@
      * @param nowMillis the time
      * @return the others
      */
-    public List<Upstream> takingNow(List<Upstream> upstreams, double heldPart, long nowMillis) {
-        if (rests.isEmpty() && limits.isEmpty()) {
+    public List<Upstream> acceptingNow(List<Upstream> upstreams, double heldPart, long nowMillis) {
+        if (backoffs.isEmpty() && limits.isEmpty()) {
             return upstreams;
         }
         return upstreams.stream()
-                .filter(upstream -> withheldMillis(upstream, heldPart, nowMillis) == 0)
+                .filter(upstream -> waitMillis(upstream, heldPart, nowMillis) == 0)
                 .toList();
     }
 
-    private long withheldMillis(Upstream upstream, double heldPart, long nowMillis) {
-        long rest = rests.leftMillis(upstream, nowMillis);
+    private long waitMillis(Upstream upstream, double heldPart, long nowMillis) {
+        long rest = backoffs.remainingMillis(upstream, nowMillis);
         return Math.max(rest, limits.waitMillis(upstream, heldPart));
     }
 
@@ -181,8 +181,8 @@
      * @param nowMillis the time
      * @return false for all that have not rested lately
      */
-    public boolean isReturning(Upstream upstream, long nowMillis) {
-        return !rests.isEmpty() && rests.isReturning(upstream, nowMillis);
+    public boolean isRecovering(Upstream upstream, long nowMillis) {
+        return !backoffs.isEmpty() && backoffs.isRecovering(upstream, nowMillis);
     }
 
     /**
@@ -193,8 +193,8 @@
      * @param nowMillis the time
      * @return false if all leave, rest or are limited
      */
-    public boolean isAnyTaking(String service, long nowMillis) {
-        return !takingNow(directory.serving(service), 0, nowMillis).isEmpty();
+    public boolean isAnyAccepting(String service, long nowMillis) {
+        return !acceptingNow(directory.serving(service), 0, nowMillis).isEmpty();
     }
 
     /**
@@ -206,13 +206,13 @@
      * @param nowMillis the time
      * @return milliseconds until the first takes one; 0 if one does now, or none stays
      */
-    public long noneTakesMillis(String service, int priority, long nowMillis) {
-        if (rests.isEmpty() && limits.isEmpty()) {
+    public long untilAnyAcceptsMillis(String service, int priority, long nowMillis) {
+        if (backoffs.isEmpty() && limits.isEmpty()) {
             return 0;
         }
-        double heldPart = heldPart(service, priority, nowMillis);
+        double heldPart = reservedFraction(service, priority, nowMillis);
         return directory.serving(service).stream()
-                .mapToLong(upstream -> withheldMillis(upstream, heldPart, nowMillis))
+                .mapToLong(upstream -> waitMillis(upstream, heldPart, nowMillis))
                 .filter(millis -> millis < Long.MAX_VALUE)
                 .min()
                 .orElse(0);
@@ -224,10 +224,10 @@
      * @param service the service
      * @return milliseconds between two requests; 0 if some upstream names no limit
      */
-    public double ownEveryMillis(String service) {
+    public double ownIntervalMillis(String service) {
         double perMilli = 0;
         for (Upstream upstream : directory.serving(service)) {
-            perMilli += 1 / limits.ownEveryMillis(upstream);
+            perMilli += 1 / limits.ownIntervalMillis(upstream);
         }
         return perMilli > 0 ? 1 / perMilli : 0;
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamRests.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamBackoffs.java
@@ -33,30 +33,30 @@
  *
  * @since 0.5
  */
-public final class UpstreamRests {
+public final class UpstreamBackoffs {
     /**
      * Longest rest that is kept, in milliseconds: what is longer is taken for a spoiled value,
      * which must not leave an upstream out for good.
      */
-    public static final long LONGEST_MILLIS = 60_000;
+    public static final long MAX_BACKOFF_MILLIS = 60_000;
 
     /**
      * Least time between two requests to an upstream that has rested and has taken none since, in
      * milliseconds: several times what a refusal takes to come back. A burst would else be sent
      * there at once.
      */
-    static final long RETURN_PAUSE_MILLIS = 200;
+    static final long RECOVERY_INTERVAL_MILLIS = 200;
 
-    private final Map<String, Rest> rests = new HashMap<>();
+    private final Map<String, Backoff> backoffs = new HashMap<>();
 
     /** One upstream's rest, and its return until it has taken a request. */
-    private static final class Rest {
-        private final long bornMillis;
+    private static final class Backoff {
+        private final long startedMillis;
         private long untilMillis;
         private long sentMillis = Long.MIN_VALUE / 2;
 
-        Rest(long bornMillis) {
-            this.bornMillis = bornMillis;
+        Backoff(long bornMillis) {
+            this.startedMillis = bornMillis;
         }
     }
 
@@ -65,19 +65,19 @@
      * answers on separate connections overtake one another.
      *
      * @param upstream the upstream
-     * @param restMillis for how long, in milliseconds; more than {@link #LONGEST_MILLIS} counts as
+     * @param restMillis for how long, in milliseconds; more than {@link #MAX_BACKOFF_MILLIS} counts as
      *     that
      * @param nowMillis the time
      * @return true if it was not resting before
      */
-    public boolean asked(Upstream upstream, long restMillis, long nowMillis) {
-        boolean begins = leftMillis(upstream, nowMillis) == 0;
-        Rest rest = of(upstream);
+    public boolean backoffRequested(Upstream upstream, long restMillis, long nowMillis) {
+        boolean begins = remainingMillis(upstream, nowMillis) == 0;
+        Backoff rest = current(upstream);
         if (rest == null) {
-            rest = new Rest(upstream.bornMillis());
-            rests.put(upstream.id(), rest);
+            rest = new Backoff(upstream.startedMillis());
+            backoffs.put(upstream.id(), rest);
         }
-        long until = nowMillis + Math.min(LONGEST_MILLIS, restMillis);
+        long until = nowMillis + Math.min(MAX_BACKOFF_MILLIS, restMillis);
         rest.untilMillis = Math.max(rest.untilMillis, until);
         return begins;
     }
@@ -89,8 +89,8 @@
      * @param nowMillis the time
      * @return milliseconds; 0 if it does not rest
      */
-    public long leftMillis(Upstream upstream, long nowMillis) {
-        Rest rest = of(upstream);
+    public long remainingMillis(Upstream upstream, long nowMillis) {
+        Backoff rest = current(upstream);
         return rest == null ? 0 : Math.max(0, rest.untilMillis - nowMillis);
     }
 
@@ -102,9 +102,9 @@
      * @param nowMillis the time
      * @return false for one that never rested, or has taken a request since
      */
-    public boolean isReturning(Upstream upstream, long nowMillis) {
-        Rest rest = of(upstream);
-        return rest != null && nowMillis - rest.sentMillis < RETURN_PAUSE_MILLIS;
+    public boolean isRecovering(Upstream upstream, long nowMillis) {
+        Backoff rest = current(upstream);
+        return rest != null && nowMillis - rest.sentMillis < RECOVERY_INTERVAL_MILLIS;
     }
 
     /**
@@ -114,7 +114,7 @@
      * @param nowMillis the time
      */
     public void sent(Upstream upstream, long nowMillis) {
-        Rest rest = of(upstream);
+        Backoff rest = current(upstream);
         if (rest != null) {
             rest.sentMillis = nowMillis;
         }
@@ -127,9 +127,9 @@
      * @param upstream the upstream
      * @param nowMillis the time
      */
-    public void taken(Upstream upstream, long nowMillis) {
-        if (leftMillis(upstream, nowMillis) == 0) {
-            rests.remove(upstream.id());
+    public void requestAccepted(Upstream upstream, long nowMillis) {
+        if (remainingMillis(upstream, nowMillis) == 0) {
+            backoffs.remove(upstream.id());
         }
     }
 
@@ -140,7 +140,7 @@
      * @return a count
      */
     public int count(long nowMillis) {
-        return (int) rests.values().stream().filter(rest -> rest.untilMillis > nowMillis).count();
+        return (int) backoffs.values().stream().filter(rest -> rest.untilMillis > nowMillis).count();
     }
 
     /**
@@ -149,7 +149,7 @@
      * @return true if there is nothing to ask for
      */
     public boolean isEmpty() {
-        return rests.isEmpty();
+        return backoffs.isEmpty();
     }
 
     /**
@@ -158,8 +158,8 @@
      * @param directory the upstreams known
      * @param nowMillis the time
      */
-    public void forgetGone(UpstreamDirectory directory, long nowMillis) {
-        rests.entrySet()
+    public void evictUnlisted(UpstreamDirectory directory, long nowMillis) {
+        backoffs.entrySet()
                 .removeIf(
                         entry ->
                                 entry.getValue().untilMillis <= nowMillis
@@ -167,8 +167,8 @@
     }
 
     /** Returns what is kept of this life of an upstream; null if nothing. */
-    private Rest of(Upstream upstream) {
-        Rest rest = rests.get(upstream.id());
-        return rest == null || rest.bornMillis != upstream.bornMillis() ? null : rest;
+    private Backoff current(Upstream upstream) {
+        Backoff rest = backoffs.get(upstream.id());
+        return rest == null || rest.startedMillis != upstream.startedMillis() ? null : rest;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamDirectory.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamDirectory.java
@@ -35,7 +35,7 @@
  * @since 0.2
  */
 public final class UpstreamDirectory {
-    private static final int MAX_REMEMBERED = 20_000;
+    private static final int MAX_LEAVING = 20_000;
 
     private final Map<String, Upstream> upstreams = new HashMap<>();
     private final Map<String, List<Upstream>> byService = new HashMap<>();
@@ -71,8 +71,8 @@
      */
     public Optional<Upstream> changed(Upstream entry) {
         Upstream before = upstreams.get(entry.id());
-        boolean endWasKnown = before != null && before.leavesMillis() > 0;
-        if (isLaterLife(entry)) {
+        boolean endWasKnown = before != null && before.leavesInMillis() > 0;
+        if (isLaterIncarnation(entry)) {
             leaving.remove(entry.id());
         }
         upstreams.put(entry.id(), isLeaving(entry.id()) ? entry.asLeaving() : entry);
@@ -81,8 +81,8 @@
             return Optional.empty();
         }
         Optional<Upstream> newlyLeaving =
-                leaving(new LeavingUpstream(entry.id(), entry.bornMillis()));
-        boolean endIsNews = entry.leavesMillis() > 0 && !endWasKnown;
+                leaving(new LeavingUpstream(entry.id(), entry.startedMillis()));
+        boolean endIsNews = entry.leavesInMillis() > 0 && !endWasKnown;
         return endIsNews ? Optional.of(entry) : newlyLeaving;
     }
 
@@ -105,14 +105,14 @@
      * @return the upstream if this is news and it is known
      */
     public Optional<Upstream> leaving(LeavingUpstream told) {
-        forgetOldNames();
+        evictUnlistedNames();
         Upstream listed = upstreams.get(told.id());
-        long listedBorn = listed == null ? 0 : listed.bornMillis();
-        boolean hasEnded = told.bornMillis() > 0 && told.bornMillis() < listedBorn;
+        long listedBorn = listed == null ? 0 : listed.startedMillis();
+        boolean hasEnded = told.startedMillis() > 0 && told.startedMillis() < listedBorn;
         if (hasEnded || isLeaving(told.id())) {
             return Optional.empty();
         }
-        leaving.put(told.id(), told.bornMillis() > 0 ? told.bornMillis() : listedBorn);
+        leaving.put(told.id(), told.startedMillis() > 0 ? told.startedMillis() : listedBorn);
         byService.clear();
         upstreams.computeIfPresent(told.id(), (name, upstream) -> upstream.asLeaving());
         return Optional.ofNullable(upstreams.get(told.id()));
@@ -124,13 +124,13 @@
      * @param id the upstream's name
      * @return the life, of a start that may not be known; empty if the upstream does not leave
      */
-    public Optional<LeavingUpstream> leavingLife(String id) {
+    public Optional<LeavingUpstream> leavingIncarnation(String id) {
         return Optional.ofNullable(leaving.get(id)).map(born -> new LeavingUpstream(id, born));
     }
 
-    private boolean isLaterLife(Upstream entry) {
+    private boolean isLaterIncarnation(Upstream entry) {
         long born = leaving.getOrDefault(entry.id(), 0L);
-        return born > 0 && entry.bornMillis() > born;
+        return born > 0 && entry.startedMillis() > born;
     }
 
     /**
@@ -179,8 +179,8 @@
                 .toList();
     }
 
-    private void forgetOldNames() {
-        if (leaving.size() > MAX_REMEMBERED) {
+    private void evictUnlistedNames() {
+        if (leaving.size() > MAX_LEAVING) {
             leaving.keySet().retainAll(upstreams.keySet());
         }
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamHealth.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamHealth.java
@@ -23,10 +23,10 @@
  */
 final class UpstreamHealth {
     private static final double HALF_LIFE_MILLIS = 4_000;
-    private static final double FEWEST_FAILURES = 1.6;
-    private static final double WORST_FAILED_PART = 0.25;
+    private static final double MIN_FAILURES = 1.6;
+    private static final double EJECTION_FAILED_FRACTION = 0.25;
     private static final long FIRST_EJECTION_MILLIS = 2_000;
-    private static final long LONGEST_EJECTION_MILLIS = 8_000;
+    private static final long MAX_EJECTION_MILLIS = 8_000;
 
     private double failures;
     private double successes;
@@ -37,7 +37,7 @@
     void succeeded(long nowMillis) {
         decay(nowMillis);
         successes++;
-        if (nowMillis >= ejectedUntilMillis && failedPart() < WORST_FAILED_PART / 2) {
+        if (nowMillis >= ejectedUntilMillis && failedFraction() < EJECTION_FAILED_FRACTION / 2) {
             ejectionMillis = FIRST_EJECTION_MILLIS;
         }
     }
@@ -45,7 +45,7 @@
     void failed(long nowMillis) {
         decay(nowMillis);
         failures++;
-        if (failures >= FEWEST_FAILURES && failedPart() >= WORST_FAILED_PART) {
+        if (failures >= MIN_FAILURES && failedFraction() >= EJECTION_FAILED_FRACTION) {
             eject(nowMillis);
         }
     }
@@ -61,7 +61,7 @@
         return nowMillis < ejectedUntilMillis;
     }
 
-    double failedPart() {
+    double failedFraction() {
         double total = failures + successes;
         return total == 0 ? 0 : failures / total;
     }
@@ -71,7 +71,7 @@
             return;
         }
         ejectedUntilMillis = nowMillis + ejectionMillis;
-        ejectionMillis = Math.min(LONGEST_EJECTION_MILLIS, ejectionMillis * 2);
+        ejectionMillis = Math.min(MAX_EJECTION_MILLIS, ejectionMillis * 2);
     }
 
     private void decay(long nowMillis) {
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamLimit.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamLimit.java
@@ -20,16 +20,16 @@
 /** What is believed of one upstream's limit, and the turns at it. */
 final class UpstreamLimit {
     /** How far a use may be yet to come, in milliseconds: agreed times differ by less. */
-    private static final long TIMES_DIFFER_MILLIS = 100;
+    private static final long MAX_CLOCK_DIFFERENCE_MILLIS = 100;
 
     /** How long the end of a limit is kept, for peers that were cut off, in milliseconds. */
-    private static final long ENDED_MILLIS = 60_000;
+    private static final long ENDED_RETENTION_MILLIS = 60_000;
 
     /** How long what is told of an upstream is kept though it is not listed yet. */
-    private static final long UNLISTED_MILLIS = 10_000;
+    private static final long UNLISTED_RETENTION_MILLIS = 10_000;
 
-    private LimitReport believed;
-    private LimitTurns turns;
+    private LimitReport current;
+    private SendSlots slots;
 
     /**
      * Creates the belief in a limit that is named.
@@ -38,25 +38,25 @@
      * @param agreedMillis the agreed time of day
      */
     UpstreamLimit(LimitReport believed, long agreedMillis) {
-        begin(believed, agreedMillis);
+        start(believed, agreedMillis);
     }
 
-    private void begin(LimitReport report, long agreedMillis) {
-        believed = report;
+    private void start(LimitReport report, long agreedMillis) {
+        current = report;
         double perSecond = report.limit().perSecond();
-        turns = new LimitTurns(report.upstream(), perSecond, report.usedMillis(), agreedMillis);
+        slots = new SendSlots(report.upstream(), perSecond, report.usedMillis(), agreedMillis);
     }
 
-    LimitTurns turns() {
-        return turns;
+    SendSlots slots() {
+        return slots;
     }
 
     boolean isNamed() {
-        return believed.limit().isNamed();
+        return current.limit().isNamed();
     }
 
-    long bornMillis() {
-        return believed.bornMillis();
+    long startedMillis() {
+        return current.startedMillis();
     }
 
     /**
@@ -65,17 +65,17 @@
      * @return true if the limit has changed, begun again or ended by it
      */
     boolean replace(LimitReport report, long agreedMillis) {
-        if (!report.replaces(believed)) {
+        if (!report.replaces(current)) {
             return false;
         }
         if (report.limit().isNamed() && !isNamed()) {
-            begin(report, agreedMillis);
+            start(report, agreedMillis);
             return true;
         }
-        boolean changed = !report.limit().equals(believed.limit());
-        believed = report;
+        boolean changed = !report.limit().equals(current.limit());
+        current = report;
         if (changed && report.limit().isNamed()) {
-            turns.perSecond(report.limit().perSecond());
+            slots.changeRate(report.limit().perSecond());
         }
         return changed;
     }
@@ -86,26 +86,26 @@
      *
      * @return true if peers must know: only if there is less than a request a second
      */
-    boolean used(LimitReport report, long agreedMillis) {
-        boolean hasBeen = report.usedMillis() <= agreedMillis + TIMES_DIFFER_MILLIS;
-        boolean news = hasBeen && turns.used(report.usedMillis());
-        return news && turns.isRare() && isNamed();
+    boolean recordUse(LimitReport report, long agreedMillis) {
+        boolean hasBeen = report.usedMillis() <= agreedMillis + MAX_CLOCK_DIFFERENCE_MILLIS;
+        boolean news = hasBeen && slots.recordUse(report.usedMillis());
+        return news && slots.isLowRate() && isNamed();
     }
 
     LimitReport report() {
-        return believed.usedAt(turns.usedMillis());
+        return current.usedAt(slots.usedMillis());
     }
 
     /**
      * Tells whether nobody needs it any more: the upstream, or the limit, has ended a while ago.
      */
-    boolean isOver(UpstreamDirectory directory, long nowMillis) {
-        long age = nowMillis - believed.heardMillis();
+    boolean isOutdated(UpstreamDirectory directory, long nowMillis) {
+        long age = nowMillis - current.receivedMillis();
         if (!isNamed()) {
-            return age > ENDED_MILLIS;
+            return age > ENDED_RETENTION_MILLIS;
         }
-        Optional<Upstream> listed = directory.find(believed.upstream());
-        boolean lives = listed.isPresent() && listed.get().bornMillis() <= bornMillis();
-        return !lives && age > UNLISTED_MILLIS;
+        Optional<Upstream> listed = directory.find(current.upstream());
+        boolean lives = listed.isPresent() && listed.get().startedMillis() <= startedMillis();
+        return !lives && age > UNLISTED_RETENTION_MILLIS;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamLimits.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamLimits.java
@@ -32,7 +32,7 @@
  * <pre>{@code
  * limits.answered(upstream, LimitNotice.of(4), sentMillis, nowMillis);
  * if (limits.waitMillis(upstream) == 0) {
- *     Optional<LimitTurn> turn = limits.take(upstream);
+ *     Optional<SendSlot> turn = limits.take(upstream);
  *     // send, or limits.giveBack(turn)
  * }
  * }</pre>
@@ -40,16 +40,16 @@
  * @since 0.6
  */
 public final class UpstreamLimits {
-    private static final int MOST_LIMITED = 10_000;
+    private static final int MAX_LIMITED = 10_000;
 
     /** By how much more what a peer tells counts as older: the way of a message takes less. */
-    private static final long WAY_MILLIS = 100;
+    private static final long MAX_MESSAGE_DELAY_MILLIS = 100;
 
     private final LongSupplier agreedMillis;
-    private final Function<Upstream, TurnOrder> order;
-    private final Map<String, UpstreamLimit> limits = new RecentMap<>(MOST_LIMITED);
-    private Consumer<String> onNews = upstream -> {};
-    private int named;
+    private final Function<Upstream, SendSlotOrder> order;
+    private final Map<String, UpstreamLimit> limits = new RecentMap<>(MAX_LIMITED);
+    private Consumer<String> onUpdate = upstream -> {};
+    private int namedCount;
 
     /**
      * Creates limits of no upstreams.
@@ -57,7 +57,7 @@
      * @param agreedMillis the time of day that processes agree on
      * @param order tells which turns at an upstream's limit are this process's
      */
-    public UpstreamLimits(LongSupplier agreedMillis, Function<Upstream, TurnOrder> order) {
+    public UpstreamLimits(LongSupplier agreedMillis, Function<Upstream, SendSlotOrder> order) {
         this.agreedMillis = agreedMillis;
         this.order = order;
     }
@@ -67,8 +67,8 @@
      *
      * @param told takes the upstream's name
      */
-    public void onNews(Consumer<String> told) {
-        onNews = told;
+    public void onUpdate(Consumer<String> told) {
+        onUpdate = told;
     }
 
     /**
@@ -80,15 +80,15 @@
      * @param nowMillis the time
      * @return true if the limit has changed, begun or ended by it
      */
-    public boolean answered(Upstream upstream, LimitNotice limit, long sentMillis, long nowMillis) {
+    public boolean answerReceived(Upstream upstream, LimitNotice limit, long sentMillis, long nowMillis) {
         boolean unknown = !limits.containsKey(upstream.id());
         if (limit.kind() == LimitNotice.Kind.UNREADABLE || (unknown && !limit.isNamed())) {
             return false;
         }
-        return believe(
+        return apply(
                 new LimitReport(
                         upstream.id(),
-                        upstream.bornMillis(),
+                        upstream.startedMillis(),
                         limit,
                         sentMillis,
                         nowMillis,
@@ -101,30 +101,30 @@
      * @param told what it believes, by this process's clock
      * @return true if the limit has changed, begun or ended by it
      */
-    public boolean told(LimitReport told) {
-        return believe(told.older(WAY_MILLIS));
+    public boolean reportReceived(LimitReport told) {
+        return apply(told.agedBy(MAX_MESSAGE_DELAY_MILLIS));
     }
 
-    private boolean believe(LimitReport report) {
+    private boolean apply(LimitReport report) {
         long agreed = agreedMillis.getAsLong();
         UpstreamLimit known = limits.get(report.upstream());
-        if (known != null && report.bornMillis() < known.bornMillis()) {
+        if (known != null && report.startedMillis() < known.startedMillis()) {
             return false;
         }
-        boolean sameLife = known != null && known.bornMillis() == report.bornMillis();
-        boolean changed = sameLife ? known.replace(report, agreed) : begin(report, agreed);
+        boolean sameLife = known != null && known.startedMillis() == report.startedMillis();
+        boolean changed = sameLife ? known.replace(report, agreed) : start(report, agreed);
         if (changed) {
             count();
         }
         UpstreamLimit limit = limits.get(report.upstream());
-        boolean used = limit != null && limit.used(report, agreed);
+        boolean used = limit != null && limit.recordUse(report, agreed);
         if (changed || used) {
-            onNews.accept(report.upstream());
+            onUpdate.accept(report.upstream());
         }
         return changed;
     }
 
-    private boolean begin(LimitReport report, long agreed) {
+    private boolean start(LimitReport report, long agreed) {
         if (report.limit().isNamed()) {
             limits.put(report.upstream(), new UpstreamLimit(report, agreed));
             return true;
@@ -135,7 +135,7 @@
     }
 
     private void count() {
-        named = (int) limits.values().stream().filter(UpstreamLimit::isNamed).count();
+        namedCount = (int) limits.values().stream().filter(UpstreamLimit::isNamed).count();
     }
 
     /**
@@ -154,7 +154,7 @@
      * @return true if there is nothing to ask for
      */
     public boolean isEmpty() {
-        return named == 0;
+        return namedCount == 0;
     }
 
     /**
@@ -200,7 +200,7 @@
             return 0;
         }
         long agreed = agreedMillis.getAsLong();
-        return limit.turns().waitMillis(order.apply(upstream), heldPart, agreed);
+        return limit.slots().waitMillis(order.apply(upstream), heldPart, agreed);
     }
 
     /**
@@ -209,9 +209,9 @@
      * @param upstream the upstream
      * @return milliseconds between two requests; 0 if it names no limit
      */
-    public double ownEveryMillis(Upstream upstream) {
+    public double ownIntervalMillis(Upstream upstream) {
         UpstreamLimit limit = of(upstream);
-        return limit == null ? 0 : limit.turns().ownEveryMillis(order.apply(upstream));
+        return limit == null ? 0 : limit.slots().ownIntervalMillis(order.apply(upstream));
     }
 
     /**
@@ -220,11 +220,11 @@
      * @param upstream the upstream
      * @return from 1, when it begins, to 0; 0 if the upstream names no limit
      */
-    public double keptPart(Upstream upstream) {
+    public double remainingFraction(Upstream upstream) {
         UpstreamLimit limit = of(upstream);
         return limit == null
                 ? 0
-                : limit.turns().keptPart(order.apply(upstream), agreedMillis.getAsLong());
+                : limit.slots().remainingFraction(order.apply(upstream), agreedMillis.getAsLong());
     }
 
     /**
@@ -233,11 +233,11 @@
      * @param upstream the upstream
      * @return the turn; empty if there is none now, or none is needed
      */
-    public Optional<LimitTurn> take(Upstream upstream) {
+    public Optional<SendSlot> take(Upstream upstream) {
         UpstreamLimit limit = of(upstream);
         return limit == null
                 ? Optional.empty()
-                : limit.turns().take(order.apply(upstream), agreedMillis.getAsLong());
+                : limit.slots().take(order.apply(upstream), agreedMillis.getAsLong());
     }
 
     /**
@@ -245,10 +245,10 @@
      *
      * @param turn the turn
      */
-    public void giveBack(LimitTurn turn) {
+    public void returnSlot(SendSlot turn) {
         UpstreamLimit limit = limits.get(turn.upstream());
         if (limit != null) {
-            limit.turns().giveBack(turn);
+            limit.slots().returnSlot(turn);
         }
     }
 
@@ -257,10 +257,10 @@
      *
      * @param turn the turn
      */
-    public void sent(LimitTurn turn) {
+    public void sent(SendSlot turn) {
         UpstreamLimit limit = limits.get(turn.upstream());
-        if (limit != null && limit.turns().isRare()) {
-            onNews.accept(turn.upstream());
+        if (limit != null && limit.slots().isLowRate()) {
+            onUpdate.accept(turn.upstream());
         }
     }
 
@@ -280,15 +280,15 @@
      * @param directory the upstreams known
      * @param nowMillis the time
      */
-    public void forgetGone(UpstreamDirectory directory, long nowMillis) {
-        limits.values().removeIf(limit -> limit.isOver(directory, nowMillis));
+    public void evictOutdated(UpstreamDirectory directory, long nowMillis) {
+        limits.values().removeIf(limit -> limit.isOutdated(directory, nowMillis));
         count();
     }
 
     private UpstreamLimit of(Upstream upstream) {
-        UpstreamLimit limit = named == 0 ? null : limits.get(upstream.id());
+        UpstreamLimit limit = namedCount == 0 ? null : limits.get(upstream.id());
         boolean holds =
-                limit != null && limit.isNamed() && limit.bornMillis() == upstream.bornMillis();
+                limit != null && limit.isNamed() && limit.startedMillis() == upstream.startedMillis();
         return holds ? limit : null;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamLoads.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamLoads.java
@@ -121,7 +121,7 @@
      * @param peer the peer's name
      * @param uses its use of upstreams; those it does not name are unused
      */
-    public void peerUses(String peer, List<UpstreamUse> uses) {
+    public void setPeerUses(String peer, List<UpstreamUse> uses) {
         peerLost(peer);
         byPeer.put(peer, List.copyOf(uses));
         uses.forEach(use -> count(ofPeers, use, 1));
@@ -168,7 +168,7 @@
      * @param peer the name of that one
      * @return their use of upstreams
      */
-    public List<UpstreamUse> restUses(String peer) {
+    public List<UpstreamUse> usesExcept(String peer) {
         Map<String, Use> sum = own();
         ofPeers.forEach((upstream, use) -> add(sum, upstream, use.requests, use.promptTokens));
         byPeer.getOrDefault(peer, List.of()).forEach(use -> count(sum, use, -1));
@@ -247,9 +247,9 @@
      * @param upstream the upstream's name
      * @return from 0 to 1
      */
-    public double failedPart(String upstream) {
+    public double failedFraction(String upstream) {
         Load load = own.get(upstream);
-        return load == null ? 0 : load.health.failedPart();
+        return load == null ? 0 : load.health.failedFraction();
     }
 
     /**
@@ -257,7 +257,7 @@
      *
      * @param directory the upstreams known
      */
-    public void forgetGone(UpstreamDirectory directory) {
+    public void evictUnlisted(UpstreamDirectory directory) {
         own.entrySet()
                 .removeIf(
                         entry ->
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamSelector.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamSelector.java
@@ -39,17 +39,17 @@
  */
 public final class UpstreamSelector {
     /** Most parts of prompts whose places are remembered: some 2 MB. */
-    private static final int REMEMBERED_PARTS = 20_000;
+    private static final int MAX_CACHED_BLOCKS = 20_000;
 
     private final UpstreamAvailability availability;
     private final UpstreamLoads loads;
     private final EngineModel engines;
     private final VersionGate versions;
     private final Topology topology;
-    private final CrossingRule crossings;
-    private final CostTerms usual;
+    private final CrossRegionRule crossRegionRule;
+    private final CostTerms commonTerms;
     private final List<CostTerm> terms;
-    private final PrefixIndex prefixes = new PrefixIndex(REMEMBERED_PARTS);
+    private final PrefixIndex prefixes = new PrefixIndex(MAX_CACHED_BLOCKS);
 
     /**
      * Creates a selector of upstreams of any version.
@@ -66,7 +66,7 @@
             EngineModel engines) {
         this(
                 Topology.oneRegion(dataCentre),
-                new UpstreamAvailability(directory, new UpstreamRests()),
+                new UpstreamAvailability(directory, new UpstreamBackoffs()),
                 loads,
                 engines,
                 new VersionGate(),
@@ -98,9 +98,9 @@
         this.loads = loads;
         this.engines = engines;
         this.topology = topology;
-        this.crossings = new CrossingRule(topology, loads, processes);
-        this.usual = new CostTerms(topology, loads);
-        this.terms = new ArrayList<>(usual.all());
+        this.crossRegionRule = new CrossRegionRule(topology, loads, processes);
+        this.commonTerms = new CostTerms(topology, loads);
+        this.terms = new ArrayList<>(commonTerms.all());
         terms.addAll(further);
     }
 
@@ -117,18 +117,18 @@
     public Optional<Selection> choose(
             ServingRequest request, Set<String> excluded, long nowMillis) {
         String service = request.service();
-        List<Upstream> serving = takingRequests(request, excluded.isEmpty(), nowMillis);
-        Round round = new Round(request, excluded, serving, engines.estimate(service, nowMillis));
+        List<Upstream> serving = accepting(request, excluded.isEmpty(), nowMillis);
+        Choice round = new Choice(request, excluded, serving, engines.estimate(service, nowMillis));
         Candidate own = round.best(topology.region(), false, nowMillis);
-        if (topology.isOneRegion() || (own != null && crossings.isEnough(own))) {
+        if (topology.isOneRegion() || (own != null && crossRegionRule.isLocalSufficient(own))) {
             return selection(own, null, serving.size());
         }
-        Candidate other = round.bestElsewhere(own == null, nowMillis);
+        Candidate other = round.bestRemote(own == null, nowMillis);
         if (other == null) {
             return selection(own, null, serving.size());
         }
-        if (own == null || round.crosses(own, other)) {
-            return selection(other, crossings.crossing(own, other), serving.size());
+        if (own == null || round.shouldCross(own, other)) {
+            return selection(other, crossRegionRule.describe(own, other), serving.size());
         }
         return selection(own, null, serving.size());
     }
@@ -138,15 +138,15 @@
      * of others that only rest or are limited. A sample that none of them takes is left to the
      * version in use.
      */
-    private List<Upstream> takingRequests(ServingRequest request, boolean first, long nowMillis) {
+    private List<Upstream> accepting(ServingRequest request, boolean first, long nowMillis) {
         String service = request.service();
-        double held = availability.heldPart(service, request.priority(), nowMillis);
-        List<Upstream> staying = availability.staying(service);
+        double held = availability.reservedFraction(service, request.priority(), nowMillis);
+        List<Upstream> staying = availability.notLeaving(service);
         List<Upstream> admitted = versions.admitted(service, staying, first, nowMillis);
-        List<Upstream> serving = availability.takingNow(admitted, held, nowMillis);
+        List<Upstream> serving = availability.acceptingNow(admitted, held, nowMillis);
         if (serving.isEmpty() && first && !admitted.isEmpty()) {
             List<Upstream> others = versions.admitted(service, staying, false, nowMillis);
-            return availability.takingNow(others, held, nowMillis);
+            return availability.acceptingNow(others, held, nowMillis);
         }
         return serving;
     }
@@ -158,7 +158,7 @@
      * @param upstream the upstream's name
      */
     public void sent(ServingRequest request, String upstream) {
-        prefixes.read(upstream, request.prompt());
+        prefixes.recordPrompt(upstream, request.prompt());
     }
 
     /**
@@ -170,17 +170,17 @@
      * @param nowMillis the time
      */
     public void unreachable(Upstream upstream, long nowMillis) {
-        usual.unreachable(upstream, nowMillis);
+        commonTerms.unreachable(upstream, nowMillis);
     }
 
     /** One choice: the request and the upstreams that may run it. */
-    private final class Round {
+    private final class Choice {
         private final ServingRequest request;
         private final Set<String> excluded;
         private final List<Upstream> serving;
         private final EngineEstimate engine;
 
-        Round(
+        Choice(
                 ServingRequest request,
                 Set<String> excluded,
                 List<Upstream> serving,
@@ -193,7 +193,7 @@
 
         /** Returns the best upstream of a region; null if it has none, or none with room. */
         Candidate best(String region, boolean noneHere, long nowMillis) {
-            PromptHomes homes = PromptHomes.of(request.prompt(), serving, topology, region);
+            PromptAffinity homes = PromptAffinity.of(request.prompt(), serving, topology, region);
             boolean own = region.equals(topology.region());
             Candidate best = null;
             double bestMillis = 0;
@@ -204,10 +204,10 @@
                     continue;
                 }
                 Candidate candidate = candidate(upstream, request, engine, homes, nowMillis);
-                if (!own && !crossings.hasRoom(candidate, noneHere)) {
+                if (!own && !crossRegionRule.hasCapacity(candidate, noneHere)) {
                     continue;
                 }
-                boolean ejected = isLeftOut(upstream, nowMillis);
+                boolean ejected = isDeprioritized(upstream, nowMillis);
                 double millis = cost(candidate);
                 boolean better = best == null || millis < bestMillis;
                 if ((bestEjected && !ejected) || (bestEjected == ejected && better)) {
@@ -220,7 +220,7 @@
         }
 
         /** Returns the best upstream of all other regions; null if none has room. */
-        Candidate bestElsewhere(boolean noneHere, long nowMillis) {
+        Candidate bestRemote(boolean noneHere, long nowMillis) {
             Candidate best = null;
             for (String region : topology.otherRegions()) {
                 Candidate there = best(region, noneHere, nowMillis);
@@ -231,34 +231,34 @@
             return best;
         }
 
-        boolean crosses(Candidate own, Candidate other) {
-            return crossings.isWorthTheWay(own, other) && crossings.isInShare(other, serving);
+        boolean shouldCross(Candidate own, Candidate other) {
+            return crossRegionRule.isRemoteBetter(own, other) && crossRegionRule.isWithinShare(other, serving);
         }
 
         private boolean isBetter(Candidate one, Candidate other) {
             long now = one.nowMillis();
-            boolean ejected = isLeftOut(one.upstream(), now);
-            boolean otherEjected = isLeftOut(other.upstream(), now);
+            boolean ejected = isDeprioritized(one.upstream(), now);
+            boolean otherEjected = isDeprioritized(other.upstream(), now);
             return ejected == otherEjected ? cost(one) < cost(other) : otherEjected;
         }
     }
 
-    private boolean isLeftOut(Upstream upstream, long nowMillis) {
+    private boolean isDeprioritized(Upstream upstream, long nowMillis) {
         return loads.ejected(upstream.id(), nowMillis)
-                || availability.isReturning(upstream, nowMillis);
+                || availability.isRecovering(upstream, nowMillis);
     }
 
     private Candidate candidate(
             Upstream upstream,
             ServingRequest request,
             EngineEstimate engine,
-            PromptHomes homes,
+            PromptAffinity homes,
             long nowMillis) {
         Prompt prompt = request.prompt();
         int cached =
                 Math.max(
                         prefixes.cachedTokens(upstream.id(), prompt),
-                        homes.trustedTokens(upstream, prompt));
+                        homes.expectedCachedTokens(upstream, prompt));
         return new Candidate(
                 upstream,
                 request,
@@ -277,7 +277,7 @@
         return millis;
     }
 
-    private Optional<Selection> selection(Candidate best, Crossing crossing, int candidates) {
+    private Optional<Selection> selection(Candidate best, CrossRegionChoice crossing, int candidates) {
         if (best == null) {
             return Optional.empty();
         }
@@ -288,7 +288,7 @@
         }
         EngineEstimate engine = best.engine();
         int slots = best.upstream().slots();
-        double place = engine.isLearned() ? engine.placeMillis(best.running(), slots) : 0;
+        double place = engine.isLearned() ? engine.slotWaitMillis(best.running(), slots) : 0;
         return Optional.of(
                 new Selection(
                         best.upstream(),
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UrgencyMeter.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UrgencyMeter.java
@@ -23,30 +23,30 @@
     /** Time after which a request counts a third, in milliseconds: some requests of most kinds. */
     private static final double SMOOTHING_MILLIS = 2_000;
 
-    private static final int RANKS = 10;
+    private static final int PRIORITIES = 10;
 
     private final Map<String, Counts> byService = new HashMap<>();
 
     /** Requests of one service by rank, each counted less the longer ago it came. */
     private static final class Counts {
-        private final double[] byRank = new double[RANKS];
+        private final double[] byPriority = new double[PRIORITIES];
         private long updatedMillis;
 
-        void fade(long nowMillis) {
+        void decay(long nowMillis) {
             double elapsed = Math.max(0, nowMillis - updatedMillis);
             double factor = Math.exp(-elapsed / SMOOTHING_MILLIS);
-            for (int i = 0; i < RANKS; i++) {
-                byRank[i] *= factor;
+            for (int i = 0; i < PRIORITIES; i++) {
+                byPriority[i] *= factor;
             }
             updatedMillis = Math.max(updatedMillis, nowMillis);
         }
     }
 
     /** Records a request. */
-    void asked(String service, int priority, long nowMillis) {
+    void requestReceived(String service, int priority, long nowMillis) {
         Counts counts = byService.computeIfAbsent(service, name -> new Counts());
-        counts.fade(nowMillis);
-        counts.byRank[rank(priority)]++;
+        counts.decay(nowMillis);
+        counts.byPriority[bounded(priority)]++;
     }
 
     /** Returns how many requests a millisecond come that are more urgent than some. */
@@ -55,15 +55,15 @@
         if (counts == null) {
             return 0;
         }
-        counts.fade(nowMillis);
+        counts.decay(nowMillis);
         double sum = 0;
-        for (int i = 0; i < rank(priority); i++) {
-            sum += counts.byRank[i];
+        for (int i = 0; i < bounded(priority); i++) {
+            sum += counts.byPriority[i];
         }
         return sum / SMOOTHING_MILLIS;
     }
 
-    private static int rank(int priority) {
-        return Math.max(0, Math.min(RANKS - 1, priority));
+    private static int bounded(int priority) {
+        return Math.max(0, Math.min(PRIORITIES - 1, priority));
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/LimitUrgencyTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/LimitUrgencyTest.java
@@ -24,21 +24,21 @@
 
 /** Who takes the few turns at upstreams that are all limited, in virtual time. */
 class LimitUrgencyTest {
-    private static final long BEGIN_MILLIS = 1_700_000_000_000L;
+    private static final long START_MILLIS = 1_700_000_000_000L;
     private static final String SERVICE = "s";
     private static final int URGENT = 0;
-    private static final int LATER = 2;
-    private static final long MILLIS = 60_000;
+    private static final int NOT_URGENT = 2;
+    private static final long DURATION_MILLIS = 60_000;
     private static final long SETTLE_MILLIS = 5_000;
 
-    private long now = BEGIN_MILLIS;
+    private long now = START_MILLIS;
     private final UpstreamDirectory directory = new UpstreamDirectory();
     private final SplittableRandom random = new SplittableRandom(20261203);
     private final UpstreamLimits limits =
-            new UpstreamLimits(() -> now, upstream -> new TurnOrder(0, 1));
+            new UpstreamLimits(() -> now, upstream -> new SendSlotOrder(0, 1));
     private final UpstreamAvailability availability =
-            new UpstreamAvailability(directory, new UpstreamRests(), limits);
-    private final int[] asked = new int[10];
+            new UpstreamAvailability(directory, new UpstreamBackoffs(), limits);
+    private final int[] requested = new int[10];
     private final int[] served = new int[10];
 
     private Upstream upstream(int number) {
@@ -48,61 +48,61 @@
     }
 
     private void run(double urgentPerSecond, double laterPerSecond) {
-        long end = now + MILLIS;
+        long end = now + DURATION_MILLIS;
         while (now < end) {
             now++;
             if (random.nextDouble() < urgentPerSecond / 1_000) {
-                ask(URGENT);
+                request(URGENT);
             }
             if (random.nextDouble() < laterPerSecond / 1_000) {
-                ask(LATER);
+                request(NOT_URGENT);
             }
         }
     }
 
-    private void ask(int priority) {
-        availability.asked(SERVICE, priority, now);
-        double held = availability.heldPart(SERVICE, priority, now);
-        List<Upstream> taking = availability.takingNow(availability.staying(SERVICE), held, now);
-        boolean counts = now > BEGIN_MILLIS + SETTLE_MILLIS;
-        asked[priority] += counts ? 1 : 0;
+    private void request(int priority) {
+        availability.requestReceived(SERVICE, priority, now);
+        double held = availability.reservedFraction(SERVICE, priority, now);
+        List<Upstream> taking = availability.acceptingNow(availability.notLeaving(SERVICE), held, now);
+        boolean counts = now > START_MILLIS + SETTLE_MILLIS;
+        requested[priority] += counts ? 1 : 0;
         if (!taking.isEmpty() && limits.take(taking.get(0)).isPresent()) {
             served[priority] += counts ? 1 : 0;
         } else {
-            assertTrue(availability.noneTakesMillis(SERVICE, priority, now) > 0, "told when");
+            assertTrue(availability.untilAnyAcceptsMillis(SERVICE, priority, now) > 0, "told when");
         }
     }
 
-    private double part(int priority) {
-        return (double) served[priority] / asked[priority];
+    private double servedFraction(int priority) {
+        return (double) served[priority] / requested[priority];
     }
 
     @Example
     void moreUrgentRequestsAreServedBeforeOthers() {
-        limits.answered(upstream(1), LimitNotice.of(4), now, now);
-        limits.answered(upstream(2), LimitNotice.of(4), now, now);
+        limits.answerReceived(upstream(1), LimitNotice.of(4), now, now);
+        limits.answerReceived(upstream(2), LimitNotice.of(4), now, now);
         run(6, 40);
-        String told = part(URGENT) + " of the urgent, " + part(LATER) + " of the others";
-        assertTrue(part(URGENT) >= 0.9, told);
-        double used = (served[URGENT] + served[LATER]) / (8 * (MILLIS - SETTLE_MILLIS) / 1_000.0);
+        String told = servedFraction(URGENT) + " of the urgent, " + servedFraction(NOT_URGENT) + " of the others";
+        assertTrue(servedFraction(URGENT) >= 0.9, told);
+        double used = (served[URGENT] + served[NOT_URGENT]) / (8 * (DURATION_MILLIS - SETTLE_MILLIS) / 1_000.0);
         assertTrue(used >= 0.9, used + " of the limits, " + told);
     }
 
     @Example
-    void othersTakeWhatTheUrgentLeave() {
-        limits.answered(upstream(1), LimitNotice.of(4), now, now);
+    void lessUrgentRequestsUseSlotsLeftByUrgentOnes() {
+        limits.answerReceived(upstream(1), LimitNotice.of(4), now, now);
         run(0.2, 40);
-        double used = (served[URGENT] + served[LATER]) / (4 * (MILLIS - SETTLE_MILLIS) / 1_000.0);
+        double used = (served[URGENT] + served[NOT_URGENT]) / (4 * (DURATION_MILLIS - SETTLE_MILLIS) / 1_000.0);
         assertTrue(used >= 0.9, used + " of the limit");
     }
 
     @Example
-    void nothingIsHeldWhileAnUpstreamNamesNoLimit() {
-        limits.answered(upstream(1), LimitNotice.of(4), now, now);
+    void nothingIsReservedWhileAnUpstreamNamesNoLimit() {
+        limits.answerReceived(upstream(1), LimitNotice.of(4), now, now);
         upstream(2);
         for (int i = 0; i < 100; i++) {
-            availability.asked(SERVICE, URGENT, now);
+            availability.requestReceived(SERVICE, URGENT, now);
         }
-        assertEquals(0, availability.heldPart(SERVICE, LATER, now));
+        assertEquals(0, availability.reservedFraction(SERVICE, NOT_URGENT, now));
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/OneRegionChoiceTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/OneRegionChoiceTest.java
@@ -40,7 +40,7 @@
  * the hash below was taken from 4,000 choices of the last version without them.
  */
 class OneRegionChoiceTest {
-    private static final long WITHOUT_REGIONS = -6_340_258_481_634_832_708L;
+    private static final long EXPECTED_HASH = -6_340_258_481_634_832_708L;
     private static final int CHOICES = 4_000;
     private static final long STEP_MILLIS = 7;
 
@@ -50,24 +50,24 @@
     private final SplittableRandom random = new SplittableRandom(20_261_203);
 
     @Example
-    void choicesAreThoseOfAProductWithoutRegions() {
+    void choicesMatchThoseOfAVersionWithoutRegions() {
         UpstreamSelector selector = new UpstreamSelector("a", directory, loads, engines);
-        assertEquals(WITHOUT_REGIONS, hashOfChoices(selector));
+        assertEquals(EXPECTED_HASH, hashOfChoices(selector));
     }
 
     @Example
-    void tableOfOneRegionChangesNothing() {
+    void tableWithASingleRegionDoesNotChangeChoices() {
         Topology topology = Topology.of("a", Map.of("a", "x", "b", "x", "c", "x", "d", "x"));
         UpstreamSelector selector =
                 new UpstreamSelector(
                         topology,
-                        new UpstreamAvailability(directory, new UpstreamRests()),
+                        new UpstreamAvailability(directory, new UpstreamBackoffs()),
                         loads,
                         engines,
                         new VersionGate(),
                         () -> 70,
                         List.of());
-        assertEquals(WITHOUT_REGIONS, hashOfChoices(selector));
+        assertEquals(EXPECTED_HASH, hashOfChoices(selector));
     }
 
     private long hashOfChoices(UpstreamSelector selector) {
@@ -83,7 +83,7 @@
             Optional<Selection> chosen = selector.choose(request(i, now), excluded(), now);
             if (chosen.isPresent()) {
                 put(hash, chosen.get());
-                happens(selector, request(i, now), chosen.get(), now);
+                recordOutcome(selector, request(i, now), chosen.get(), now);
             }
         }
         return hash.getAsLong();
@@ -96,7 +96,7 @@
                 .putInt(selection.waitingTokens())
                 .putInt(selection.cachedTokens())
                 .putInt(selection.candidates())
-                .putLong(selection.placeMillis())
+                .putLong(selection.slotWaitMillis())
                 .putString(selection.costs().toString());
     }
 
@@ -104,7 +104,7 @@
         return random.nextInt(10) == 0 ? Set.of("w" + random.nextInt(24)) : Set.of();
     }
 
-    private void happens(
+    private void recordOutcome(
             UpstreamSelector selector, ServingRequest request, Selection selection, long now) {
         String id = selection.upstream().id();
         int tokens = request.prompt().tokensIn();
@@ -123,7 +123,7 @@
             loads.succeeded(id, now);
         }
         if (random.nextInt(50) == 0) {
-            loads.peerUses(
+            loads.setPeerUses(
                     "peer" + random.nextInt(5),
                     List.of(new UpstreamUse(id, random.nextInt(12), random.nextInt(20_000))));
         }
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/RegionLoadTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/RegionLoadTest.java
@@ -36,9 +36,9 @@
     private static final Load PLAIN = new Load(false, 3, 6, 42.9, 0, 249);
     private static final long SEED = 20_261_203;
 
-    private static TwoRegions calm(Load load, double perSecond) {
+    private static TwoRegions afterNormalLoad(Load load, double perSecond) {
         TwoRegions regions = new TwoRegions(load, SEED);
-        regions.pass(20_000, perSecond, perSecond);
+        regions.run(20_000, perSecond, perSecond);
         return regions;
     }
 
@@ -47,56 +47,56 @@
      * ten requests to the other one.
      */
     @Example
-    void inAQuietHourNothingCrossesAndSharedPartsAreNotReadMoreOften() {
+    void atHalfLoadNothingCrossesAndSharedPartsAreNotReadMoreOften() {
         TwoRegions regions = new TwoRegions(MODEL, SEED);
-        regions.pass(60_000, 50, 50);
+        regions.run(60_000, 50, 50);
         Count north = regions.count("north");
         Count south = regions.count("south");
         TwoRegions unknown = new TwoRegions(MODEL, SEED, Map.of());
-        unknown.pass(60_000, 50, 50);
-        assertTrue(unknown.count("north").crossed > 0.25 * unknown.count("north").asked);
+        unknown.run(60_000, 50, 50);
+        assertTrue(unknown.count("north").crossed > 0.25 * unknown.count("north").requests);
         int crossed = north.crossed + south.crossed;
-        assertTrue(crossed < 0.005 * (north.asked + south.asked), "crossed " + crossed);
-        assertTrue(north.partInTime() > 0.99, "north " + north.partInTime());
-        assertTrue(south.partInTime() > 0.99, "south " + south.partInTime());
+        assertTrue(crossed < 0.005 * (north.requests + south.requests), "crossed " + crossed);
+        assertTrue(north.fractionInTime() > 0.99, "north " + north.fractionInTime());
+        assertTrue(south.fractionInTime() > 0.99, "south " + south.fractionInTime());
         String reads = regions.sharedReads() + " reads, " + unknown.sharedReads() + " without";
         assertTrue(regions.sharedReads() <= 1.1 * unknown.sharedReads(), reads);
     }
 
     /** Three times what one region can take for five seconds, half of that in the other. */
     @Example
-    void burstOnAModelUsesTheOtherRegionAndLeavesItInTime() {
-        TwoRegions regions = calm(MODEL, 50);
-        regions.pass(5_000, 300, 50);
+    void burstOnAModelUsesTheOtherRegionWithoutDelayingIt() {
+        TwoRegions regions = afterNormalLoad(MODEL, 50);
+        regions.run(5_000, 300, 50);
         Count north = regions.count("north");
         Count south = regions.count("south");
         assertTrue(north.crossed > 50, "crossed " + north.crossed);
-        assertTrue(south.partInTime() > 0.99, "south " + south.partInTime());
+        assertTrue(south.fractionInTime() > 0.99, "south " + south.fractionInTime());
         assertEquals(0, south.crossed);
     }
 
     /** Twice what one region can take for five seconds: few upstreams, so shares below one. */
     @Example
-    void burstOnAPlainServiceUsesTheOtherRegionAndLeavesItInTime() {
-        TwoRegions regions = calm(PLAIN, 150);
-        regions.pass(5_000, 800, 150);
+    void burstOnAPlainServiceUsesTheOtherRegionWithoutDelayingIt() {
+        TwoRegions regions = afterNormalLoad(PLAIN, 150);
+        regions.run(5_000, 800, 150);
         Count north = regions.count("north");
         Count south = regions.count("south");
         assertTrue(north.crossed > 50, "crossed " + north.crossed);
-        assertTrue(south.partInTime() > 0.99, "south " + south.partInTime());
+        assertTrue(south.fractionInTime() > 0.99, "south " + south.fractionInTime());
     }
 
     /** All upstreams of a region leave at once; the other has room for both. */
     @Example
     void regionWithoutUpstreamsIsServedByTheOther() {
-        TwoRegions regions = calm(PLAIN, 100);
-        regions.lose("north");
-        regions.pass(10_000, 100, 100);
+        TwoRegions regions = afterNormalLoad(PLAIN, 100);
+        regions.removeUpstreams("north");
+        regions.run(10_000, 100, 100);
         Count north = regions.count("north");
-        assertEquals(north.asked, north.crossed + north.refused);
-        assertTrue(north.partInTime() > 0.99, "north " + north.partInTime());
+        assertEquals(north.requests, north.crossed + north.refused);
+        assertTrue(north.fractionInTime() > 0.99, "north " + north.fractionInTime());
         Count south = regions.count("south");
-        assertTrue(south.partInTime() > 0.99, "south " + south.partInTime());
+        assertTrue(south.fractionInTime() > 0.99, "south " + south.fractionInTime());
     }
 
     /**
@@ -104,12 +104,12 @@
      * of the 270 a second that these leave go to the callers from elsewhere.
      */
     @Example
-    void regionThatTakesOverKeepsItsOwnCallersInTime() {
-        TwoRegions regions = calm(PLAIN, 150);
-        regions.lose("north");
-        regions.pass(10_000, 700, 150);
+    void regionThatServesBothKeepsItsOwnCallersInTime() {
+        TwoRegions regions = afterNormalLoad(PLAIN, 150);
+        regions.removeUpstreams("north");
+        regions.run(10_000, 700, 150);
         Count south = regions.count("south");
-        assertTrue(south.partInTime() > 0.95, "south " + south.partInTime());
+        assertTrue(south.fractionInTime() > 0.95, "south " + south.fractionInTime());
         Count north = regions.count("north");
         assertTrue(north.inTime > 0.6 * 2_700, "north " + north.inTime);
     }
@@ -117,11 +117,11 @@
     /** Requests of both regions pass all that both can take: nothing is gained by the long way. */
     @Example
     void overloadOfBothRegionsDoesNotCross() {
-        TwoRegions regions = calm(PLAIN, 150);
-        regions.pass(5_000, 600, 600);
+        TwoRegions regions = afterNormalLoad(PLAIN, 150);
+        regions.run(5_000, 600, 600);
         Count north = regions.count("north");
         Count south = regions.count("south");
-        int asked = north.asked + south.asked;
+        int asked = north.requests + south.requests;
         int crossed = north.crossed + south.crossed;
         assertTrue(crossed < 0.05 * asked, crossed + " of " + asked + " crossed");
     }
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/PlaceForecastTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/SlotForecastTest.java
@@ -24,7 +24,7 @@
 import net.jqwik.api.Example;
 
 /** When a request that was turned away is told to come back. */
-class PlaceForecastTest {
+class SlotForecastTest {
     private static final EngineEstimate ENGINE = new EngineEstimate(20, 0.01, 0.1, 1_200, 100);
     private static final OptionalLong BOOT = OptionalLong.of(4_000);
 
@@ -35,46 +35,46 @@
     }
 
     private void running(String id, int requests) {
-        loads.peerUses("peer of " + id, List.of(new UpstreamUse(id, requests, 0)));
+        loads.setPeerUses("peer of " + id, List.of(new UpstreamUse(id, requests, 0)));
     }
 
     private long forecast(String... ids) {
-        List<Upstream> serving = Arrays.stream(ids).map(PlaceForecastTest::upstream).toList();
-        return PlaceForecast.millis(serving, loads, ENGINE, BOOT);
+        List<Upstream> serving = Arrays.stream(ids).map(SlotForecastTest::upstream).toList();
+        return SlotForecast.millis(serving, loads, ENGINE, BOOT);
     }
 
     @Example
-    void placeOfAnUpstreamThatIsFullIsFreeWhenThoseAheadHaveEnded() {
+    void slotOfAFullUpstreamIsFreeWhenRequestsAheadHaveEnded() {
         running("w0", 12);
         // nine are ahead of it, and one of four places becomes free every 300 ms
         assertEquals(2_700, forecast("w0"));
     }
 
     @Example
-    void soonestOfSeveralUpstreamsCounts() {
+    void earliestOfSeveralUpstreamsCounts() {
         running("w0", 12);
         running("w1", 5);
         assertEquals(600, forecast("w0", "w1"));
     }
 
     @Example
-    void upstreamWithFreePlacesIsTakenToBeFullForAMoment() {
+    void upstreamWithFreeSlotsIsAssumedFullUntilOneRequestEnds() {
         assertEquals(300, forecast("w0"));
     }
 
     @Example
-    void withoutAnyUpstreamTheBootOfOneIsWaitedFor() {
+    void withoutAnyUpstreamTheBootTimeIsReturned() {
         assertEquals(4_000, forecast());
         assertEquals(
-                PlaceForecast.UNKNOWN_MILLIS,
-                PlaceForecast.millis(List.of(), loads, ENGINE, OptionalLong.empty()));
+                SlotForecast.UNKNOWN_MILLIS,
+                SlotForecast.millis(List.of(), loads, ENGINE, OptionalLong.empty()));
     }
 
     @Example
-    void callersNeedAMomentToComeBack() {
+    void forecastIsNeverBelowTheMinimum() {
         EngineEstimate fast = new EngineEstimate(1, 0.001, 0.1, 20, 100);
         assertEquals(
-                PlaceForecast.LEAST_MILLIS,
-                PlaceForecast.millis(List.of(upstream("w0")), loads, fast, BOOT));
+                SlotForecast.MIN_MILLIS,
+                SlotForecast.millis(List.of(upstream("w0")), loads, fast, BOOT));
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/TwoRegions.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/TwoRegions.java
@@ -40,9 +40,9 @@
  * each other their work five times a second, and know of others no more than that.
  */
 final class TwoRegions {
-    private static final int PROCESSES_OF_EACH = 12;
+    private static final int PROCESSES_PER_REGION = 12;
     private static final long DIGEST_MILLIS = 200;
-    private static final double WAY_MILLIS = 8;
+    private static final double CROSS_REGION_MILLIS = 8;
     static final int SUBJECTS = 20;
     private static final int SHARED_TOKENS = 6_300;
     private static final int OWN_TOKENS = 2_890;
@@ -59,7 +59,7 @@
             new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
     private final Map<String, Count> counts = new HashMap<>();
     private final Map<String, Set<String>> readers = new HashMap<>();
-    private final Map<String, String> known;
+    private final Map<String, String> knownRegions;
     private double now;
     private long number;
 
@@ -75,7 +75,7 @@
      */
     record Load(
             boolean prompted,
-            int upstreamsOfEach,
+            int upstreamsPerRegion,
             int slots,
             double runMillis,
             double tokensPerMilli,
@@ -83,13 +83,13 @@
 
     /** What became of the requests of one region. */
     static final class Count {
-        int asked;
+        int requests;
         int inTime;
         int refused;
         int crossed;
 
-        double partInTime() {
-            return inTime / (double) Math.max(1, asked);
+        double fractionInTime() {
+            return inTime / (double) Math.max(1, requests);
         }
     }
 
@@ -97,9 +97,9 @@
 
     /** One upstream: reads prompts one after the other, and has some places. */
     private static final class Engine {
-        private final PriorityQueue<Double> placesFreeAt = new PriorityQueue<>();
-        private final Set<String> held = new HashSet<>();
-        private double readsUntil;
+        private final PriorityQueue<Double> slotsFreeAt = new PriorityQueue<>();
+        private final Set<String> cachedSubjects = new HashSet<>();
+        private double readingUntil;
     }
 
     /** One process that accepts requests. */
@@ -112,31 +112,31 @@
 
         Gateway(String name, String dataCentre) {
             this.name = name;
-            Topology topology = Topology.of(dataCentre, known);
+            Topology topology = Topology.of(dataCentre, knownRegions);
             this.region = REGIONS.get(dataCentre);
             this.selector =
                     new UpstreamSelector(
                             topology,
-                            new UpstreamAvailability(directory, new UpstreamRests()),
+                            new UpstreamAvailability(directory, new UpstreamBackoffs()),
                             loads,
                             model,
                             new VersionGate(),
-                            () -> PROCESSES_OF_EACH,
+                            () -> PROCESSES_PER_REGION,
                             List.of());
         }
 
-        void tell() {
+        void reportUses() {
             List<UpstreamUse> uses = loads.ownUses();
             for (Gateway other : processes) {
                 if (other != this) {
-                    other.loads.peerUses(name, uses);
+                    other.loads.setPeerUses(name, uses);
                 }
             }
         }
 
         void serve(ServingRequest request) {
             Count count = count(region);
-            count.asked++;
+            count.requests++;
             Optional<Selection> chosen = selector.choose(request, Set.of(), (long) now);
             if (chosen.isEmpty()) {
                 count.refused++;
@@ -148,7 +148,7 @@
             int tokens = request.prompt().tokensIn();
             selector.sent(request, upstream.id());
             loads.sent(upstream.id(), tokens);
-            run(request, upstream, crosses ? WAY_MILLIS : 0.5, count, tokens);
+            run(request, upstream, crosses ? CROSS_REGION_MILLIS : 0.5, count, tokens);
         }
 
         private void run(
@@ -156,12 +156,12 @@
             double sent = now;
             Engine engine = engines.get(upstream.id());
             double place = now + way;
-            if (engine.placesFreeAt.size() >= load.slots()) {
-                place = Math.max(place, engine.placesFreeAt.remove());
+            if (engine.slotsFreeAt.size() >= load.slots()) {
+                place = Math.max(place, engine.slotsFreeAt.remove());
             }
             double first = load.prompted() ? read(engine, upstream, request, place) : place;
             double free = first + load.runMillis();
-            engine.placesFreeAt.add(free);
+            engine.slotsFreeAt.add(free);
             double begun = (load.prompted() ? first : free) + way;
             double ended = free + way;
             count.inTime += begun - sent <= load.objectiveMillis() ? 1 : 0;
@@ -188,25 +188,25 @@
 
     /** Creates regions that the processes know as the table says. */
     TwoRegions(Load load, long seed, Map<String, String> known) {
-        this.known = known;
+        this.knownRegions = known;
         this.load = load;
         this.random = new SplittableRandom(seed);
-        for (int i = 0; i < 2 * load.upstreamsOfEach(); i++) {
+        for (int i = 0; i < 2 * load.upstreamsPerRegion(); i++) {
             String id = "w" + i;
             String dataCentre = dataCentre(i);
             directory.changed(
                     new Upstream(id, SERVICE, dataCentre, "h:1", load.slots(), false, false, 0));
             engines.put(id, new Engine());
         }
-        for (int i = 0; i < 2 * PROCESSES_OF_EACH; i++) {
+        for (int i = 0; i < 2 * PROCESSES_PER_REGION; i++) {
             Gateway process = new Gateway("p" + i, dataCentre(i));
             processes.add(process);
-            at(i * 7.0, () -> tellAgain(process));
+            at(i * 7.0, () -> reportPeriodically(process));
         }
     }
 
     /** Has a region's upstreams leave. */
-    void lose(String region) {
+    void removeUpstreams(String region) {
         for (Upstream upstream : directory.all()) {
             if (REGIONS.get(upstream.dataCentre()).equals(region)) {
                 directory.leaving(new LeavingUpstream(upstream.id(), 0));
@@ -224,11 +224,11 @@
     }
 
     /** Has requests come at both regions; what became of them is counted anew. */
-    void pass(long millis, double northPerSecond, double southPerSecond) {
+    void run(long millis, double northPerSecond, double southPerSecond) {
         counts.clear();
         double end = now + millis;
-        arrive("north", northPerSecond, end);
-        arrive("south", southPerSecond, end);
+        scheduleArrivals("north", northPerSecond, end);
+        scheduleArrivals("south", southPerSecond, end);
         while (!due.isEmpty() && due.peek().at() < end) {
             Due next = due.remove();
             now = next.at();
@@ -237,7 +237,7 @@
         now = end;
     }
 
-    private void arrive(String region, double perSecond, double end) {
+    private void scheduleArrivals(String region, double perSecond, double end) {
         double at = now - Math.log(1 - random.nextDouble()) * 1_000 / perSecond;
         while (at < end) {
             List<Gateway> there =
@@ -249,20 +249,20 @@
         }
     }
 
-    private void tellAgain(Gateway process) {
-        process.tell();
-        at(now + DIGEST_MILLIS, () -> tellAgain(process));
+    private void reportPeriodically(Gateway process) {
+        process.reportUses();
+        at(now + DIGEST_MILLIS, () -> reportPeriodically(process));
     }
 
     private double read(Engine engine, Upstream upstream, ServingRequest request, double place) {
-        String subject = request.prompt().subject();
+        String subject = request.prompt().sharedBlockId();
         int tokens = OWN_TOKENS;
-        if (engine.held.add(subject)) {
+        if (engine.cachedSubjects.add(subject)) {
             tokens += SHARED_TOKENS;
             readers.computeIfAbsent(subject, key -> new HashSet<>()).add(upstream.id());
         }
-        engine.readsUntil = Math.max(place, engine.readsUntil) + tokens / load.tokensPerMilli();
-        return engine.readsUntil;
+        engine.readingUntil = Math.max(place, engine.readingUntil) + tokens / load.tokensPerMilli();
+        return engine.readingUntil;
     }
 
     private void at(double time, Runnable task) {
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/UpstreamAvailabilityTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/UpstreamAvailabilityTest.java
@@ -40,8 +40,8 @@
     private static final int BURST = 100;
 
     private final UpstreamDirectory directory = new UpstreamDirectory();
-    private final UpstreamRests rests = new UpstreamRests();
-    private final UpstreamAvailability availability = new UpstreamAvailability(directory, rests);
+    private final UpstreamBackoffs backoffs = new UpstreamBackoffs();
+    private final UpstreamAvailability availability = new UpstreamAvailability(directory, backoffs);
     private final UpstreamLoads loads = new UpstreamLoads();
     private final UpstreamSelector selector =
             new UpstreamSelector(
@@ -85,7 +85,7 @@
     }
 
     @Example
-    void whatIsSaidFirstHoldsWhateverIsToldLater() {
+    void leavingIsNotRevokedByOlderEntriesOrLists() {
         Upstream upstream = listed("w");
         assertEquals(State.TAKES_REQUESTS, availability.of(upstream, 0));
         directory.leaving(new LeavingUpstream("w", 0));
@@ -102,7 +102,7 @@
 
     /** The plan of the fleet, orders and figures read the record, not the question of senders. */
     @Example
-    void recordSaysSoToThoseWhoOnlyReadIt() {
+    void directoryListsALeavingUpstreamAsDraining() {
         listed("w");
         directory.leaving(new LeavingUpstream("w", 0));
         assertTrue(directory.find("w").orElseThrow().draining());
@@ -111,96 +111,96 @@
     }
 
     @Example
-    void leavingToldBeforeTheEntryIsKnownHoldsForIt() {
+    void leavingReportedBeforeTheEntryIsKnownApplies() {
         assertTrue(directory.leaving(new LeavingUpstream("w", 0)).isEmpty());
         assertTrue(listed("w").draining());
     }
 
     /** Work is moved away by the time that the entry tells, which is news though leaving is not. */
     @Example
-    void timeOfTheEndIsNewsOnce() {
+    void endTimeIsReportedOnce() {
         listed("w");
         assertTrue(directory.leaving(new LeavingUpstream("w", 0)).isPresent());
         assertTrue(directory.changed(entry("w", true, 0)).isEmpty(), "known");
         Optional<Upstream> news = directory.changed(entry("w", true, 2_000));
-        assertEquals(2_000, news.orElseThrow().leavesMillis());
+        assertEquals(2_000, news.orElseThrow().leavesInMillis());
         assertTrue(directory.changed(entry("w", true, 1_000)).isEmpty(), "told before");
     }
 
-    private static Upstream life(long bornMillis) {
+    private static Upstream incarnation(long bornMillis) {
         return new Upstream("w", "s", "a", "h:1", 8, false, true, 0, "", 0, bornMillis);
     }
 
     /** An upstream may crash while it leaves and start again under its name. */
     @Example
-    void leavingEndsWithTheLifeThatSaidIt() {
-        directory.changed(life(5));
+    void leavingEndsWithTheIncarnation() {
+        directory.changed(incarnation(5));
         directory.leaving(new LeavingUpstream("w", 5));
-        directory.changed(life(5));
-        assertEquals(State.LEAVING, availability.of(life(5), 0));
-        directory.changed(life(6));
-        assertEquals(State.TAKES_REQUESTS, availability.of(life(6), 0));
-        assertEquals(State.GONE, availability.of(life(5), 0), "the life before");
+        directory.changed(incarnation(5));
+        assertEquals(State.LEAVING, availability.of(incarnation(5), 0));
+        directory.changed(incarnation(6));
+        assertEquals(State.TAKES_REQUESTS, availability.of(incarnation(6), 0));
+        assertEquals(State.REMOVED, availability.of(incarnation(5), 0), "the life before");
         assertTrue(directory.leaving(new LeavingUpstream("w", 5)).isEmpty(), "a late word of it");
         assertEquals("w", chosen(0).orElseThrow());
         assertTrue(directory.leaving(new LeavingUpstream("w", 6)).isPresent());
     }
 
     @Example
-    void wordWithoutALifeHoldsForTheOneListed() {
-        directory.changed(life(5));
+    void reportWithoutStartTimeAppliesToTheListedIncarnation() {
+        directory.changed(incarnation(5));
         directory.leaving(new LeavingUpstream("w", 0));
-        assertEquals(State.LEAVING, availability.of(life(5), 0));
-        directory.changed(life(6));
-        assertEquals(State.TAKES_REQUESTS, availability.of(life(6), 0));
+        assertEquals(State.LEAVING, availability.of(incarnation(5), 0));
+        directory.changed(incarnation(6));
+        assertEquals(State.TAKES_REQUESTS, availability.of(incarnation(6), 0));
     }
 
     @Example
-    void upstreamThatIsListedNoMoreTakesNothing() {
+    void unlistedUpstreamIsRemoved() {
         Upstream upstream = listed("w");
         directory.removed("w");
-        assertEquals(State.GONE, availability.of(upstream, 0));
+        assertEquals(State.REMOVED, availability.of(upstream, 0));
     }
 
     @Example
-    void restingUpstreamIsNotChosenAlsoWhereNobodyElseIsLeft() {
+    void upstreamBackingOffIsNotChosenEvenIfItIsTheOnlyOne() {
         Upstream one = listed("w0");
         Upstream other = listed("w1");
-        rests.asked(one, 3_000, 0);
+        backoffs.backoffRequested(one, 3_000, 0);
         for (int millis = 0; millis < 3_000; millis += 100) {
             assertEquals("w1", chosen(millis).orElseThrow());
         }
-        rests.asked(other, 1_000, 1_500);
+        backoffs.backoffRequested(other, 1_000, 1_500);
         assertTrue(chosen(1_600).isEmpty());
-        assertEquals(900, availability.noneTakesMillis("s", 0, 1_600), "the shortest of the rests");
+        assertEquals(900, availability.untilAnyAcceptsMillis("s", 0, 1_600), "the shortest of the rests");
         assertEquals("w1", chosen(2_500).orElseThrow());
-        assertEquals(0, availability.noneTakesMillis("s", 0, 2_500));
+        assertEquals(0, availability.untilAnyAcceptsMillis("s", 0, 2_500));
     }
 
     @Example
-    void leavingUpstreamIsNoneThatRests() {
-        rests.asked(listed("w0"), 3_000, 0);
-        rests.asked(listed("w1"), 1_000, 0);
+    void leavingUpstreamIsNotWaitedFor() {
+        backoffs.backoffRequested(listed("w0"), 3_000, 0);
+        backoffs.backoffRequested(listed("w1"), 1_000, 0);
         directory.leaving(new LeavingUpstream("w1", 0));
-        assertEquals(3_000, availability.noneTakesMillis("s", 0, 0));
+        assertEquals(3_000, availability.untilAnyAcceptsMillis("s", 0, 0));
         directory.leaving(new LeavingUpstream("w0", 0));
         assertEquals(
-                0, availability.noneTakesMillis("s", 0, 0), "none stays, so no rest is waited for");
+                0, availability.untilAnyAcceptsMillis("s", 0, 0), "none stays, so no rest is waited for");
     }
 
     /** Requests of one moment: those under way at others make an idle upstream the best choice. */
     @Example
-    void restedUpstreamIsNotRushedAt() {
+    void burstAfterABackoffSendsASingleRequest() {
         Upstream rested = listed("w0");
         listed("w1");
-        loads.peerUses("peer", List.of(new UpstreamUse("w1", 50, 40_000)));
+        loads.setPeerUses("peer", List.of(new UpstreamUse("w1", 50, 40_000)));
         assertEquals(
                 BURST, burst(0).getOrDefault("w0", 0), "without a rest all go to the idle one");
-        rests.asked(rested, 1_000, 0);
+        backoffs.backoffRequested(rested, 1_000, 0);
         Map<String, Integer> after = burst(1_000);
         assertEquals(1, after.getOrDefault("w0", 0), "one shows whether it takes requests again");
         assertEquals(BURST - 1, after.getOrDefault("w1", 0));
-        rests.taken(rested, 1_010);
+        backoffs.requestAccepted(rested, 1_010);
         assertEquals("w0", chosen(1_011).orElseThrow(), "it does");
     }
 
@@ -208,19 +208,19 @@
         Map<String, Integer> sent = new HashMap<>();
         for (int i = 0; i < BURST; i++) {
             String id = chosen(nowMillis).orElseThrow();
-            rests.sent(directory.find(id).orElseThrow(), nowMillis);
+            backoffs.sent(directory.find(id).orElseThrow(), nowMillis);
             sent.merge(id, 1, Integer::sum);
         }
         return sent;
     }
 
     @Example
-    void onlyOneThatReturnsIsTakenIfThereIsNoOther() {
+    void recoveringUpstreamIsChosenIfThereIsNoOther() {
         Upstream rested = listed("w0");
-        rests.asked(rested, 1_000, 0);
-        rests.sent(rested, 1_000);
-        assertTrue(availability.isReturning(rested, 1_001));
+        backoffs.backoffRequested(rested, 1_000, 0);
+        backoffs.sent(rested, 1_000);
+        assertTrue(availability.isRecovering(rested, 1_001));
         assertEquals("w0", chosen(1_001).orElseThrow());
-        assertFalse(availability.isReturning(rested, 2_000));
+        assertFalse(availability.isRecovering(rested, 2_000));
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/UpstreamLimitsTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/UpstreamLimitsTest.java
@@ -26,12 +26,12 @@
 
 /** What is believed of limits, and the turns of one process. */
 class UpstreamLimitsTest {
-    private static final long BEGIN_MILLIS = 1_700_000_000_000L;
+    private static final long START_MILLIS = 1_700_000_000_000L;
     private static final LimitNotice ONE = LimitNotice.of(1);
 
-    private long now = BEGIN_MILLIS;
+    private long now = START_MILLIS;
     private final UpstreamLimits limits =
-            new UpstreamLimits(() -> now, upstream -> new TurnOrder(0, 1));
+            new UpstreamLimits(() -> now, upstream -> new SendSlotOrder(0, 1));
 
     private static Upstream upstream(long bornMillis) {
         return new Upstream("w", "m", "a", "127.0.0.1:1", 8, false, false, 0, "", 0, bornMillis);
@@ -42,11 +42,11 @@
     /** Lets time pass and has an answer come to a request that was sent some time before. */
     private boolean answered(long afterMillis, LimitNotice says, long sentBeforeMillis) {
         now += afterMillis;
-        return limits.answered(upstream, says, now - sentBeforeMillis, now);
+        return limits.answerReceived(upstream, says, now - sentBeforeMillis, now);
     }
 
     @Example
-    void oneThatNamesNothingIsNotLimited() {
+    void upstreamWithoutALimitIsNotLimited() {
         assertFalse(answered(0, LimitNotice.ABSENT, 10));
         assertFalse(answered(0, LimitNotice.UNREADABLE, 10));
         assertTrue(limits.isEmpty());
@@ -62,7 +62,7 @@
     }
 
     @Example
-    void answerThatWasOvertakenEndsNothing() {
+    void overtakenAnswerDoesNotEndALimit() {
         answered(0, ONE, 10);
         assertFalse(answered(100, LimitNotice.ABSENT, 150), "sent before the limit was named");
         assertTrue(limits.isLimited(upstream));
@@ -75,48 +75,48 @@
         answered(0, ONE, 10);
         assertFalse(answered(100, ONE, 10), "no news");
         assertTrue(answered(100, LimitNotice.of(50), 10));
-        assertEquals(20, limits.ownEveryMillis(upstream), 0.001);
+        assertEquals(20, limits.ownIntervalMillis(upstream), 0.001);
         assertTrue(answered(100, LimitNotice.of(0.5), 10));
-        assertEquals(2_000, limits.ownEveryMillis(upstream), 0.001);
+        assertEquals(2_000, limits.ownIntervalMillis(upstream), 0.001);
     }
 
     @Example
-    void limitEndsWithTheLifeThatNamedIt() {
+    void limitEndsWithTheIncarnationThatNamedIt() {
         answered(0, ONE, 10);
         assertFalse(limits.isLimited(upstream(6)));
-        assertTrue(limits.answered(upstream(6), LimitNotice.of(4), now, now));
-        assertFalse(limits.answered(upstream, ONE, now, now), "a former life");
-        assertEquals(250, limits.ownEveryMillis(upstream(6)), 0.001);
+        assertTrue(limits.answerReceived(upstream(6), LimitNotice.of(4), now, now));
+        assertFalse(limits.answerReceived(upstream, ONE, now, now), "a former life");
+        assertEquals(250, limits.ownIntervalMillis(upstream(6)), 0.001);
     }
 
     @Example
-    void turnIsTakenOnceAndGivenBack() {
+    void slotIsTakenOnceAndReturned() {
         answered(0, ONE, 10);
         assertEquals(Optional.empty(), limits.take(upstream), "the turn that has begun is passed");
         now += 1_000;
-        LimitTurn turn = limits.take(upstream).orElseThrow();
+        SendSlot turn = limits.take(upstream).orElseThrow();
         assertEquals(Optional.empty(), limits.take(upstream));
-        limits.giveBack(turn);
+        limits.returnSlot(turn);
         assertTrue(limits.take(upstream).isPresent());
     }
 
     @Example
-    void turnOfARareLimitThatIsGivenBackLeavesItUnused() {
+    void returnedSlotOfALimitBelowOnePerSecondLeavesItUnused() {
         answered(0, LimitNotice.of(0.5), 10);
         now += 2_000;
-        LimitTurn turn = limits.take(upstream).orElseThrow();
+        SendSlot turn = limits.take(upstream).orElseThrow();
         assertTrue(limits.waitMillis(upstream) > 1_000, "used");
-        limits.giveBack(turn);
+        limits.returnSlot(turn);
         assertEquals(0, limits.waitMillis(upstream));
-        LimitTurn again = limits.take(upstream).orElseThrow();
+        SendSlot again = limits.take(upstream).orElseThrow();
         now += 10;
-        limits.told(new LimitReport("w", 5, LimitNotice.of(0.5), now, now, now));
-        limits.giveBack(again);
+        limits.reportReceived(new LimitReport("w", 5, LimitNotice.of(0.5), now, now, now));
+        limits.returnSlot(again);
         assertTrue(limits.waitMillis(upstream) > 1_000, "another process has used it");
     }
 
     @Example
-    void saidWaitIsOver() {
+    void requestIsAllowedAfterTheReturnedWait() {
         for (double perSecond : new double[] {0, 0.2, 1, 3, 7, 500}) {
             assertTrue(answered(10, LimitNotice.of(perSecond), 10));
             for (int i = 0; i < 5; i++) {
@@ -127,7 +127,7 @@
     }
 
     @Example
-    void clockThatIsSetBackStopsNothing() {
+    void clockSetBackDoesNotBlockRequests() {
         answered(0, ONE, 10);
         now -= 3_600_000;
         assertTrue(limits.waitMillis(upstream) <= 1_000, limits.waitMillis(upstream) + " ms");
@@ -137,9 +137,9 @@
     }
 
     @Example
-    void peersAreToldOfChangesOnly() {
+    void onlyChangesAreReportedToPeers() {
         List<String> news = new ArrayList<>();
-        limits.onNews(news::add);
+        limits.onUpdate(news::add);
         answered(0, ONE, 10);
         answered(100, ONE, 10);
         assertEquals(List.of("w"), news);
@@ -151,14 +151,14 @@
 
     /** All that the processes tell each other in any order brings them to the same belief. */
     @Example
-    void whatIsToldIsTheSameInAnyOrder() {
+    void reportsConvergeInAnyOrder() {
         LimitReport first = new LimitReport("w", 5, ONE, now, now + 10, now);
         LimitReport second = new LimitReport("w", 5, LimitNotice.of(2), now, now + 20, now);
         LimitReport ended = new LimitReport("w", 5, LimitNotice.ABSENT, now + 200, now + 210, now);
         for (List<LimitReport> order :
                 List.of(List.of(first, second, ended), List.of(second, first, ended, first))) {
-            UpstreamLimits other = new UpstreamLimits(() -> now, any -> new TurnOrder(0, 1));
-            order.forEach(report -> other.told(report));
+            UpstreamLimits other = new UpstreamLimits(() -> now, any -> new SendSlotOrder(0, 1));
+            order.forEach(report -> other.reportReceived(report));
             assertFalse(other.isLimited(upstream));
             assertEquals(Optional.of(ended.limit()), other.report("w").map(LimitReport::limit));
         }
@@ -166,48 +166,48 @@
 
     /** Told round in a circle, it must not seem new each time: its end would not be believed. */
     @Example
-    void whatIsToldAgainGrowsNoYounger() {
-        UpstreamLimits other = new UpstreamLimits(() -> now, any -> new TurnOrder(0, 1));
+    void repeatedReportsDoNotAppearNewer() {
+        UpstreamLimits other = new UpstreamLimits(() -> now, any -> new SendSlotOrder(0, 1));
         answered(0, LimitNotice.of(0.5), 10);
         for (int i = 0; i < 50; i++) {
             now += 90;
-            other.told(later(limits.report("w").orElseThrow()));
-            limits.told(later(other.report("w").orElseThrow()));
+            other.reportReceived(delayed(limits.report("w").orElseThrow()));
+            limits.reportReceived(delayed(other.report("w").orElseThrow()));
         }
         LimitReport known = limits.report("w").orElseThrow();
-        assertEquals(BEGIN_MILLIS, known.heardMillis());
-        assertEquals(BEGIN_MILLIS - 10, known.usedMillis());
+        assertEquals(START_MILLIS, known.receivedMillis());
+        assertEquals(START_MILLIS - 10, known.usedMillis());
     }
 
     /** Returns a report as it seems after a way that its ages do not tell of. */
-    private static LimitReport later(LimitReport report) {
+    private static LimitReport delayed(LimitReport report) {
         return new LimitReport(
                 report.upstream(),
-                report.bornMillis(),
+                report.startedMillis(),
                 report.limit(),
                 report.sentMillis() + 90,
-                report.heardMillis() + 90,
+                report.receivedMillis() + 90,
                 report.usedMillis());
     }
 
     /** A process whose clock was wrong told of it. */
     @Example
-    void useThatIsYetToComeIsPassedOver() {
+    void useInTheFutureIsIgnored() {
         answered(0, LimitNotice.of(0.5), 10);
-        limits.told(new LimitReport("w", 5, LimitNotice.of(0.5), now, now, now + 3_600_000));
+        limits.reportReceived(new LimitReport("w", 5, LimitNotice.of(0.5), now, now, now + 3_600_000));
         assertTrue(limits.waitMillis(upstream) <= 3_000, limits.waitMillis(upstream) + " ms");
     }
 
     @Example
-    void goneUpstreamsAreForgotten() {
+    void removedUpstreamsAreEvicted() {
         UpstreamDirectory directory = new UpstreamDirectory();
         directory.changed(upstream);
         answered(0, ONE, 10);
         now += 100_000;
-        limits.forgetGone(directory, now);
+        limits.evictOutdated(directory, now);
         assertTrue(limits.isLimited(upstream), "nobody asks it, so nobody knows that it ended");
         directory.removed("w");
-        limits.forgetGone(directory, now);
+        limits.evictOutdated(directory, now);
         assertTrue(limits.isEmpty());
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/UpstreamLoadsTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/UpstreamLoadsTest.java
@@ -33,16 +33,16 @@
     private static UpstreamLoads loads() {
         UpstreamLoads loads = new UpstreamLoads();
         loads.sent("u1", 100);
-        loads.peerUses("leaf", List.of(new UpstreamUse("u1", 2, 10), new UpstreamUse("u2", 3, 20)));
-        loads.peerUses("hub", List.of(new UpstreamUse("u3", 4, 30)));
+        loads.setPeerUses("leaf", List.of(new UpstreamUse("u1", 2, 10), new UpstreamUse("u2", 3, 20)));
+        loads.setPeerUses("hub", List.of(new UpstreamUse("u3", 4, 30)));
         return loads;
     }
 
     @Example
-    void groupHoldsOwnAndLeavesAndRestAllButOne() {
+    void groupSumsOwnAndLeavesAndExceptSumsAllButOne() {
         UpstreamLoads loads = loads();
         assertEquals(Map.of("u1", 3, "u2", 3), requests(loads.groupUses(List.of("leaf"))));
-        assertEquals(Map.of("u1", 1, "u3", 4), requests(loads.restUses("leaf")));
+        assertEquals(Map.of("u1", 1, "u3", 4), requests(loads.usesExcept("leaf")));
         assertEquals(Map.of("u1", 1), requests(loads.ownUses()));
         assertEquals(3, loads.requests("u1"));
         assertEquals(110, loads.promptTokens("u1"));
@@ -51,7 +51,7 @@
     @Example
     void newerFiguresReplaceOlderOnesAndALostPeerCountsNothing() {
         UpstreamLoads loads = loads();
-        loads.peerUses("leaf", List.of(new UpstreamUse("u2", 1, 5)));
+        loads.setPeerUses("leaf", List.of(new UpstreamUse("u2", 1, 5)));
         assertEquals(1, loads.requests("u1"));
         assertEquals(1, loads.requests("u2"));
         assertEquals(5, loads.promptTokens("u2"));
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/UpstreamSelectorTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/UpstreamSelectorTest.java
@@ -81,7 +81,7 @@
     }
 
     @Property
-    void entriesDrawASubjectToTheSameUpstream(@ForAll @IntRange(min = 1, max = 9) int count) {
+    void entriesChooseTheSameUpstreamForASubject(@ForAll @IntRange(min = 1, max = 9) int count) {
         UpstreamDirectory fresh = new UpstreamDirectory();
         for (int i = 0; i < count; i++) {
             fresh.changed(new Upstream("w" + i, "s", "a", "h:1", 8, false, false, 0));
@@ -97,12 +97,12 @@
     void workOfPeersCounts() {
         upstreams(2);
         String home = chosen(selector, request("x"));
-        loads.peerUses("peer", List.of(new UpstreamUse(home, 20, 60_000)));
+        loads.setPeerUses("peer", List.of(new UpstreamUse(home, 20, 60_000)));
         assertNotEquals(home, chosen(selector, request("x")));
     }
 
     @Example
-    void failingUpstreamIsLeftOutUnlessItIsTheOnlyOne() {
+    void failingUpstreamIsAvoidedUnlessItIsTheOnlyOne() {
         upstreams(2);
         loads.unreachable("w0", 0);
         assertEquals("w1", chosen(selector, request("x")));
@@ -111,7 +111,7 @@
     }
 
     @Example
-    void dataCentreThatCannotBeReachedIsLeftOutAsAWhole() {
+    void unreachableDataCentreIsAvoidedAsAWhole() {
         upstreams(6);
         Upstream far = directory.find("w1").orElseThrow();
         selector.unreachable(far, 0);
@@ -142,15 +142,15 @@
 
     /** It is idle, but the few requests that it takes are kept for those that gain from it. */
     @Example
-    void limitedUpstreamIsChosenForWhatItHolds() {
+    void limitedUpstreamIsChosenForPromptsItHasCached() {
         long[] now = {10_000};
-        UpstreamLimits limits = new UpstreamLimits(() -> now[0], any -> new TurnOrder(0, 1));
+        UpstreamLimits limits = new UpstreamLimits(() -> now[0], any -> new SendSlotOrder(0, 1));
         directory.changed(new Upstream("w0", "s", "a", "h:1", 8, false, false, 0));
         directory.changed(new Upstream("w1", "s", "a", "h:1", 8, false, false, 0));
         UpstreamSelector choosing =
                 new UpstreamSelector(
                         Topology.oneRegion("a"),
-                        new UpstreamAvailability(directory, new UpstreamRests(), limits),
+                        new UpstreamAvailability(directory, new UpstreamBackoffs(), limits),
                         loads,
                         new EngineModel(),
                         new VersionGate(),
@@ -158,11 +158,11 @@
                         List.of(limits.cost()));
         choosing.sent(request("held"), "w0");
         choosing.sent(request("other"), "w1");
-        loads.peerUses("peer", List.of(new UpstreamUse("w1", 0, 300)));
+        loads.setPeerUses("peer", List.of(new UpstreamUse("w1", 0, 300)));
         ServingRequest anywhere = request(List.of());
         assertEquals("w0", chosen(choosing, anywhere), "it has less to read");
 
-        limits.answered(directory.find("w0").orElseThrow(), LimitNotice.of(1), 0, now[0]);
+        limits.answerReceived(directory.find("w0").orElseThrow(), LimitNotice.of(1), 0, now[0]);
         assertEquals("w1", chosen(choosing, request("held")), "not its turn");
         now[0] += 1_000;
         assertEquals("w0", chosen(choosing, request("held")));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/caller/CallerHandler.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/caller/CallerHandler.java
@@ -155,7 +155,7 @@
                         context.self().dataCentre());
         if (handling instanceof Handling.NotAllowed) {
             Answers.sendFailure(sink, "", new Failure(refused, Failure.Kind.NO_ROW, 0));
-        } else if (handling instanceof Handling.NameTarget) {
+        } else if (handling instanceof Handling.TargetRequired) {
             Answers.refuse(
                     sink,
                     400,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Attempt.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Attempt.java
@@ -17,9 +17,9 @@
 
 import io.trailladder.core.pipeline.AttemptFailure;
 import io.trailladder.core.pipeline.ServingRequest;
-import io.trailladder.core.rollout.AnswerSeen;
+import io.trailladder.core.rollout.AnswerObservation;
 import io.trailladder.core.upstream.AnswerNotice;
-import io.trailladder.core.upstream.LimitTurn;
+import io.trailladder.core.upstream.SendSlot;
 import io.trailladder.core.upstream.Selection;
 import io.trailladder.core.upstream.Upstream;
 import io.trailladder.core.upstream.UpstreamAvailability;
@@ -47,7 +47,7 @@
     private final double predictedMillis;
     private final Listener listener;
     private final long createdMillis;
-    private Optional<LimitTurn> sendSlot = Optional.empty();
+    private Optional<SendSlot> sendSlot = Optional.empty();
     private ClientCall call;
     private boolean sent;
     private long sentMillis;
@@ -213,7 +213,7 @@
         } else {
             context.crashes().answered(upstream, createdMillis);
             if (answerStatus <= MAX_SUCCESS_STATUS) {
-                context.backoffs().taken(upstream, lastReceivedMillis);
+                context.backoffs().requestAccepted(upstream, lastReceivedMillis);
             }
             listener.answered(this, answerStatus, headers, length);
         }
@@ -259,8 +259,8 @@
             return;
         }
         long firstAt = firstEventMillis < 0 ? context.loop().nowMillis() : firstEventMillis;
-        AnswerSeen seen =
-                new AnswerSeen(
+        AnswerObservation seen =
+                new AnswerObservation(
                         request.route().name(),
                         failed,
                         (double) (firstAt - createdMillis),
@@ -322,7 +322,7 @@
     private void finish() {
         finished = true;
         if (!sent) {
-            sendSlot.ifPresent(context.limits()::giveBack);
+            sendSlot.ifPresent(context.limits()::returnSlot);
         }
         promptRead();
         context.loads().ended(upstream.id());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeavingLives.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeavingIncarnations.java
@@ -28,11 +28,11 @@
  * all builds read; their lives stand in a section of their own, in the same order, which builds
  * without it pass over.
  */
-final class LeavingLives {
+final class LeavingIncarnations {
     private static final String NAME = "leaving-lives";
     private static final int VERSION = 1;
 
-    private LeavingLives() {}
+    private LeavingIncarnations() {}
 
     /** Returns the names, for the field. */
     static List<String> ids(List<LeavingUpstream> leaving) {
@@ -41,11 +41,11 @@
 
     /** Returns the section; empty if no life is known. */
     static Optional<DigestSection> section(List<LeavingUpstream> leaving) {
-        if (leaving.stream().noneMatch(upstream -> upstream.bornMillis() > 0)) {
+        if (leaving.stream().noneMatch(upstream -> upstream.startedMillis() > 0)) {
             return Optional.empty();
         }
         ByteBuffer body = ByteBuffer.allocate(leaving.size() * Long.BYTES);
-        leaving.forEach(upstream -> body.putLong(upstream.bornMillis()));
+        leaving.forEach(upstream -> body.putLong(upstream.startedMillis()));
         return Optional.of(new DigestSection(NAME, VERSION, 0, body.array()));
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitReports.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitReports.java
@@ -44,10 +44,10 @@
                 break;
             }
             bytes.putShort((short) name.length).put(name);
-            bytes.putLong(report.bornMillis());
+            bytes.putLong(report.startedMillis());
             bytes.putDouble(report.limit().isNamed() ? report.limit().perSecond() : ENDED);
             bytes.putInt(age(report.sentMillis(), nowMillis));
-            bytes.putInt(age(report.heardMillis(), nowMillis));
+            bytes.putInt(age(report.receivedMillis(), nowMillis));
             bytes.putLong(report.usedMillis());
         }
         byte[] written = new byte[bytes.position()];
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
@@ -24,7 +24,7 @@
 import io.trailladder.core.pipeline.RecoveryPolicy;
 import io.trailladder.core.pipeline.ServingRequest;
 import io.trailladder.core.policy.RouteKind;
-import io.trailladder.core.upstream.Crossing;
+import io.trailladder.core.upstream.CrossRegionChoice;
 import io.trailladder.core.upstream.Selection;
 import io.trailladder.core.upstream.Upstream;
 import io.trailladder.entry.gateway.DecisionLog.AttemptFailed;
@@ -79,7 +79,7 @@
         this.units = units;
         this.onEnd = onEnd;
         if (!lastEventId.isEmpty()) {
-            history.eventPassed(lastEventId);
+            history.eventForwarded(lastEventId);
         }
         this.calls = new AttemptCalls(context, exchange, request);
         this.answer =
@@ -96,7 +96,7 @@
     void start() {
         long now = context.loop().nowMillis();
         context.budgets().requested(request.service(), now);
-        context.availability().asked(request.service(), request.priority(), now);
+        context.availability().requestReceived(request.service(), request.priority(), now);
         nextAttempt();
     }
 
@@ -128,7 +128,7 @@
         }
         long now = context.loop().nowMillis();
         boolean leaving = reason == AttemptFailure.LEAVING;
-        if (!leaving || context.availability().isAnyTaking(request.service(), now)) {
+        if (!leaving || context.availability().isAnyAccepting(request.service(), now)) {
             attempt.fail(reason);
         }
     }
@@ -150,7 +150,7 @@
      * @param found the fingerprint of the request that makes upstreams end
      */
     void stopIfMatches(RequestFingerprint found) {
-        if (!finished && crashes.stops(found)) {
+        if (!finished && crashes.stopIfSame(found)) {
             stop();
         }
     }
@@ -179,14 +179,14 @@
 
     @Override
     public void ended(Attempt sender) {
-        if (answer.status() >= MIN_SERVER_ERROR_STATUS && !history.hasAnswerBegun()) {
+        if (answer.status() >= MIN_SERVER_ERROR_STATUS && !history.hasAnswerStarted()) {
             attemptFailed(sender, AttemptFailure.SERVER_ERROR);
             return;
         }
         attempt = null;
         context.metrics().attempt(request.service(), "whole");
         if (answer.status() < MIN_FAILURE_STATUS) {
-            crashes.ranWhole();
+            crashes.ranToCompletion();
         }
         answer.end();
         end("whole", answer.status(), sender);
@@ -208,9 +208,9 @@
             context.loop().schedule(waitMillis, this::continueAfterRollout);
         } else if (choice.isEmpty()) {
             turnAwayWithoutChoice(now);
-        } else if (!history.hasAnswerBegun()
-                && choice.get().placeMillis() > request.deadlineMillis() - now) {
-            turnAway(TurnedAway.NO_PLACE_IN_TIME, choice.get().placeMillis());
+        } else if (!history.hasAnswerStarted()
+                && choice.get().slotWaitMillis() > request.deadlineMillis() - now) {
+            turnAway(TurnedAway.NO_PLACE_IN_TIME, choice.get().slotWaitMillis());
         } else {
             send(choice.get(), now);
         }
@@ -218,7 +218,7 @@
 
     private void turnAwayWithoutChoice(long now) {
         long unavailableMillis =
-                context.availability().noneTakesMillis(request.service(), request.priority(), now);
+                context.availability().untilAnyAcceptsMillis(request.service(), request.priority(), now);
         if (unavailableMillis > 0) {
             turnAway(TurnedAway.NONE_AVAILABLE, unavailableMillis);
         } else {
@@ -235,7 +235,7 @@
         if (finished) {
             return;
         }
-        if (crashes.refusesFurther()) {
+        if (crashes.refusesRetry()) {
             giveUp(RecoveryPolicy.endingOf(history, false));
         } else {
             nextAttempt();
@@ -264,7 +264,7 @@
                         selection.candidates(),
                         context.peersAgeMillis().getAsLong(),
                         history.lastEventId()));
-        selection.crossing().ifPresent(this::recordCrossing);
+        selection.crossRegion().ifPresent(this::recordCrossing);
         context.selector().sent(request, upstream.id());
         answer.newAttempt();
         attempt = new Attempt(context, request, selection, this);
@@ -272,14 +272,14 @@
         attempt.start(calls.to(upstream, history.lastEventId(), now));
     }
 
-    private void recordCrossing(Crossing crossing) {
+    private void recordCrossing(CrossRegionChoice crossing) {
         context.metrics().count(GatewayMetrics.Event.SENT_TO_OTHER_REGION);
         DecisionLog.write(
                 new SentAcross(
                         request.id(),
                         crossing.region(),
-                        crossing.hereMillis(),
-                        crossing.thereMillis()));
+                        crossing.localMillis(),
+                        crossing.remoteMillis()));
     }
 
     private void firstByte() {
@@ -302,7 +302,7 @@
         context.metrics().attempt(request.service(), failure.name());
         long now = context.loop().nowMillis();
         Recovery recovery = RecoveryPolicy.after(request, history, failure, true, now);
-        if (!(recovery instanceof GiveUp) && crashes.refusesFurther()) {
+        if (!(recovery instanceof GiveUp) && crashes.refusesRetry()) {
             recovery = RecoveryPolicy.after(request, history, failure, false, now);
         }
         boolean notReceived =
@@ -360,7 +360,7 @@
         if (finished) {
             return;
         }
-        Ending ending = RecoveryPolicy.endingInTime(history, isUnderWay());
+        Ending ending = RecoveryPolicy.endingAtDeadline(history, isUnderWay());
         Attempt last = attempt;
         if (isUnderWay()) {
             context.loads().failed(attempt.upstream().id(), context.loop().nowMillis());
@@ -384,7 +384,7 @@
 
     private void cancelAttempt() {
         if (attempt != null) {
-            crashes.tookBack(attempt);
+            crashes.attemptAbandoned(attempt);
             attempt.cancel();
             attempt = null;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ResponseTimeoutWatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ResponseTimeoutWatch.java
@@ -80,11 +80,11 @@
         if (attempt != watched) {
             return;
         }
-        long timeoutMillis = history.hasAnswerBegun() ? MAX_BODY_GAP_MILLIS : firstTimeoutMillis;
+        long timeoutMillis = history.hasAnswerStarted() ? MAX_BODY_GAP_MILLIS : firstTimeoutMillis;
         long now = context.loop().nowMillis();
         if (attempt.unresponsiveMillis() >= timeoutMillis
                 && RecoveryPolicy.allowsAnother(request, history, now)
-                && context.availability().isAnyTaking(request.service(), now)
+                && context.availability().isAnyAccepting(request.service(), now)
                 && context.budgets().tryRetry(request.service(), now)) {
             retryCharged = true;
             attempt.fail(AttemptFailure.SILENT);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RetryAfterEstimator.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RetryAfterEstimator.java
@@ -18,7 +18,7 @@
 import io.trailladder.core.engine.EngineModel;
 import io.trailladder.core.pipeline.ServingRequest;
 import io.trailladder.core.policy.ServiceSpec;
-import io.trailladder.core.upstream.PlaceForecast;
+import io.trailladder.core.upstream.SlotForecast;
 import io.trailladder.core.upstream.UpstreamAvailability;
 import io.trailladder.core.upstream.UpstreamLoads;
 import java.util.HashMap;
@@ -38,14 +38,14 @@
     private static final long MAX_PROMISED_DELAY_MILLIS = 10_000;
 
     private final Map<String, Double> lastPromisedMillis = new HashMap<>();
-    private final PolicyKeeper policies;
+    private final PolicyManager policies;
     private final UpstreamAvailability availability;
     private final UpstreamLoads loads;
     private final EngineModel engines;
     private final SplittableRandom random;
 
     RetryAfterEstimator(
-            PolicyKeeper policies,
+            PolicyManager policies,
             UpstreamAvailability availability,
             UpstreamLoads loads,
             EngineModel engines,
@@ -68,16 +68,16 @@
     long retryAfterMillis(ServingRequest request, long nowMillis) {
         String service = request.service();
         long unavailableMillis =
-                availability.noneTakesMillis(service, request.priority(), nowMillis);
-        double intervalMillis = availability.ownEveryMillis(service);
+                availability.untilAnyAcceptsMillis(service, request.priority(), nowMillis);
+        double intervalMillis = availability.ownIntervalMillis(service);
         if (unavailableMillis > 0 && intervalMillis > 0) {
             String queue = service + '/' + request.priority();
             return nextSendSlotMillis(
                     queue, nowMillis, nowMillis + unavailableMillis, intervalMillis);
         }
         long placeMillis =
-                PlaceForecast.millis(
-                        availability.staying(service),
+                SlotForecast.millis(
+                        availability.notLeaving(service),
                         loads,
                         engines.estimate(service, nowMillis),
                         bootMillis(service));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TurnOrders.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SendSlotOrders.java
@@ -17,7 +17,7 @@
 
 import io.trailladder.core.membership.GatewayMember;
 import io.trailladder.core.topology.Topology;
-import io.trailladder.core.upstream.TurnOrder;
+import io.trailladder.core.upstream.SendSlotOrder;
 import io.trailladder.core.upstream.Upstream;
 import java.util.HashMap;
 import java.util.List;
@@ -34,16 +34,16 @@
  * each process takes a turn out of so many by its own name. All together then take as many turns as
  * there are, though not one each.
  */
-final class TurnOrders {
+final class SendSlotOrders {
     /** How many processes there are taken to be until the store has told which there are. */
-    private static final int LEAST_UNKNOWN = 10;
+    private static final int MIN_ASSUMED_PROCESSES = 10;
 
     private final String self;
     private final Topology topology;
     private final Supplier<List<GatewayMember>> members;
     private final IntSupplier processes;
     private final LongSupplier nowMillis;
-    private final Map<String, TurnOrder> byRegion = new HashMap<>();
+    private final Map<String, SendSlotOrder> byRegion = new HashMap<>();
     private long readMillis = Long.MIN_VALUE / 2;
 
     /**
@@ -55,7 +55,7 @@
      * @param processes how many there are, as far as is known
      * @param nowMillis the time
      */
-    TurnOrders(
+    SendSlotOrders(
             String self,
             Topology topology,
             Supplier<List<GatewayMember>> members,
@@ -74,43 +74,43 @@
      * @param upstream the upstream
      * @return its place in the order; none in an order of another region's processes
      */
-    TurnOrder of(Upstream upstream) {
+    SendSlotOrder of(Upstream upstream) {
         long now = nowMillis.getAsLong();
-        if (now - readMillis >= ClusterView.DIGEST_MILLIS) {
+        if (now - readMillis >= ClusterView.DIGEST_INTERVAL_MILLIS) {
             readMillis = now;
             byRegion.clear();
         }
         return byRegion.computeIfAbsent(topology.region(upstream.dataCentre()), this::read);
     }
 
-    private TurnOrder read(String region) {
+    private SendSlotOrder read(String region) {
         List<GatewayMember> listed = members.get();
         boolean lists = listed.stream().anyMatch(member -> member.name().equals(self));
         int known = listed.size() + (lists ? 0 : 1);
         if (listed.isEmpty() || known < processes.getAsInt()) {
-            int least = listed.isEmpty() ? LEAST_UNKNOWN : known;
+            int least = listed.isEmpty() ? MIN_ASSUMED_PROCESSES : known;
             int count = Math.max(least, processes.getAsInt());
-            return new TurnOrder(Math.floorMod(self.hashCode(), count), count);
+            return new SendSlotOrder(Math.floorMod(self.hashCode(), count), count);
         }
         List<GatewayMember> sharing =
                 listed.stream().filter(member -> isIn(member, region)).toList();
         if (sharing.isEmpty()) {
             return order(listed);
         }
-        return region.equals(topology.region()) ? order(sharing) : TurnOrder.NO_PART;
+        return region.equals(topology.region()) ? order(sharing) : SendSlotOrder.NO_SHARE;
     }
 
     private boolean isIn(GatewayMember member, String region) {
         return topology.region(member.dataCentre()).equals(region);
     }
 
-    private TurnOrder order(List<GatewayMember> sharing) {
+    private SendSlotOrder order(List<GatewayMember> sharing) {
         int before = 0;
         int others = 0;
         for (GatewayMember member : sharing) {
             before += member.name().compareTo(self) < 0 ? 1 : 0;
             others += member.name().equals(self) ? 0 : 1;
         }
-        return new TurnOrder(before, others + 1);
+        return new SendSlotOrder(before, others + 1);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ServingContext.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ServingContext.java
@@ -22,7 +22,7 @@
 import io.trailladder.core.upstream.UpstreamDirectory;
 import io.trailladder.core.upstream.UpstreamLimits;
 import io.trailladder.core.upstream.UpstreamLoads;
-import io.trailladder.core.upstream.UpstreamRests;
+import io.trailladder.core.upstream.UpstreamBackoffs;
 import io.trailladder.core.upstream.UpstreamSelector;
 import io.trailladder.entry.http.HttpConnector;
 import io.trailladder.entry.loop.EventLoop;
@@ -66,7 +66,7 @@
         ConnectionShares connections,
         UpstreamDirectory directory,
         UpstreamAvailability availability,
-        UpstreamRests backoffs,
+        UpstreamBackoffs backoffs,
         UpstreamLimits limits,
         UpstreamNotices notices,
         UpstreamLoads loads,
@@ -76,7 +76,7 @@
         UsageLedger usage,
         DemandMeter demand,
         EngineModel engines,
-        RolloutKeeper rollouts,
+        RolloutManager rollouts,
         RetryAfterEstimator retryAfter,
         GatewayMetrics metrics,
         LongSupplier peersAgeMillis,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
@@ -19,7 +19,7 @@
 import io.trailladder.core.upstream.AnswerNotice;
 import io.trailladder.core.upstream.Upstream;
 import io.trailladder.core.upstream.UpstreamLimits;
-import io.trailladder.core.upstream.UpstreamRests;
+import io.trailladder.core.upstream.UpstreamBackoffs;
 import io.trailladder.entry.gateway.GatewayMetrics.Event;
 import java.util.Map;
 import java.util.function.LongSupplier;
@@ -38,16 +38,16 @@
     private static final int MAX_FAULTY_UPSTREAMS = 1_000;
 
     private final LongSupplier nowMillis;
-    private final DirectoryKeeper directory;
-    private final UpstreamRests backoffs;
+    private final DirectoryManager directory;
+    private final UpstreamBackoffs backoffs;
     private final UpstreamLimits limits;
     private final GatewayMetrics metrics;
     private final Map<String, Boolean> faulty = new RecentMap<>(MAX_FAULTY_UPSTREAMS);
 
     UpstreamNotices(
             LongSupplier nowMillis,
-            DirectoryKeeper directory,
-            UpstreamRests backoffs,
+            DirectoryManager directory,
+            UpstreamBackoffs backoffs,
             UpstreamLimits limits,
             GatewayMetrics metrics) {
         this.nowMillis = nowMillis;
@@ -70,18 +70,18 @@
     void received(
             String request, Upstream upstream, int status, AnswerNotice notice, long sentMillis) {
         long now = nowMillis.getAsLong();
-        boolean changed = limits.answered(upstream, notice.limit(), sentMillis, now);
+        boolean changed = limits.answerReceived(upstream, notice.limit(), sentMillis, now);
         if (changed) {
             metrics.count(Event.UPSTREAM_CHANGED_ITS_LIMIT);
         }
         if (!changed && notice.isNone()) {
             return;
         }
-        if (notice.leaving() && directory.leavingSaidBy(upstream)) {
+        if (notice.leaving() && directory.leavingAnnouncedBy(upstream)) {
             metrics.count(Event.UPSTREAM_SAID_IT_LEAVES);
             changed = true;
         }
-        if (notice.restMillis() > 0 && backoffs.asked(upstream, notice.restMillis(), now)) {
+        if (notice.backoffMillis() > 0 && backoffs.backoffRequested(upstream, notice.backoffMillis(), now)) {
             metrics.count(Event.UPSTREAM_ASKED_FOR_REST);
             changed = true;
         }
@@ -96,7 +96,7 @@
                             upstream.id(),
                             status,
                             notice.leaving(),
-                            Math.min(notice.restMillis(), UpstreamRests.LONGEST_MILLIS),
+                            Math.min(notice.backoffMillis(), UpstreamBackoffs.MAX_BACKOFF_MILLIS),
                             notice.limit(),
                             notice.fault()));
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/ClaimService.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/ClaimService.java
@@ -155,7 +155,7 @@
                             copied.kept());
             perform(locked(r -> r.copyAnswered(answer)));
         } else if (message instanceof ClaimAll all) {
-            perform(locked(r -> r.allSent(from.id(), all.range(), all.epoch(), all.claims())));
+            perform(locked(r -> r.receiveAll(from.id(), all.range(), all.epoch(), all.claims())));
         } else if (message instanceof ClaimAllKept kept) {
             synchronized (registry) {
                 registry.allKept(kept.range(), kept.epoch());
@@ -174,7 +174,7 @@
      * @param map the map
      */
     public void mapRead(RangeMap map) {
-        perform(locked(r -> r.mapRead(map, System.currentTimeMillis())));
+        perform(locked(r -> r.updateMap(map, System.currentTimeMillis())));
     }
 
     /**
@@ -183,7 +183,7 @@
      * @param map the map
      */
     public void mapReceived(RangeMap map) {
-        perform(locked(r -> r.mapRead(map, 0)));
+        perform(locked(r -> r.updateMap(map, 0)));
     }
 
     /**
@@ -261,12 +261,12 @@
     }
 
     private void handleRequest(Claim claim) {
-        perform(locked(r -> r.ask(claim, System.currentTimeMillis())));
+        perform(locked(r -> r.request(claim, System.currentTimeMillis())));
     }
 
     private void handleRelease(ClaimRelease release) {
         synchronized (registry) {
-            registry.released(release.key(), release.requestId());
+            registry.release(release.key(), release.requestId());
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
@@ -130,7 +130,7 @@
         if (log.isComplete()) {
             onEnd.accept(this);
         } else {
-            perform(machine.goOn());
+            perform(machine.resume());
         }
     }
 
@@ -235,7 +235,7 @@
      * @return true if the upstream's leaving affects this request
      */
     public synchronized boolean runsAt(String upstream) {
-        return machine.upstream().equals(upstream) || machine.wants(upstream);
+        return machine.upstream().equals(upstream) || machine.isMoveTarget(upstream);
     }
 
     /**
@@ -322,7 +322,7 @@
 
     @Override
     public synchronized void placed(LocalUpstream upstream) {
-        if (reservedUpstream != null && machine.wants(reservedUpstream.id())) {
+        if (reservedUpstream != null && machine.isMoveTarget(reservedUpstream.id())) {
             // Placed twice, from the queue and immediately: the first upstream is kept.
             context.placements().release(upstream.id());
             return;
@@ -497,7 +497,7 @@
     }
 
     private void releaseUnused() {
-        boolean wanted = machine.wants(reservedUpstream == null ? "" : reservedUpstream.id());
+        boolean wanted = machine.isMoveTarget(reservedUpstream == null ? "" : reservedUpstream.id());
         if (reservedUpstream != null && !wanted) {
             context.placements().release(reservedUpstream.id());
             reservedUpstream = null;
@@ -550,7 +550,7 @@
         public void failed(boolean sent, boolean malformed) {
             synchronized (GenerationRunner.this) {
                 List<GenerationAction> actions =
-                        machine.broken(dispatch.attempt(), sent, MonotonicClock.millis());
+                        machine.attemptFailed(dispatch.attempt(), sent, MonotonicClock.millis());
                 if (!actions.isEmpty()) {
                     context.placements().attemptEnded(upstream.id(), false);
                     context.metrics().count(Event.RETRY);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/Placements.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/Placements.java
@@ -230,7 +230,7 @@
      */
     public synchronized boolean noticeReceived(String upstream) {
         boolean known = directory.leaving().contains(upstream);
-        directory.noticed(upstream);
+        directory.leavingNoticed(upstream);
         return !known;
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/ServiceRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/ServiceRunner.java
@@ -179,7 +179,7 @@
                 failure instanceof HttpFailureException http
                         ? http
                         : (HttpFailureException) failure.getCause();
-        Optional<Failure> finalFailure = machine.broken(upstream.id(), cause.sent(), kind(cause));
+        Optional<Failure> finalFailure = machine.attemptFailed(upstream.id(), cause.sent(), kind(cause));
         if (finalFailure.isEmpty()) {
             place();
         } else {
