--- a/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
@@ -30,9 +30,9 @@
 import io.trailladder.entry.serve.PeerRelay;
 import io.trailladder.entry.serve.PeerServer;
 import io.trailladder.entry.serve.Placements;
-import io.trailladder.entry.serve.RequestBook;
 import io.trailladder.entry.serve.RequestDispatcher;
 import io.trailladder.entry.serve.RequestFinder;
+import io.trailladder.entry.serve.RequestRegistry;
 import io.trailladder.entry.serve.RowPolicies;
 import io.trailladder.entry.serve.ServingContext;
 import io.trailladder.entry.sync.ClaimSync;
@@ -87,7 +87,7 @@
     private final Placements placements;
     private final ServingContext context;
     private final Members members;
-    private final RequestBook book;
+    private final RequestRegistry book;
     private final ClaimService claims;
     private final DataCentreChooser chooser;
     private final PeerRelay relay;
@@ -131,7 +131,7 @@
                         policies);
         this.members = new Members(self, links, settings.peers());
         this.chooser = new DataCentreChooser(links, placements);
-        this.book = new RequestBook(context, chooser::isStopping);
+        this.book = new RequestRegistry(context, chooser::isStopping);
         this.claims =
                 new ClaimService(
                         self.id(),
@@ -274,8 +274,8 @@
                 self.dataCentre(),
                 policies.table().revision(),
                 dispatcher.draining(),
-                book.open(),
-                relay.size(),
+                book.openCount(),
+                relay.openCount(),
                 book.copies(),
                 claims.size(),
                 claims.owned(),
@@ -298,8 +298,8 @@
         while (busy(started) && MonotonicClock.millis() < deadline) {
             pause(DRAIN_POLL_MILLIS);
         }
-        int unfinished = book.open();
-        book.handOver();
+        int unfinished = book.openCount();
+        book.handOverAll();
         if (unfinished > 0) {
             Logger.info("entry {} hands over {} requests", self.id(), unfinished);
             pause(HAND_OVER_MILLIS);
@@ -313,7 +313,7 @@
                 claims.owned() > 0
                         && MonotonicClock.millis() - sinceMillis < RANGES_MILLIS
                         && links.live().stream().anyMatch(peer -> serves(peer));
-        return book.open() > 0 || relay.size() > 0 || handsRangesOver;
+        return book.openCount() > 0 || relay.openCount() > 0 || handsRangesOver;
     }
 
     private boolean serves(EntryInfo peer) {
@@ -338,7 +338,7 @@
             Thread stopper = new Thread(() -> stop(drain), "reclaim");
             stopper.start();
         } else {
-            book.leaving(instance, remainingMillis);
+            book.upstreamLeaving(instance, remainingMillis);
         }
     }
 
@@ -383,7 +383,7 @@
 
     private void beat() {
         heartbeats.beat();
-        metrics.openRequests(book.open());
+        metrics.openRequests(book.openCount());
     }
 
     private void tableInForce() {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/PeerRouter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/PeerRouter.java
@@ -20,8 +20,8 @@
 import io.trailladder.entry.serve.DataCentreChooser;
 import io.trailladder.entry.serve.PeerRelay;
 import io.trailladder.entry.serve.PeerServer;
-import io.trailladder.entry.serve.RequestBook;
 import io.trailladder.entry.serve.RequestFinder;
+import io.trailladder.entry.serve.RequestRegistry;
 import io.trailladder.entry.sync.FleetSync;
 import io.trailladder.entry.sync.Members;
 import io.trailladder.entry.sync.TableSync;
@@ -60,7 +60,7 @@
             DataCentreChooser chooser,
             TableSync tables,
             FleetSync fleet,
-            RequestBook book,
+            RequestRegistry book,
             RequestFinder finder,
             PeerRelay relay,
             PeerServer server,
@@ -91,9 +91,9 @@
     /** Is also called for a peer that is linked but silent. */
     void lost(EntryInfo peer) {
         parts.chooser().lost(peer.id());
-        parts.server().lost(peer.id());
-        parts.book().lost(peer.id());
-        parts.relay().lost(peer.id());
+        parts.server().peerLost(peer.id());
+        parts.book().peerLost(peer.id());
+        parts.relay().peerLost(peer.id());
     }
 
     @Override
@@ -152,20 +152,20 @@
         } else if (message instanceof AnswerCancel cancel) {
             parts.server().cancel(from.id(), cancel);
         } else if (message instanceof RecordPut put) {
-            parts.book().put(from, put);
+            parts.book().storeCopy(from, put);
         } else if (message instanceof RecordKept kept) {
-            parts.book().kept(kept);
+            parts.book().copyStored(kept);
         } else if (message instanceof RecordTokens tokens) {
-            parts.book().tokens(tokens);
+            parts.book().appendTokens(tokens);
         } else if (message instanceof RecordDrop drop) {
-            parts.book().drop(from, drop);
+            parts.book().dropReceived(from, drop);
         } else if (message instanceof RecordHandOver handOver) {
-            parts.book().handedOver(from, handOver);
+            parts.book().acceptHandOver(from, handOver);
         } else if (message instanceof RecordFind find) {
-            parts.server().find(from.id(), find);
+            parts.server().answerFind(from.id(), find);
         } else if (message instanceof RecordFound found) {
-            parts.book().found(from.id(), found);
-            parts.finder().found(from.id(), found);
+            parts.book().findAnswered(from.id(), found);
+            parts.finder().answerReceived(from.id(), found);
         } else {
             return false;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/Admission.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/Admission.java
@@ -37,12 +37,15 @@
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final ServingContext context;
-    private final RequestBook book;
+    private final RequestRegistry book;
     private final PeerRelay relay;
     private final DataCentreChooser chooser;
 
     Admission(
-            ServingContext context, RequestBook book, PeerRelay relay, DataCentreChooser chooser) {
+            ServingContext context,
+            RequestRegistry book,
+            PeerRelay relay,
+            DataCentreChooser chooser) {
         this.context = context;
         this.book = book;
         this.relay = relay;
@@ -82,7 +85,7 @@
         if (passedOn) {
             return Optional.empty();
         }
-        boolean full = book.open() >= context.settings().limits().maxStreams();
+        boolean full = book.openCount() >= context.settings().limits().maxStreams();
         if (full || !context.placements().serves(target)) {
             Answers.failure(sink, "", refusal(request, Kind.NO_CAPACITY, RETRY_AFTER_MILLIS));
             return Optional.empty();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/HandOvers.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/HandOvers.java
@@ -34,183 +34,195 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Hands requests over to other entries. An heir has a request once it says so; one that refuses, is
- * lost or is silent is followed by another.
+ * Hands requests over to other entries. A successor has a request once it confirms so; if it
+ * refuses, is lost or does not answer in time, the request is offered to another one.
  *
- * <p>A question for the request follows each hand-over on the same link. Its answer tells whether
- * the heir has taken the request.
+ * <p>Each hand-over is followed by a query for the request on the same link. Its answer shows
+ * whether the successor has taken the request.
  */
 final class HandOvers {
-    /** How long an heir may take to answer before another one is asked, in milliseconds. */
-    static final long ANSWER_MILLIS = 100;
+    /**
+     * Time to wait for a successor's answer before the request is offered to another one, in
+     * milliseconds.
+     */
+    static final long ANSWER_TIMEOUT_MILLIS = 100;
 
     private final ServingContext context;
-    private final KeeperChoice heirs;
-    private final Map<String, Offer> open = new HashMap<>();
+    private final PeerSelector peerSelector;
+    private final Map<String, Offer> openOffers = new HashMap<>();
 
-    /** A request that no heir has taken yet. */
+    /** A request that no successor has taken yet. */
     private static final class Offer {
         final RequestRecord request;
-        final String copyAt;
+        final String copyHolder;
         final int lastEvent;
         final Runnable onSettled;
-        final Set<String> asked = new HashSet<>();
-        final Set<String> silent = new HashSet<>();
-        String heir = "";
+        final Set<String> tried = new HashSet<>();
+        final Set<String> notResponding = new HashSet<>();
+        String successor = "";
 
-        Offer(RequestRecord request, String copyAt, int lastEvent, Runnable onSettled) {
+        Offer(RequestRecord request, String copyHolder, int lastEvent, Runnable onSettled) {
             this.request = request;
-            this.copyAt = copyAt;
+            this.copyHolder = copyHolder;
             this.lastEvent = lastEvent;
             this.onSettled = onSettled;
         }
 
-        boolean isAskedOf(String peer) {
-            return heir.equals(peer) || silent.contains(peer);
+        boolean isAwaiting(String peer) {
+            return successor.equals(peer) || notResponding.contains(peer);
         }
     }
 
-    HandOvers(ServingContext context, KeeperChoice heirs) {
+    HandOvers(ServingContext context, PeerSelector peerSelector) {
         this.context = context;
-        this.heirs = heirs;
+        this.peerSelector = peerSelector;
     }
 
     /**
-     * Offers a request to one heir after another.
+     * Offers a request to one successor after another until one takes it.
      *
-     * @param request the request, which this entry works on no more
-     * @param copyAt the entry with its copy; empty if there is none
-     * @param lastEvent the last event that a caller was sent; below 0 if none was
-     * @param onSettled called once an heir has it, or all have refused it
+     * @param request the request, which this entry no longer works on
+     * @param copyHolder the entry with its copy; empty if there is none
+     * @param lastEvent last event sent to a caller; negative if none was
+     * @param onSettled called once a successor has it, no successor is left, or {@link #endAll} is
+     *     called
      */
     synchronized void offer(
-            RequestRecord request, String copyAt, int lastEvent, Runnable onSettled) {
-        Offer offer = new Offer(request, copyAt, lastEvent, onSettled);
-        open.put(request.requestId(), offer);
-        askNext(offer);
+            RequestRecord request, String copyHolder, int lastEvent, Runnable onSettled) {
+        Offer offer = new Offer(request, copyHolder, lastEvent, onSettled);
+        openOffers.put(request.requestId(), offer);
+        offerToNext(offer);
     }
 
     /**
-     * Takes a peer's answer.
+     * Handles a peer's answer to a query for a request.
      *
      * @param peer the peer's name
      * @param answer what it has of a request
      */
-    synchronized void answered(String peer, RecordFound answer) {
-        Offer offer = open.get(answer.requestId());
-        if (offer == null || !offer.isAskedOf(peer)) {
+    synchronized void findAnswered(String peer, RecordFound answer) {
+        Offer offer = openOffers.get(answer.requestId());
+        if (offer == null || !offer.isAwaiting(peer)) {
             return;
         }
-        boolean wasSilent = offer.silent.remove(peer);
+        boolean wasNotResponding = offer.notResponding.remove(peer);
         if (answer.standing() == Standing.HOLDER) {
             log(offer, peer, Answer.TAKEN);
-            takeBackFromOthers(offer, peer);
+            withdrawFromOthers(offer, peer);
             settle(offer);
         } else {
             log(offer, peer, Answer.REFUSED);
-            goOn(offer, !wasSilent);
+            proceed(offer, !wasNotResponding);
         }
     }
 
     /**
-     * Is told that a peer is lost.
+     * Handles the loss of a peer.
      *
      * @param peer the peer's name
      */
-    synchronized void lost(String peer) {
-        for (Offer offer : List.copyOf(open.values())) {
-            boolean awaited = offer.heir.equals(peer);
-            if (awaited || offer.silent.remove(peer)) {
+    synchronized void peerLost(String peer) {
+        for (Offer offer : List.copyOf(openOffers.values())) {
+            boolean awaited = offer.successor.equals(peer);
+            if (awaited || offer.notResponding.remove(peer)) {
                 log(offer, peer, Answer.LINK_LOST);
             }
-            goOn(offer, awaited);
+            proceed(offer, awaited);
         }
     }
 
-    /** Ends all offers: their time is over. */
-    synchronized void giveUp() {
-        for (Offer offer : List.copyOf(open.values())) {
-            log(offer, offer.heir, Answer.TIME_OVER);
+    /** Ends all open offers, because this entry is about to end. */
+    synchronized void endAll() {
+        for (Offer offer : List.copyOf(openOffers.values())) {
+            log(offer, offer.successor, Answer.TIME_OVER);
             settle(offer);
         }
     }
 
-    private void goOn(Offer offer, boolean heirFailed) {
-        if (heirFailed) {
-            askNext(offer);
-        } else if (offer.heir.isEmpty() && offer.silent.isEmpty()) {
+    private void proceed(Offer offer, boolean successorFailed) {
+        if (successorFailed) {
+            offerToNext(offer);
+        } else if (offer.successor.isEmpty() && offer.notResponding.isEmpty()) {
             log(offer, "", Answer.NO_HEIR);
             settle(offer);
         }
     }
 
-    private void askNext(Offer offer) {
-        offer.heir = "";
-        Optional<String> next = next(offer);
+    private void offerToNext(Offer offer) {
+        offer.successor = "";
+        Optional<String> next = nextSuccessor(offer);
         while (next.isPresent()) {
-            String heir = next.get();
-            offer.asked.add(heir);
-            if (send(offer, heir)) {
-                offer.heir = heir;
+            String successor = next.get();
+            offer.tried.add(successor);
+            if (send(offer, successor)) {
+                offer.successor = successor;
                 context.timer()
-                        .schedule(() -> silent(offer, heir), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+                        .schedule(
+                                () -> answerTimedOut(offer, successor),
+                                ANSWER_TIMEOUT_MILLIS,
+                                TimeUnit.MILLISECONDS);
                 return;
             }
-            log(offer, heir, Answer.NOT_SENT);
-            next = next(offer);
+            log(offer, successor, Answer.NOT_SENT);
+            next = nextSuccessor(offer);
         }
-        goOn(offer, false);
+        proceed(offer, false);
     }
 
-    private Optional<String> next(Offer offer) {
-        return heirs.choose(offer.request, offer.copyAt, offer.asked);
+    private Optional<String> nextSuccessor(Offer offer) {
+        return peerSelector.choose(offer.request, offer.copyHolder, offer.tried);
     }
 
-    private boolean send(Offer offer, String heir) {
+    private boolean send(Offer offer, String successor) {
         RequestRecord request = offer.request;
-        return context.links().send(heir, new RecordHandOver(request))
+        return context.links().send(successor, new RecordHandOver(request))
                 && context.links()
-                        .send(heir, new RecordFind(request.requestId(), request.organisation()));
+                        .send(
+                                successor,
+                                new RecordFind(request.requestId(), request.organisation()));
     }
 
-    /** Asks another heir in place of one that does not answer; it may still have the request. */
-    private synchronized void silent(Offer offer, String heir) {
-        boolean awaited = open.get(offer.request.requestId()) == offer && offer.heir.equals(heir);
+    /** Offers a request to the next successor; the one that did not answer may still take it. */
+    private synchronized void answerTimedOut(Offer offer, String successor) {
+        boolean awaited =
+                openOffers.get(offer.request.requestId()) == offer
+                        && offer.successor.equals(successor);
         if (awaited) {
-            log(offer, heir, Answer.SILENT);
-            offer.silent.add(heir);
-            askNext(offer);
+            log(offer, successor, Answer.SILENT);
+            offer.notResponding.add(successor);
+            offerToNext(offer);
         }
     }
 
     /**
-     * Has heirs that were silent, and the copy's keeper, give the request up: another one has it.
+     * Withdraws the request from successors that did not respond and from the copy holder, because
+     * another entry has it.
      */
-    private void takeBackFromOthers(Offer offer, String taker) {
-        Set<String> others = new HashSet<>(offer.silent);
-        others.add(offer.heir);
-        others.add(offer.copyAt);
-        others.remove(taker);
+    private void withdrawFromOthers(Offer offer, String owner) {
+        Set<String> others = new HashSet<>(offer.notResponding);
+        others.add(offer.successor);
+        others.add(offer.copyHolder);
+        others.remove(owner);
         others.remove("");
         String id = offer.request.requestId();
         others.forEach(other -> context.links().send(other, new RecordDrop(id)));
     }
 
     private void settle(Offer offer) {
-        open.remove(offer.request.requestId());
+        openOffers.remove(offer.request.requestId());
         offer.onSettled.run();
     }
 
-    private void log(Offer offer, String heir, Answer answer) {
+    private void log(Offer offer, String successor, Answer answer) {
         boolean taken = answer == Answer.TAKEN;
         context.metrics().count(taken ? Event.HANDED_OVER : Event.HAND_OVER_FAILED);
-        Choice choice = heir.equals(offer.copyAt) ? Choice.HOLDS_COPY : Choice.ALLOWED;
+        Choice choice = successor.equals(offer.copyHolder) ? Choice.HOLDS_COPY : Choice.ALLOWED;
         RequestMoves.log(
                 new HandOver(
                         offer.request.requestId(),
                         context.self().id(),
-                        heir,
-                        heir.isEmpty() ? Choice.NONE : choice,
+                        successor,
+                        successor.isEmpty() ? Choice.NONE : choice,
                         offer.request.tokens().size(),
                         offer.lastEvent,
                         answer));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerRelay.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerRelay.java
@@ -33,10 +33,10 @@
 import java.util.function.Function;
 
 /**
- * Passes requests on to peers and their answers back, without reading either.
+ * Relays requests to peers and their answers back, without reading either.
  *
- * <p>An answer of a model request whose peer is lost is asked for again at another entry, from the
- * part after the last one that came.
+ * <p>If the peer that answers a model request is lost, the rest of the answer is requested from
+ * another entry, starting after the last part received.
  *
  * @since 0.1
  */
@@ -45,81 +45,81 @@
     private static final int OK = 200;
 
     private final Peers links;
-    private final AtomicLong exchanges = new AtomicLong();
-    private final Map<Long, Exchange> open = new ConcurrentHashMap<>();
-    private Function<Lost, Boolean> onLost = lost -> false;
+    private final AtomicLong lastExchange = new AtomicLong();
+    private final Map<Long, Exchange> openExchanges = new ConcurrentHashMap<>();
+    private Function<LostAnswer, Boolean> onLost = lost -> false;
 
     /**
      * An answer whose peer was lost.
      *
      * @param request the request
-     * @param requestId its name at the lost peer; empty if no part of the answer came
+     * @param requestId its ID at the lost peer; empty if it is unknown because no answer has begun
      * @param sink where its answer goes
-     * @param nextEvent the first event of a stream that did not come
-     * @param begun true if the sink already has a part of the answer
+     * @param nextEvent the first event of a stream that was not received
+     * @param answerStarted whether the sink already has a part of the answer
      */
-    public record Lost(
+    public record LostAnswer(
             IncomingRequest request,
             String requestId,
             CallerSink sink,
             int nextEvent,
-            boolean begun) {}
+            boolean answerStarted) {}
 
-    /** A request at a peer. */
+    /** A request relayed to a peer. */
     private static final class Exchange {
         final String peer;
         final IncomingRequest request;
         final CallerSink sink;
         String requestId = "";
-        boolean headSeen;
+        boolean answerStarted;
         int parts;
 
-        Exchange(String peer, IncomingRequest request, CallerSink sink, boolean begun) {
+        Exchange(String peer, IncomingRequest request, CallerSink sink, boolean answerStarted) {
             this.peer = peer;
             this.request = request;
             this.sink = sink;
-            this.headSeen = begun;
+            this.answerStarted = answerStarted;
         }
     }
 
     /**
      * Creates the relay.
      *
-     * @param links reaches peers
+     * @param links the links to the peers
      */
     public PeerRelay(Peers links) {
         this.links = links;
     }
 
     /**
-     * Sets who is asked to go on with answers whose peer was lost.
+     * Sets the handler that continues answers whose peer was lost.
      *
-     * @param handler returns false if it cannot
+     * @param handler returns false if it cannot continue an answer
      */
-    public void onLost(Function<Lost, Boolean> handler) {
+    public void onLost(Function<LostAnswer, Boolean> handler) {
         onLost = handler;
     }
 
     /**
-     * Passes a request on.
+     * Relays a request to a peer.
      *
      * @param peer the peer's name
-     * @param requestId the request's name
+     * @param requestId the request's ID; empty if unknown
      * @param request the request
      * @param sink where its answer goes
-     * @param begun true if the sink already has a part of the answer
-     * @return false if no link to the peer is up; the peer has then not seen the request
+     * @param answerStarted whether the sink already has a part of the answer
+     * @return false if no link to the peer is up, in which case the request was not sent
      */
     public boolean forward(
             String peer,
             String requestId,
             IncomingRequest request,
             CallerSink sink,
-            boolean begun) {
-        long number = exchanges.incrementAndGet();
-        Exchange exchange = new Exchange(peer, request, sink, begun);
+            boolean answerStarted) {
+        long number = lastExchange.incrementAndGet();
+        Exchange exchange = new Exchange(peer, request, sink, answerStarted);
         exchange.requestId = requestId;
-        open.put(number, exchange);
+        openExchanges.put(number, exchange);
         Forward forward =
                 new Forward(
                         number,
@@ -130,12 +130,12 @@
                         request.headers(),
                         request.body());
         if (!links.send(peer, forward)) {
-            open.remove(number);
+            openExchanges.remove(number);
             return false;
         }
         sink.whenGone(
                 () -> {
-                    if (open.remove(number) != null) {
+                    if (openExchanges.remove(number) != null) {
                         links.send(peer, new AnswerCancel(number));
                     }
                 });
@@ -143,43 +143,43 @@
     }
 
     /**
-     * Takes the beginning of an answer.
+     * Handles the head of an answer.
      *
-     * @param head the beginning
+     * @param head the head
      */
     public void head(AnswerHead head) {
-        Exchange exchange = open.get(head.exchange());
+        Exchange exchange = openExchanges.get(head.exchange());
         if (exchange == null) {
             return;
         }
         synchronized (exchange) {
-            if (exchange.headSeen && head.status() != OK) {
-                // an answer that has begun cannot end with a peer's refusal
-                open.remove(head.exchange());
-                lost(exchange);
+            if (exchange.answerStarted && head.status() != OK) {
+                // a started answer cannot turn into a refusal, so it is continued elsewhere
+                openExchanges.remove(head.exchange());
+                peerLost(exchange);
                 return;
             }
             requestId(head.headers()).ifPresent(id -> exchange.requestId = id);
-            if (!exchange.headSeen) {
-                exchange.headSeen = true;
+            if (!exchange.answerStarted) {
+                exchange.answerStarted = true;
                 exchange.sink.head(head.status(), head.headers());
             }
         }
     }
 
     /**
-     * Takes a part of an answer.
+     * Handles a part of an answer's body.
      *
      * @param body the part
      */
     public void body(AnswerBody body) {
-        Exchange exchange = open.get(body.exchange());
+        Exchange exchange = openExchanges.get(body.exchange());
         if (exchange == null) {
             return;
         }
         synchronized (exchange) {
             if (body.sequence() != exchange.parts) {
-                breakOff(body.exchange(), exchange);
+                abort(body.exchange(), exchange);
                 return;
             }
             exchange.parts++;
@@ -188,69 +188,69 @@
     }
 
     /**
-     * Takes the end of an answer.
+     * Handles the end of an answer.
      *
      * @param end the end
      */
     public void end(AnswerEnd end) {
-        Exchange exchange = open.get(end.exchange());
+        Exchange exchange = openExchanges.get(end.exchange());
         if (exchange == null) {
             return;
         }
         synchronized (exchange) {
             if (!end.whole() || end.parts() != exchange.parts) {
-                breakOff(end.exchange(), exchange);
+                abort(end.exchange(), exchange);
                 return;
             }
-            open.remove(end.exchange());
+            openExchanges.remove(end.exchange());
             exchange.sink.end();
         }
     }
 
     /**
-     * Is told that a peer is lost.
+     * Handles the loss of a peer: continues or fails the answers that it was to send.
      *
      * @param peer the peer's name
      */
-    public void lost(String peer) {
+    public void peerLost(String peer) {
         List<Long> numbers = new ArrayList<>();
-        open.forEach(
+        openExchanges.forEach(
                 (number, exchange) -> {
                     if (exchange.peer.equals(peer)) {
                         numbers.add(number);
                     }
                 });
         for (Long number : numbers) {
-            Exchange exchange = open.remove(number);
+            Exchange exchange = openExchanges.remove(number);
             if (exchange != null) {
-                lost(exchange);
+                peerLost(exchange);
             }
         }
     }
 
     /**
-     * Returns how many requests are at peers.
+     * Returns the number of requests relayed to peers and not answered yet.
      *
-     * @return a count
+     * @return number of open exchanges
      */
-    public int size() {
-        return open.size();
+    public int openCount() {
+        return openExchanges.size();
     }
 
-    private void lost(Exchange exchange) {
+    private void peerLost(Exchange exchange) {
         synchronized (exchange) {
             int nextEvent = exchange.request.firstWantedEvent() + exchange.parts;
-            Lost lost =
-                    new Lost(
+            LostAnswer lost =
+                    new LostAnswer(
                             exchange.request,
                             exchange.requestId,
                             exchange.sink,
                             nextEvent,
-                            exchange.headSeen);
+                            exchange.answerStarted);
             if (onLost.apply(lost)) {
                 return;
             }
-            if (exchange.headSeen) {
+            if (exchange.answerStarted) {
                 exchange.sink.abort();
                 return;
             }
@@ -260,8 +260,8 @@
         }
     }
 
-    private void breakOff(long number, Exchange exchange) {
-        open.remove(number);
+    private void abort(long number, Exchange exchange) {
+        openExchanges.remove(number);
         exchange.sink.abort();
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestDispatcher.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestDispatcher.java
@@ -28,12 +28,12 @@
 import java.util.Optional;
 
 /**
- * Takes a request that may be read in this data centre to where it is served.
+ * Dispatches a request that may be read in this data centre to where it is served.
  *
  * @since 0.1
  */
 public final class RequestDispatcher {
-    /** Path below which requests are found again by their names. */
+    /** Path prefix under which requests are looked up by their IDs. */
     public static final String REQUESTS_PATH = RequestRecovery.REQUESTS_PATH;
 
     private static final String CALLS_PATH = "/internal/calls/";
@@ -41,38 +41,38 @@
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final ServingContext context;
-    private final RequestBook book;
+    private final RequestRegistry registry;
     private final ClaimService claims;
     private final PeerRelay relay;
     private final Admission admission;
     private final RequestRecovery recovery;
-    private final CallBook calls;
+    private final CallBook callResults;
     private volatile boolean draining;
 
     /**
      * Creates the dispatcher.
      *
-     * @param context what serving code shares
-     * @param book the requests worked on
+     * @param context objects shared by the serving code
+     * @param registry the requests that this entry works on
      * @param claims obtains claims for at-most-once requests
-     * @param relay passes requests on
+     * @param relay relays requests to peers
      * @param chooser chooses between data centres
      * @param finder finds requests at peers
      */
     public RequestDispatcher(
             ServingContext context,
-            RequestBook book,
+            RequestRegistry registry,
             ClaimService claims,
             PeerRelay relay,
             DataCentreChooser chooser,
             RequestFinder finder) {
         this.context = context;
-        this.book = book;
+        this.registry = registry;
         this.claims = claims;
         this.relay = relay;
-        this.calls = new CallBook(context.self().dataCentre());
-        this.admission = new Admission(context, book, relay, chooser);
-        this.recovery = new RequestRecovery(context.timer(), book, relay, finder);
+        this.callResults = new CallBook(context.self().dataCentre());
+        this.admission = new Admission(context, registry, relay, chooser);
+        this.recovery = new RequestRecovery(context.timer(), registry, relay, finder);
     }
 
     /** Refuses new requests from now on. */
@@ -81,7 +81,7 @@
     }
 
     /**
-     * Tells whether new requests are refused.
+     * Returns whether new requests are refused.
      *
      * @return true after {@link #drain}
      */
@@ -98,9 +98,9 @@
     public void serve(IncomingRequest request, CallerSink sink) {
         String path = request.path();
         if (path.startsWith(REQUESTS_PATH)) {
-            recovery.findAgain(request, sink);
+            recovery.find(request, sink);
         } else if (request.relayed() && path.startsWith(CALLS_PATH)) {
-            calls.answer(path.substring(CALLS_PATH.length()), request.organisation(), sink);
+            callResults.answer(path.substring(CALLS_PATH.length()), request.organisation(), sink);
         } else if (draining) {
             Answers.failure(
                     sink, "", Admission.refusal(request, Kind.STOPPING, RETRY_AFTER_MILLIS));
@@ -116,11 +116,11 @@
     }
 
     /**
-     * Passes a request unread to another data centre.
+     * Relays a request to another data centre without reading it.
      *
      * @param request the request
-     * @param target model or service, if known
-     * @param dataCentres where it may be read
+     * @param target the model or service, if known
+     * @param dataCentres the data centres where it may be read
      * @param sink where its answer goes
      */
     public void relay(
@@ -160,20 +160,21 @@
         boolean atMostOnce = atMostOnce(request, row.get());
         Optional<String> key = request.header(IncomingRequest.KEY_HEADER);
         if (!atMostOnce || key.isEmpty()) {
-            String prefix = atMostOnce ? RequestNames.ONCE : RequestNames.REPEATABLE;
+            String prefix =
+                    atMostOnce ? RequestIds.AT_MOST_ONCE_PREFIX : RequestIds.REPEATABLE_PREFIX;
             String requestId =
-                    key.map(k -> RequestNames.keyed(request.organisation(), k))
-                            .orElseGet(() -> RequestNames.fresh(prefix));
+                    key.map(k -> RequestIds.fromKey(request.organisation(), k))
+                            .orElseGet(() -> RequestIds.random(prefix));
             Row effective = atMostOnce ? row.get().notRepeatable() : row.get();
             begin(request, completion, requestId, effective, sink);
             return;
         }
-        String requestId = RequestNames.fresh(RequestNames.CLAIMED);
+        String requestId = RequestIds.random(RequestIds.CLAIMED_PREFIX);
         ClaimKey claimKey = ClaimKey.of(request.organisation(), key.get());
-        claims.claim(claimKey, RequestNames.fingerprint(request), requestId)
+        claims.claim(claimKey, RequestIds.fingerprint(request), requestId)
                 .thenAccept(
                         reply -> {
-                            if (granted(reply, sink, requestId)) {
+                            if (checkGranted(reply, sink, requestId)) {
                                 begin(
                                         request,
                                         completion,
@@ -181,7 +182,7 @@
                                         row.get().notRepeatable(),
                                         sink);
                             } else if (reply.verdict() == ClaimReply.Verdict.DUPLICATE) {
-                                first(REQUESTS_PATH, request, reply, sink);
+                                sendFirstAnswer(REQUESTS_PATH, request, reply, sink);
                             }
                         });
     }
@@ -204,7 +205,7 @@
                         System.currentTimeMillis(),
                         List.of(),
                         false);
-        book.accept(record, row, sink);
+        registry.accept(record, row, sink);
     }
 
     private void serveService(IncomingRequest request, String service, CallerSink sink) {
@@ -215,7 +216,7 @@
         boolean atMostOnce = atMostOnce(request, row.get());
         Optional<String> key = request.header(IncomingRequest.KEY_HEADER);
         if (!atMostOnce || key.isEmpty()) {
-            String callId = RequestNames.fresh("s");
+            String callId = RequestIds.random("s");
             String here = context.self().dataCentre();
             new ServiceRunner(
                             context,
@@ -227,30 +228,30 @@
                     .start();
             return;
         }
-        callOnce(request, row.get(), ClaimKey.of(request.organisation(), key.get()), sink);
+        callAtMostOnce(request, row.get(), ClaimKey.of(request.organisation(), key.get()), sink);
     }
 
-    private void callOnce(IncomingRequest request, Row row, ClaimKey key, CallerSink sink) {
-        String callId = RequestNames.fresh("s");
-        // known before the claim, because another asker may be sent here as soon as it is granted
-        calls.begin(callId, request.organisation());
-        claims.claim(key, RequestNames.fingerprint(request), callId)
+    private void callAtMostOnce(IncomingRequest request, Row row, ClaimKey key, CallerSink sink) {
+        String callId = RequestIds.random("s");
+        // begun before the claim: a duplicate may be sent here as soon as the claim is granted
+        callResults.begin(callId, request.organisation());
+        claims.claim(key, RequestIds.fingerprint(request), callId)
                 .thenAccept(
                         reply -> {
-                            if (granted(reply, sink, callId)) {
+                            if (checkGranted(reply, sink, callId)) {
                                 callClaimed(request, row, key, callId, sink);
                                 return;
                             }
-                            calls.forget(callId);
+                            callResults.forget(callId);
                             if (reply.verdict() == ClaimReply.Verdict.DUPLICATE) {
-                                first(CALLS_PATH, request, reply, sink);
+                                sendFirstAnswer(CALLS_PATH, request, reply, sink);
                             }
                         });
     }
 
     private void callClaimed(
             IncomingRequest request, Row row, ClaimKey key, String callId, CallerSink sink) {
-        calls.answer(callId, request.organisation(), sink);
+        callResults.answer(callId, request.organisation(), sink);
         new ServiceRunner(
                         context,
                         request,
@@ -259,7 +260,7 @@
                         false,
                         result -> {
                             releaseIfNotRun(key, callId, result);
-                            calls.end(callId, result);
+                            callResults.end(callId, result);
                         })
                 .start();
     }
@@ -273,18 +274,21 @@
         }
     }
 
-    /** Gives the caller the final answer unless the claim was granted or names a first request. */
-    private boolean granted(ClaimReply reply, CallerSink sink, String requestId) {
+    /**
+     * Returns whether a claim was granted. If not, and unless the reply names the first request
+     * with the key, answers the caller.
+     */
+    private boolean checkGranted(ClaimReply reply, CallerSink sink, String requestId) {
         return switch (reply.verdict()) {
             case GRANTED -> true;
             case DUPLICATE -> false;
-            case MISMATCH -> refused(sink, requestId, Failure.notRun(Kind.CLAIM_MISMATCH, 0));
+            case MISMATCH -> refuse(sink, requestId, Failure.notRun(Kind.CLAIM_MISMATCH, 0));
             case UNKNOWN -> {
                 CallBook.unknown().send(sink, requestId, context.self().dataCentre());
                 yield false;
             }
             case UNAVAILABLE ->
-                    refused(
+                    refuse(
                             sink,
                             requestId,
                             new Failure(
@@ -292,15 +296,17 @@
         };
     }
 
-    private static boolean refused(CallerSink sink, String requestId, Failure failure) {
+    private static boolean refuse(CallerSink sink, String requestId, Failure failure) {
         Answers.failure(sink, requestId, failure);
         return false;
     }
 
-    /** Gives the caller the first answer to its key, from the entry that has it. */
-    private void first(
+    /**
+     * Sends the caller the answer to the first request with its key, from the entry that has it.
+     */
+    private void sendFirstAnswer(
             String pathPrefix, IncomingRequest request, ClaimReply reply, CallerSink sink) {
-        IncomingRequest lookUp =
+        IncomingRequest lookup =
                 new IncomingRequest(
                         request.organisation(),
                         "GET",
@@ -309,8 +315,8 @@
                         new byte[0],
                         true);
         if (reply.holder().equals(context.self().id())) {
-            serve(lookUp, sink);
-        } else if (!relay.forward(reply.holder(), "", lookUp, sink, false)) {
+            serve(lookup, sink);
+        } else if (!relay.forward(reply.holder(), "", lookup, sink, false)) {
             CallBook.unknown().send(sink, reply.requestId(), context.self().dataCentre());
         }
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestFinder.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestFinder.java
@@ -31,46 +31,46 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Asks all peers which of them has a request.
+ * Queries all peers for the one that has a request.
  *
  * @since 0.1
  */
 public final class RequestFinder {
-    private static final long ANSWER_MILLIS = 400;
+    private static final long ANSWER_TIMEOUT_MILLIS = 400;
 
     private final Peers links;
     private final ScheduledExecutorService timer;
     private final Map<String, Search> searches = new ConcurrentHashMap<>();
 
-    /** A search under way. */
+    /** A search in progress. */
     private static final class Search {
         final CompletableFuture<Optional<String>> holder = new CompletableFuture<>();
-        final Set<String> open = new HashSet<>();
-        String copyAt = "";
+        final Set<String> unanswered = new HashSet<>();
+        String copyHolder = "";
 
-        /** Tells who works on the request, or else who has a copy of it. */
+        /** Returns the peer that works on the request, or else one that has a copy of it. */
         CompletableFuture<Optional<String>> result() {
-            return holder.thenApply(peer -> peer.or(this::copy));
+            return holder.thenApply(peer -> peer.or(this::findCopyHolder));
         }
 
-        private synchronized Optional<String> copy() {
-            return Optional.of(copyAt).filter(peer -> !peer.isEmpty());
+        private synchronized Optional<String> findCopyHolder() {
+            return Optional.of(copyHolder).filter(peer -> !peer.isEmpty());
         }
 
-        /** Takes an answer; returns true if it was the last one. */
-        synchronized boolean answered(String peer, Standing standing) {
+        /** Records an answer; returns whether it was the last one outstanding. */
+        synchronized boolean recordAnswer(String peer, Standing standing) {
             if (standing == Standing.COPY) {
-                copyAt = peer;
+                copyHolder = peer;
             }
-            return open.remove(peer) && open.isEmpty();
+            return unanswered.remove(peer) && unanswered.isEmpty();
         }
     }
 
     /**
      * Creates the finder.
      *
-     * @param links reaches peers
-     * @param timer ends searches that peers leave unanswered
+     * @param links the links to the peers
+     * @param timer ends searches that peers do not answer in time
      */
     public RequestFinder(Peers links, ScheduledExecutorService timer) {
         this.links = links;
@@ -78,16 +78,16 @@
     }
 
     /**
-     * Looks for a request.
+     * Searches the peers for a request.
      *
-     * @param requestId its name
-     * @param organisation whose it must be
+     * @param requestId its ID
+     * @param organisation the organisation that it must belong to
      * @return the peer that works on it, or else one that has a copy; empty if no peer has it
      */
     public CompletableFuture<Optional<String>> find(String requestId, String organisation) {
         List<EntryInfo> peers = links.live();
         Search search = new Search();
-        peers.forEach(peer -> search.open.add(peer.id()));
+        peers.forEach(peer -> search.unanswered.add(peer.id()));
         Search running = searches.putIfAbsent(requestId, search);
         if (running != null) {
             return running.result();
@@ -95,7 +95,7 @@
         RecordFind find = new RecordFind(requestId, organisation);
         for (EntryInfo peer : peers) {
             if (!links.send(peer.id(), find)) {
-                found(peer.id(), new RecordFound(requestId, Standing.NONE));
+                answerReceived(peer.id(), new RecordFound(requestId, Standing.NONE));
             }
         }
         if (peers.isEmpty()) {
@@ -103,26 +103,26 @@
         }
         timer.schedule(
                 () -> search.holder.complete(Optional.empty()),
-                ANSWER_MILLIS,
+                ANSWER_TIMEOUT_MILLIS,
                 TimeUnit.MILLISECONDS);
         return search.result().whenComplete((peer, failure) -> searches.remove(requestId, search));
     }
 
     /**
-     * Takes a peer's answer.
+     * Handles a peer's answer.
      *
      * @param peer the peer's name
      * @param answer its answer
      */
-    public void found(String peer, RecordFound answer) {
+    public void answerReceived(String peer, RecordFound answer) {
         Search search = searches.get(answer.requestId());
         if (search == null) {
             return;
         }
-        boolean last = search.answered(peer, answer.standing());
+        boolean complete = search.recordAnswer(peer, answer.standing());
         if (answer.standing() == Standing.HOLDER) {
             search.holder.complete(Optional.of(peer));
-        } else if (last) {
+        } else if (complete) {
             search.holder.complete(Optional.empty());
         }
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRecovery.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRecovery.java
@@ -26,74 +26,77 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Finds requests again by their names: for callers that ask, and for answers whose serving entry
- * was lost while this entry passed them on.
+ * Looks requests up by their IDs: for callers, and for answers whose serving entry was lost while
+ * this entry relayed them.
  *
  * @since 0.1
  */
 final class RequestRecovery {
-    /** Path below which requests are found again by their names. */
+    /** Path prefix under which requests are looked up by their IDs. */
     static final String REQUESTS_PATH = "/v1/requests/";
 
-    private static final int TRIES = 20;
-    private static final long TRY_AGAIN_MILLIS = 200;
+    private static final int MAX_RETRIES = 20;
+    private static final long RETRY_DELAY_MILLIS = 200;
 
     private final ScheduledExecutorService timer;
-    private final RequestBook book;
+    private final RequestRegistry registry;
     private final PeerRelay relay;
     private final RequestFinder finder;
 
     RequestRecovery(
             ScheduledExecutorService timer,
-            RequestBook book,
+            RequestRegistry registry,
             PeerRelay relay,
             RequestFinder finder) {
         this.timer = timer;
-        this.book = book;
+        this.registry = registry;
         this.relay = relay;
         this.finder = finder;
-        relay.onLost(this::goOn);
+        relay.onLost(this::resumeAnswer);
     }
 
-    /** A question for a request that is asked of this entry and then of its peers. */
-    private static final class Question {
+    /** A look-up of a request, at this entry and then at its peers. */
+    private static final class Lookup {
         final IncomingRequest request;
-        final List<String> names;
+        final List<String> requestIds;
         final CallerSink sink;
-        final boolean begun;
-        final long sinceMillis = MonotonicClock.millis();
+        final boolean answerStarted;
+        final long startedMillis = MonotonicClock.millis();
         int tries;
-        int triesLeft;
+        int retriesLeft;
 
-        Question(
+        Lookup(
                 IncomingRequest request,
-                List<String> names,
+                List<String> requestIds,
                 CallerSink sink,
-                boolean begun,
-                int triesLeft) {
+                boolean answerStarted,
+                int retriesLeft) {
             this.request = request;
-            this.names = names;
+            this.requestIds = requestIds;
             this.sink = sink;
-            this.begun = begun;
-            this.triesLeft = triesLeft;
+            this.answerStarted = answerStarted;
+            this.retriesLeft = retriesLeft;
         }
 
-        /** Writes a line that tells where the request was found. */
+        /** Writes to the decision log where the request was found. */
         void log(Found found, String peer) {
             RequestMoves.log(
                     new AskedAgain(
-                            names.get(0),
+                            requestIds.get(0),
                             request.firstWantedEvent(),
                             request.relayed(),
                             found,
                             peer,
                             tries,
-                            MonotonicClock.millis() - sinceMillis));
+                            MonotonicClock.millis() - startedMillis));
         }
 
-        /** Brings the caller the rest from a runner of this entry, if there is one. */
+        /**
+         * Sends the caller the rest of the answer from a runner of this entry; returns whether
+         * there is one.
+         */
         boolean attach(Optional<GenerationRunner> runner, Found found) {
-            CallerSink rest = begun ? new BegunSink(sink) : sink;
+            CallerSink rest = answerStarted ? new BegunSink(sink) : sink;
             runner.ifPresent(
                     present -> {
                         log(found, "");
@@ -102,10 +105,10 @@
             return runner.isPresent();
         }
 
-        /** Tells the caller that the request was not found. */
-        void notFound() {
+        /** Tells the caller that the request was not found; aborts an answer that has started. */
+        void answerNotFound() {
             log(Found.NOWHERE, "");
-            if (begun) {
+            if (answerStarted) {
                 sink.abort();
             } else {
                 Answers.refuse(sink, 404, "no request of this name");
@@ -113,80 +116,83 @@
         }
     }
 
-    /** Brings a caller the rest of a request's answer, wherever the request is. */
-    void findAgain(IncomingRequest request, CallerSink sink) {
-        String name = request.path().substring(REQUESTS_PATH.length());
+    /** Sends a caller the rest of a request's answer, wherever the request is. */
+    void find(IncomingRequest request, CallerSink sink) {
+        String id = request.path().substring(REQUESTS_PATH.length());
         String organisation = request.organisation();
-        List<String> names = List.of(name, RequestNames.keyed(organisation, name));
-        Question question = new Question(request, names, sink, false, 1);
+        List<String> requestIds = List.of(id, RequestIds.fromKey(organisation, id));
+        Lookup lookup = new Lookup(request, requestIds, sink, false, 1);
         if (!request.relayed()) {
-            look(question);
-        } else if (!question.attach(here(question), Found.HERE)
-                && !question.attach(book.adopt(name, organisation), Found.TAKEN_UP)) {
-            question.notFound();
+            search(lookup);
+        } else if (!lookup.attach(findLocal(lookup), Found.HERE)
+                && !lookup.attach(registry.resumeFromCopy(id, organisation), Found.TAKEN_UP)) {
+            lookup.answerNotFound();
         }
     }
 
-    private Optional<GenerationRunner> here(Question question) {
-        String organisation = question.request.organisation();
-        return question.names.stream()
-                .flatMap(name -> book.find(name, organisation).stream())
+    private Optional<GenerationRunner> findLocal(Lookup lookup) {
+        String organisation = lookup.request.organisation();
+        return lookup.requestIds.stream()
+                .flatMap(id -> registry.find(id, organisation).stream())
                 .findFirst();
     }
 
-    /** Looks for a request in this entry, then at its peers, under each of its names. */
-    private void look(Question question) {
-        question.tries++;
-        if (!question.attach(here(question), Found.HERE)) {
-            askPeers(question, 0);
+    /** Searches this entry for a request, then its peers, under each of its IDs. */
+    private void search(Lookup lookup) {
+        lookup.tries++;
+        if (!lookup.attach(findLocal(lookup), Found.HERE)) {
+            queryPeers(lookup, 0);
         }
     }
 
-    private void askPeers(Question question, int nameIndex) {
-        String name = question.names.get(nameIndex);
-        String organisation = question.request.organisation();
-        finder.find(name, organisation)
+    private void queryPeers(Lookup lookup, int index) {
+        String requestId = lookup.requestIds.get(index);
+        String organisation = lookup.request.organisation();
+        finder.find(requestId, organisation)
                 .thenAccept(
                         holder -> {
-                            if (holder.isPresent() && attachAt(holder.get(), name, question)) {
+                            if (holder.isPresent() && attachAt(holder.get(), requestId, lookup)) {
                                 return;
                             }
-                            if (question.attach(book.adopt(name, organisation), Found.TAKEN_UP)) {
+                            if (lookup.attach(
+                                    registry.resumeFromCopy(requestId, organisation),
+                                    Found.TAKEN_UP)) {
                                 return;
                             }
-                            if (nameIndex + 1 < question.names.size()) {
-                                askPeers(question, nameIndex + 1);
-                            } else if (question.triesLeft-- > 0) {
-                                // it may be passing from a lost entry to its copy's keeper
+                            if (index + 1 < lookup.requestIds.size()) {
+                                queryPeers(lookup, index + 1);
+                            } else if (lookup.retriesLeft-- > 0) {
+                                // after the loss of its entry, it may not have been resumed yet
                                 timer.schedule(
-                                        () -> look(question),
-                                        TRY_AGAIN_MILLIS,
+                                        () -> search(lookup),
+                                        RETRY_DELAY_MILLIS,
                                         TimeUnit.MILLISECONDS);
                             } else {
-                                question.notFound();
+                                lookup.answerNotFound();
                             }
                         });
     }
 
-    private boolean attachAt(String peer, String name, Question question) {
-        IncomingRequest request = question.request;
-        IncomingRequest lookUp =
+    private boolean attachAt(String peer, String requestId, Lookup lookup) {
+        IncomingRequest request = lookup.request;
+        IncomingRequest lookupRequest =
                 new IncomingRequest(
                         request.organisation(),
                         "GET",
-                        REQUESTS_PATH + name,
+                        REQUESTS_PATH + requestId,
                         request.headers(),
                         new byte[0],
                         true);
-        boolean sent = relay.forward(peer, name, lookUp, question.sink, question.begun);
+        boolean sent =
+                relay.forward(peer, requestId, lookupRequest, lookup.sink, lookup.answerStarted);
         if (sent) {
-            question.log(Found.AT_PEER, peer);
+            lookup.log(Found.AT_PEER, peer);
         }
         return sent;
     }
 
-    /** Goes on with an answer whose peer was lost, at another entry that has the request. */
-    private boolean goOn(PeerRelay.Lost lost) {
+    /** Continues an answer whose peer was lost, from another entry that has the request. */
+    private boolean resumeAnswer(PeerRelay.LostAnswer lost) {
         if (lost.requestId().isEmpty()) {
             return false;
         }
@@ -195,7 +201,7 @@
             String last = Integer.toString(lost.nextEvent() - 1);
             headers.add(new Header(IncomingRequest.LAST_EVENT_HEADER, last));
         }
-        IncomingRequest again =
+        IncomingRequest lookupRequest =
                 new IncomingRequest(
                         lost.request().organisation(),
                         "GET",
@@ -203,7 +209,13 @@
                         headers,
                         new byte[0],
                         false);
-        look(new Question(again, List.of(lost.requestId()), lost.sink(), lost.begun(), TRIES));
+        search(
+                new Lookup(
+                        lookupRequest,
+                        List.of(lost.requestId()),
+                        lost.sink(),
+                        lost.answerStarted(),
+                        MAX_RETRIES));
         return true;
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntry.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntry.java
@@ -27,9 +27,9 @@
 import io.trailladder.entry.serve.PeerRelay;
 import io.trailladder.entry.serve.PeerServer;
 import io.trailladder.entry.serve.Placements;
-import io.trailladder.entry.serve.RequestBook;
 import io.trailladder.entry.serve.RequestDispatcher;
 import io.trailladder.entry.serve.RequestFinder;
+import io.trailladder.entry.serve.RequestRegistry;
 import io.trailladder.entry.serve.RowPolicies;
 import io.trailladder.entry.serve.ServingContext;
 import io.trailladder.platform.http.HostPort;
@@ -50,7 +50,7 @@
 
     final EntryInfo info;
     final VirtualTimer timer;
-    final RequestBook book;
+    final RequestRegistry book;
     final RowPolicies policies = new RowPolicies();
     private final RequestDispatcher dispatcher;
     private final DataCentreChooser chooser;
@@ -76,7 +76,7 @@
                         new EntryMetrics(),
                         policies);
         chooser = new DataCentreChooser(links, placements);
-        book = new RequestBook(context, chooser::isStopping);
+        book = new RequestRegistry(context, chooser::isStopping);
         ClaimService claims =
                 new ClaimService(info.id(), links, RangeMap.DEFAULT_RANGES, 1_000, 60_000);
         PeerRelay relay = new PeerRelay(links);
