--- a/trailladder-cli/src/main/java/io/trailladder/cli/ClassDataTraining.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/ClassDataTraining.java
@@ -240,7 +240,7 @@
 
     /** Lists processes that cannot be reached, so many that one trained process acts as a leaf. */
     private void addUnreachable() {
-        for (int i = 0; i < HubTopology.FULL_MESH_MOST; i++) {
+        for (int i = 0; i < HubTopology.FULL_MESH_MAX_PROCESSES; i++) {
             String name = "none-" + i;
             String value =
                     "{\"name\":\"%s\",\"dataCentre\":\"zone\",\"address\":\"%s:1\",\"linkMbps\":%d,\"cores\":1}"
--- a/trailladder-cli/src/main/java/io/trailladder/cli/RoutingTrace.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RoutingTrace.java
@@ -61,7 +61,7 @@
         switch (event.path("event").asText()) {
             case "request" -> request(line, event, now);
             case "ended" -> router.load(upstream).ended();
-            case "leaving" -> directory.noticed(upstream);
+            case "leaving" -> directory.leavingNoticed(upstream);
             case "report" -> router.load(upstream).reported(report(event), now);
             default -> throw new BadTraceException(line, text);
         }
--- a/trailladder-core/src/main/java/io/trailladder/core/crash/LeftRequests.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/CancelledRequests.java
@@ -27,17 +27,17 @@
  *
  * @since 0.6
  */
-public final class LeftRequests {
+public final class CancelledRequests {
     /**
      * How long a request that was taken back is remembered, in milliseconds: until an upstream that
      * ended is no longer listed, after three heartbeats of 1.2 s and the store's way.
      */
-    public static final long KEPT_MILLIS = 5_000;
+    public static final long RETENTION_MILLIS = 5_000;
 
     /** Most that are remembered, of some 150 bytes each; the oldest go first. */
-    public static final int MOST = 512;
+    public static final int MAX_REQUESTS = 512;
 
-    private final Deque<Left> oldestFirst = new ArrayDeque<>();
+    private final Deque<CancelledRequest> oldestFirst = new ArrayDeque<>();
 
     /**
      * A request that was taken back.
@@ -45,26 +45,26 @@
      * @param tryId its try
      * @param request the request
      * @param upstream the upstream's name
-     * @param life the upstream's life, see {@link UpstreamEnd#nameOf}
+     * @param life the upstream's life, see {@link UpstreamEnd#incarnationOf}
      * @param sentMillis when it was sent there, in milliseconds
      * @param leftMillis when it was taken back, in milliseconds
      */
-    public record Left(
-            String tryId,
+    public record CancelledRequest(
+            String attemptId,
             RequestFingerprint request,
             String upstream,
-            long life,
+            long incarnation,
             long sentMillis,
-            long leftMillis) {}
+            long cancelledMillis) {}
 
     /**
      * Remembers a request.
      *
      * @param left the request
      */
-    public void add(Left left) {
-        forget(left.leftMillis());
-        if (oldestFirst.size() >= MOST) {
+    public void add(CancelledRequest left) {
+        removeExpired(left.cancelledMillis());
+        if (oldestFirst.size() >= MAX_REQUESTS) {
             oldestFirst.removeFirst();
         }
         oldestFirst.addLast(left);
@@ -77,12 +77,12 @@
      * @param nowMillis the time, in milliseconds
      * @return the requests, the oldest first
      */
-    public List<Left> takeFrom(String upstream, long nowMillis) {
-        forget(nowMillis);
-        List<Left> taken = new ArrayList<>();
-        Iterator<Left> all = oldestFirst.iterator();
+    public List<CancelledRequest> takeFrom(String upstream, long nowMillis) {
+        removeExpired(nowMillis);
+        List<CancelledRequest> taken = new ArrayList<>();
+        Iterator<CancelledRequest> all = oldestFirst.iterator();
         while (all.hasNext()) {
-            Left left = all.next();
+            CancelledRequest left = all.next();
             if (left.upstream().equals(upstream)) {
                 taken.add(left);
                 all.remove();
@@ -91,9 +91,9 @@
         return taken;
     }
 
-    private void forget(long nowMillis) {
+    private void removeExpired(long nowMillis) {
         while (!oldestFirst.isEmpty()
-                && nowMillis - oldestFirst.getFirst().leftMillis() > KEPT_MILLIS) {
+                && nowMillis - oldestFirst.getFirst().cancelledMillis() > RETENTION_MILLIS) {
             oldestFirst.removeFirst();
         }
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/crash/Bystanders.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/CrashAttribution.java
@@ -20,8 +20,8 @@
 import java.util.Set;
 
 /** Tells requests that stood beside others when upstreams ended from those that end them. */
-final class Bystanders {
-    private Bystanders() {}
+final class CrashAttribution {
+    private CrashAttribution() {}
 
     /**
      * Tells whether others that are likelier to be the cause explain the ends of a request.
@@ -31,7 +31,7 @@
      * @param fewest how many ends have a request refused
      * @return true if fewer than so many of its ends are without a likelier cause
      */
-    static boolean isOne(
+    static boolean isExplainedByOthers(
             RequestFingerprint request,
             Map<RequestFingerprint, CrashHistory> histories,
             int fewest) {
@@ -40,14 +40,14 @@
         for (Map.Entry<RequestFingerprint, CrashHistory> other : histories.entrySet()) {
             CrashHistory suspect = other.getValue();
             if (suspect != history
-                    && suspect.ends() >= fewest
+                    && suspect.endCount() >= fewest
                     && isLikelier(other.getKey(), suspect, request, history)) {
-                suspect.known().forEach(known -> explained.add(known.end().upstream()));
+                suspect.countedEnds().forEach(known -> explained.add(known.end().incarnation()));
             }
         }
         long unexplained =
-                history.known().stream()
-                        .filter(known -> !explained.contains(known.end().upstream()))
+                history.countedEnds().stream()
+                        .filter(known -> !explained.contains(known.end().incarnation()))
                         .count();
         return unexplained < fewest;
     }
@@ -60,7 +60,7 @@
             CrashHistory history,
             RequestFingerprint other,
             CrashHistory otherHistory) {
-        int byEnds = Integer.compare(history.ends(), otherHistory.ends());
+        int byEnds = Integer.compare(history.endCount(), otherHistory.endCount());
         if (byEnds != 0) {
             return byEnds > 0;
         }
--- a/trailladder-core/src/main/java/io/trailladder/core/crash/CrashHistory.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/CrashHistory.java
@@ -25,28 +25,28 @@
 /** What is known of the upstreams that ended under one request. */
 public final class CrashHistory {
     /** Most ends that are kept of one request: twice as many as have it refused for good. */
-    public static final int MOST_ENDS = 8;
+    public static final int MAX_ENDS = 8;
 
     /** The source of what this process saw itself. */
-    public static final String OWN = "";
+    public static final String OWN_SOURCE = "";
 
-    private final Map<UpstreamEnd.Key, Sight> sights = new LinkedHashMap<>();
+    private final Map<UpstreamEnd.Key, RecordedEnd> recordedEnds = new LinkedHashMap<>();
     private long clearedMillis = CrashReport.NEVER;
-    private String clearedBy = OWN;
-    private long clearHeardMillis;
-    private boolean triedAgain;
+    private String clearedBy = OWN_SOURCE;
+    private long clearReceivedMillis;
+    private boolean retried;
 
     /** One end, and how this process knows of it. */
-    private static final class Sight {
+    private static final class RecordedEnd {
         UpstreamEnd end;
         final String source;
-        final long heardMillis;
+        final long receivedMillis;
         boolean dismissed;
 
-        Sight(UpstreamEnd end, String source, long heardMillis) {
+        RecordedEnd(UpstreamEnd end, String source, long heardMillis) {
             this.end = end;
             this.source = source;
-            this.heardMillis = heardMillis;
+            this.receivedMillis = heardMillis;
         }
     }
 
@@ -56,35 +56,35 @@
      * @param end the end
      * @param source the process that told it; empty if this one saw it
      */
-    public record Known(UpstreamEnd end, String source) {}
+    public record CountedEnd(UpstreamEnd end, String source) {}
 
     /** Records an end; returns false if it was known, or so many are kept that count. */
     boolean add(UpstreamEnd end, String source, long nowMillis) {
-        Sight known = sights.get(end.key());
+        RecordedEnd known = recordedEnds.get(end.key());
         if (known != null) {
             // the earliest of several sights is the end itself, wherever it was seen
             known.end = known.end.atMillis() <= end.atMillis() ? known.end : end;
             return false;
         }
-        if (ends() >= MOST_ENDS) {
+        if (endCount() >= MAX_ENDS) {
             return false;
         }
-        if (sights.size() >= MOST_ENDS) {
-            sights.values().stream()
+        if (recordedEnds.size() >= MAX_ENDS) {
+            recordedEnds.values().stream()
                     .filter(sight -> !counts(sight))
                     .findFirst()
-                    .ifPresent(sight -> sights.remove(sight.end.key()));
+                    .ifPresent(sight -> recordedEnds.remove(sight.end.key()));
         }
-        sights.put(end.key(), new Sight(end, source, nowMillis));
+        recordedEnds.put(end.key(), new RecordedEnd(end, source, nowMillis));
         return true;
     }
 
     /** Returns how many ends of an upstream's life were seen up to a time, counting or not. */
-    int endsOf(long upstream, long untilMillis) {
+    int endCountOf(long upstream, long untilMillis) {
         int count = 0;
-        for (Sight sight : sights.values()) {
+        for (RecordedEnd sight : recordedEnds.values()) {
             UpstreamEnd end = sight.end;
-            count += end.upstream() == upstream && end.atMillis() <= untilMillis ? 1 : 0;
+            count += end.incarnation() == upstream && end.atMillis() <= untilMillis ? 1 : 0;
         }
         return count;
     }
@@ -99,40 +99,40 @@
         }
         clearedMillis = atMillis;
         clearedBy = source;
-        clearHeardMillis = nowMillis;
-        triedAgain = false;
+        clearReceivedMillis = nowMillis;
+        retried = false;
         return true;
     }
 
     /** Has ends not count whose upstreams turn out to live on. */
     void dismiss(Set<Long> living, long endedBeforeMillis) {
-        for (Sight sight : sights.values()) {
+        for (RecordedEnd sight : recordedEnds.values()) {
             if (sight.end.atMillis() <= endedBeforeMillis
-                    && living.contains(sight.end.upstream())) {
+                    && living.contains(sight.end.incarnation())) {
                 sight.dismissed = true;
             }
         }
     }
 
     /** Returns the ends that count. */
-    List<Known> known() {
-        List<Known> known = new ArrayList<>(sights.size());
-        for (Sight sight : sights.values()) {
+    List<CountedEnd> countedEnds() {
+        List<CountedEnd> known = new ArrayList<>(recordedEnds.size());
+        for (RecordedEnd sight : recordedEnds.values()) {
             if (counts(sight)) {
-                known.add(new Known(sight.end, sight.source));
+                known.add(new CountedEnd(sight.end, sight.source));
             }
         }
         return known;
     }
 
-    private boolean counts(Sight sight) {
+    private boolean counts(RecordedEnd sight) {
         return !sight.dismissed && sight.end.atMillis() > clearedMillis;
     }
 
     /** Returns how many ends count. */
-    int ends() {
+    int endCount() {
         int count = 0;
-        for (Sight sight : sights.values()) {
+        for (RecordedEnd sight : recordedEnds.values()) {
             count += counts(sight) ? 1 : 0;
         }
         return count;
@@ -140,14 +140,14 @@
 
     /** Returns how long the request had run at all the upstreams that ended, in milliseconds. */
     long ranMillis() {
-        return known().stream().mapToLong(known -> known.end().ranMillis()).sum();
+        return countedEnds().stream().mapToLong(known -> known.end().ranMillis()).sum();
     }
 
     /** Returns when the last thing became known, in milliseconds. */
     long changedMillis() {
-        long last = clearHeardMillis;
-        for (Sight sight : sights.values()) {
-            last = Math.max(last, sight.heardMillis);
+        long last = clearReceivedMillis;
+        for (RecordedEnd sight : recordedEnds.values()) {
+            last = Math.max(last, sight.receivedMillis);
         }
         return last;
     }
@@ -156,40 +156,40 @@
      * Tells whether this process, and no other, may find out if the request is harmless: the one
      * that saw the end of the first upstream by name, which is one alone where all know the same.
      */
-    boolean mayBeTriedHere(long restedSinceMillis) {
-        if (triedAgain) {
+    boolean mayBeRetriedHere(long restedSinceMillis) {
+        if (retried) {
             return false;
         }
-        Known first = null;
-        for (Known known : known()) {
+        CountedEnd first = null;
+        for (CountedEnd known : countedEnds()) {
             if (known.end().atMillis() > restedSinceMillis) {
                 return false;
             }
-            if (first == null || known.end().upstream() < first.end().upstream()) {
+            if (first == null || known.end().incarnation() < first.end().incarnation()) {
                 first = known;
             }
         }
-        return first != null && first.source().equals(OWN);
+        return first != null && first.source().equals(OWN_SOURCE);
     }
 
-    void triedAgain() {
-        triedAgain = true;
+    void retried() {
+        retried = true;
     }
 
     /** Tells whether something of it became known since a time, from certain sources. */
-    boolean hasNews(long sinceMillis, Predicate<String> sources) {
-        if (clearHeardMillis >= sinceMillis
+    boolean hasChanged(long sinceMillis, Predicate<String> sources) {
+        if (clearReceivedMillis >= sinceMillis
                 && clearedMillis != CrashReport.NEVER
                 && sources.test(clearedBy)) {
             return true;
         }
-        return sights.values().stream()
-                .anyMatch(s -> s.heardMillis >= sinceMillis && sources.test(s.source));
+        return recordedEnds.values().stream()
+                .anyMatch(s -> s.receivedMillis >= sinceMillis && sources.test(s.source));
     }
 
     CrashReport report(RequestFingerprint request) {
         List<UpstreamEnd> ends =
-                sights.values().stream().filter(s -> !s.dismissed).map(s -> s.end).toList();
+                recordedEnds.values().stream().filter(s -> !s.dismissed).map(s -> s.end).toList();
         return new CrashReport(request, clearedMillis, ends);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/crash/CrashLedger.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/CrashLedger.java
@@ -45,7 +45,7 @@
  * request ends more upstreams than these, and those where it runs before the news is round.
  *
  * <pre>{@code
- * ledger.ended(request, UpstreamEnd.nameOf("w-1", born), sentMillis, now);
+ * ledger.ended(request, UpstreamEnd.incarnationOf("w-1", born), sentMillis, now);
  * if (ledger.verdict(request, now) == CrashVerdict.REFUSED) {
  *     // answer at once
  * }
@@ -55,33 +55,33 @@
  */
 public final class CrashLedger {
     /** Ends from which on a request is refused: the users' platform takes three for proof. */
-    public static final int REFUSED_FROM = 3;
+    public static final int REFUSAL_MIN_ENDS = 3;
 
     /** Ends from which on it is refused although others stood beside it each time. */
-    public static final int REFUSED_ANYWAY_FROM = 4;
+    public static final int UNCONDITIONAL_REFUSAL_MIN_ENDS = 4;
 
     /** How long a refused request rests before it is sent once more, in milliseconds. */
-    public static final long REST_MILLIS = 30_000;
+    public static final long RETRY_DELAY_MILLIS = 30_000;
 
     /**
      * How long the entry of an upstream that has ended may stand, in milliseconds: three heartbeats
      * of 1.2 s without a write, the store's and the hubs' ways, and as much again.
      */
-    public static final long LISTED_MILLIS = 8_000;
+    public static final long MAX_LISTED_MILLIS = 8_000;
 
     /** Most requests remembered: some 500 bytes each, so 1 MB. */
-    public static final int MOST_REQUESTS = 2_000;
+    public static final int MAX_REQUESTS = 2_000;
 
     /** How long a request is remembered that is not refused, in milliseconds. */
-    static final long KEPT_MILLIS = 600_000;
+    static final long RETENTION_MILLIS = 600_000;
 
     /** How long a refused one is remembered, in milliseconds: a day. */
-    public static final long REFUSED_KEPT_MILLIS = 86_400_000;
+    public static final long REFUSED_RETENTION_MILLIS = 86_400_000;
 
-    private static final int SUSPECTED_FROM = REFUSED_FROM - 1;
+    private static final int SUSPECT_MIN_ENDS = REFUSAL_MIN_ENDS - 1;
 
-    private static final Comparator<CrashHistory> MOST_TELLING =
-            Comparator.comparingInt(CrashHistory::ends)
+    private static final Comparator<CrashHistory> MOST_ENDS_FIRST =
+            Comparator.comparingInt(CrashHistory::endCount)
                     .thenComparingLong(CrashHistory::changedMillis)
                     .reversed();
 
@@ -94,7 +94,7 @@
      * Records that an upstream ended here just now while it had a request.
      *
      * @param request the request
-     * @param upstream the upstream's life, see {@link UpstreamEnd#nameOf}
+     * @param upstream the upstream's life, see {@link UpstreamEnd#incarnationOf}
      * @param sentMillis when the request was sent there, in milliseconds
      * @param nowMillis the time, in milliseconds
      * @return true if this was not known
@@ -108,7 +108,7 @@
      * Records that an upstream ended here while it had a request, perhaps a moment ago.
      *
      * @param request the request
-     * @param upstream the upstream's life, see {@link UpstreamEnd#nameOf}
+     * @param upstream the upstream's life, see {@link UpstreamEnd#incarnationOf}
      * @param sentMillis when the request was sent there, in milliseconds
      * @param atMillis when the request was there last, in milliseconds
      * @param nowMillis the time, in milliseconds
@@ -121,9 +121,9 @@
             long atMillis,
             long nowMillis) {
         CrashHistory history = history(request);
-        int before = history.endsOf(upstream, sentMillis);
+        int before = history.endCountOf(upstream, sentMillis);
         UpstreamEnd end = new UpstreamEnd(upstream, before, atMillis, atMillis - sentMillis);
-        return added(history, end, CrashHistory.OWN, nowMillis);
+        return added(history, end, CrashHistory.OWN_SOURCE, nowMillis);
     }
 
     /**
@@ -137,8 +137,8 @@
     public boolean cleared(RequestFingerprint request, long nowMillis) {
         CrashHistory history = histories.get(request);
         return history != null
-                && history.ends() > 0
-                && history.clear(nowMillis, CrashHistory.OWN, nowMillis);
+                && history.endCount() > 0
+                && history.clear(nowMillis, CrashHistory.OWN_SOURCE, nowMillis);
     }
 
     /**
@@ -149,24 +149,24 @@
      * @param nowMillis the time, in milliseconds
      * @return true if the request is refused for what this adds
      */
-    public boolean told(String peer, CrashReport report, long nowMillis) {
+    public boolean received(String peer, CrashReport report, long nowMillis) {
         if (report.ends().isEmpty() && !histories.containsKey(report.request())) {
             return false;
         }
         CrashHistory history = history(report.request());
-        boolean refusedBefore = history.ends() >= REFUSED_FROM;
+        boolean refusedBefore = history.endCount() >= REFUSAL_MIN_ENDS;
         if (report.clearedMillis() != CrashReport.NEVER) {
             history.clear(report.clearedMillis(), peer, nowMillis);
         }
         for (UpstreamEnd end : report.ends()) {
             added(history, end, peer, nowMillis);
         }
-        return !refusedBefore && history.ends() >= REFUSED_FROM;
+        return !refusedBefore && history.endCount() >= REFUSAL_MIN_ENDS;
     }
 
     private boolean added(CrashHistory history, UpstreamEnd end, String source, long nowMillis) {
         boolean added = history.add(end, source, nowMillis);
-        suspects |= added && history.ends() >= SUSPECTED_FROM;
+        suspects |= added && history.endCount() >= SUSPECT_MIN_ENDS;
         return added;
     }
 
@@ -184,19 +184,19 @@
      *
      * @param request the request
      * @param nowMillis the time, in milliseconds
-     * @return the verdict; one that is to be tried again must be told by {@link #triedAgain}
+     * @return the verdict; one that is to be tried again must be told by {@link #retried}
      */
     public CrashVerdict verdict(RequestFingerprint request, long nowMillis) {
         CrashHistory history = histories.get(request);
-        int ends = history == null ? 0 : history.ends();
-        if (ends < REFUSED_FROM) {
+        int ends = history == null ? 0 : history.endCount();
+        if (ends < REFUSAL_MIN_ENDS) {
             return CrashVerdict.SERVED;
         }
-        if (ends < REFUSED_ANYWAY_FROM) {
-            if (Bystanders.isOne(request, histories, REFUSED_FROM)) {
+        if (ends < UNCONDITIONAL_REFUSAL_MIN_ENDS) {
+            if (CrashAttribution.isExplainedByOthers(request, histories, REFUSAL_MIN_ENDS)) {
                 return CrashVerdict.SERVED;
             }
-            if (history.mayBeTriedHere(nowMillis - REST_MILLIS)) {
+            if (history.mayBeRetriedHere(nowMillis - RETRY_DELAY_MILLIS)) {
                 return CrashVerdict.TRIED_AGAIN;
             }
         }
@@ -208,8 +208,8 @@
      *
      * @param request the request
      */
-    public void triedAgain(RequestFingerprint request) {
-        history(request).triedAgain();
+    public void retried(RequestFingerprint request) {
+        history(request).retried();
     }
 
     /**
@@ -220,13 +220,13 @@
      * @param surelySinceMillis since when the list has been sound without a break, in milliseconds
      * @param nowMillis the time, in milliseconds
      */
-    public void look(Set<Long> living, long surelySinceMillis, long nowMillis) {
-        if (nowMillis - surelySinceMillis >= LISTED_MILLIS) {
-            long before = nowMillis - LISTED_MILLIS;
+    public void cleanUp(Set<Long> living, long surelySinceMillis, long nowMillis) {
+        if (nowMillis - surelySinceMillis >= MAX_LISTED_MILLIS) {
+            long before = nowMillis - MAX_LISTED_MILLIS;
             histories.values().forEach(history -> history.dismiss(living, before));
         }
         histories.values().removeIf(history -> isOld(history, nowMillis));
-        lookForSuspects();
+        updateSuspects();
     }
 
     /**
@@ -236,19 +236,19 @@
      * @param upstream the upstream's life
      * @param atMillis the time, in milliseconds
      */
-    public void livedAt(long upstream, long atMillis) {
+    public void observedAlive(long upstream, long atMillis) {
         Set<Long> living = Set.of(upstream);
         histories.values().forEach(history -> history.dismiss(living, atMillis));
-        lookForSuspects();
+        updateSuspects();
     }
 
-    private void lookForSuspects() {
-        suspects = histories.values().stream().anyMatch(h -> h.ends() >= SUSPECTED_FROM);
+    private void updateSuspects() {
+        suspects = histories.values().stream().anyMatch(h -> h.endCount() >= SUSPECT_MIN_ENDS);
     }
 
     private static boolean isOld(CrashHistory history, long nowMillis) {
-        boolean refused = history.ends() >= REFUSED_FROM;
-        long kept = refused ? REFUSED_KEPT_MILLIS : KEPT_MILLIS;
+        boolean refused = history.endCount() >= REFUSAL_MIN_ENDS;
+        long kept = refused ? REFUSED_RETENTION_MILLIS : RETENTION_MILLIS;
         return nowMillis - history.changedMillis() > kept;
     }
 
@@ -256,11 +256,11 @@
      * Returns what became known since a time.
      *
      * @param sinceMillis the time, in milliseconds
-     * @param sources whose news are wanted, {@link CrashHistory#OWN} for this process's own
+     * @param sources whose news are wanted, {@link CrashHistory#OWN_SOURCE} for this process's own
      * @return reports, the most telling first
      */
-    public List<CrashReport> news(long sinceMillis, Predicate<String> sources) {
-        return reports(history -> history.hasNews(sinceMillis, sources));
+    public List<CrashReport> changedSince(long sinceMillis, Predicate<String> sources) {
+        return reports(history -> history.hasChanged(sinceMillis, sources));
     }
 
     /**
@@ -269,7 +269,7 @@
      * @return reports, the most telling first
      */
     public List<CrashReport> suspected() {
-        return reports(history -> history.ends() >= SUSPECTED_FROM);
+        return reports(history -> history.endCount() >= SUSPECT_MIN_ENDS);
     }
 
     /**
@@ -278,7 +278,7 @@
      * @return reports, the most telling first
      */
     public List<CrashReport> refused() {
-        return reports(history -> history.ends() >= REFUSED_FROM);
+        return reports(history -> history.endCount() >= REFUSAL_MIN_ENDS);
     }
 
     private List<CrashReport> reports(Predicate<CrashHistory> wanted) {
@@ -288,7 +288,7 @@
                 some.add(entry);
             }
         }
-        some.sort(Map.Entry.comparingByValue(MOST_TELLING));
+        some.sort(Map.Entry.comparingByValue(MOST_ENDS_FIRST));
         return some.stream().map(entry -> entry.getValue().report(entry.getKey())).toList();
     }
 
@@ -298,9 +298,9 @@
      * @param request the request
      * @return the ends and who told them; empty if there are none
      */
-    public List<CrashHistory.Known> known(RequestFingerprint request) {
+    public List<CrashHistory.CountedEnd> countedEnds(RequestFingerprint request) {
         CrashHistory history = histories.get(request);
-        return history == null ? List.of() : history.known();
+        return history == null ? List.of() : history.countedEnds();
     }
 
     /**
@@ -324,8 +324,8 @@
     /** Returns the history of a request of which something becomes known. */
     private CrashHistory history(RequestFingerprint request) {
         CrashHistory known = histories.remove(request);
-        if (known == null && histories.size() >= MOST_REQUESTS) {
-            forgetOne();
+        if (known == null && histories.size() >= MAX_REQUESTS) {
+            evictOne();
         }
         CrashHistory history = known == null ? new CrashHistory() : known;
         histories.put(request, history);
@@ -333,10 +333,10 @@
     }
 
     /** Forgets what has not changed for longest; what is near to being refused goes last. */
-    private void forgetOne() {
+    private void evictOne() {
         Iterator<CrashHistory> oldestFirst = histories.values().iterator();
         while (oldestFirst.hasNext()) {
-            if (oldestFirst.next().ends() < SUSPECTED_FROM) {
+            if (oldestFirst.next().endCount() < SUSPECT_MIN_ENDS) {
                 oldestFirst.remove();
                 return;
             }
--- a/trailladder-core/src/main/java/io/trailladder/core/crash/CrashReport.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/CrashReport.java
@@ -24,7 +24,7 @@
  * @param clearedMillis when it was last shown or said to be harmless, in milliseconds; ends before
  *     do not count; {@link #NEVER} if it was not
  * @param ends the ends that are known, those before that time too, at most {@link
- *     CrashHistory#MOST_ENDS}
+ *     CrashHistory#MAX_ENDS}
  * @since 0.6
  */
 public record CrashReport(RequestFingerprint request, long clearedMillis, List<UpstreamEnd> ends) {
--- a/trailladder-core/src/main/java/io/trailladder/core/crash/UpstreamEnd.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/crash/UpstreamEnd.java
@@ -20,16 +20,16 @@
 /**
  * The end of an upstream while a request ran there.
  *
- * @param upstream names the upstream's life, see {@link #nameOf}
- * @param repeat how many ends of the same name the request had seen before it was sent there: an
+ * @param incarnation names the upstream's life, see {@link #incarnationOf}
+ * @param earlierEnds how many ends of the same name the request had seen before it was sent there: an
  *     upstream may be back before its new life is known
  * @param atMillis when it ended, in milliseconds
  * @param ranMillis how long the request had been there, in milliseconds
  * @since 0.6
  */
-public record UpstreamEnd(long upstream, int repeat, long atMillis, long ranMillis) {
+public record UpstreamEnd(long incarnation, int earlierEnds, long atMillis, long ranMillis) {
     /** Names one sight of one end; all processes that saw it tell the same. */
-    record Key(long upstream, int repeat) {}
+    record Key(long incarnation, int earlierEnds) {}
 
     /**
      * Names one life of an upstream.
@@ -38,12 +38,12 @@
      * @param bornMillis when it started, as it says itself; 0 if it does not say
      * @return 64 bits, the same at all processes
      */
-    public static long nameOf(String id, long bornMillis) {
+    public static long incarnationOf(String id, long bornMillis) {
         return Hashing.xxh3_64()
                 .hashLongLongToLong(Hashing.xxh3_64().hashCharsToLong(id), bornMillis);
     }
 
     Key key() {
-        return new Key(upstream, repeat);
+        return new Key(incarnation, earlierEnds);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/StorePatience.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/ElectionDelay.java
@@ -23,23 +23,23 @@
  *
  * @since 0.4
  */
-public final class StorePatience {
+public final class ElectionDelay {
     /**
      * Patience for each millisecond of an answer: the 16 ms there and back between two regions
      * outweigh the half second over which the patience of processes is spread.
      */
-    private static final long FACTOR = 40;
+    private static final long DELAY_FACTOR = 40;
 
     /**
      * Most that is waited in addition, in milliseconds: a third of a usual lease, after which a far
      * process leads if no near one does, and no more than that while the store is slow for all.
      */
-    static final long MOST_MILLIS = 1_000;
+    static final long MAX_DELAY_MILLIS = 1_000;
 
     /** Answers that are remembered: some seconds of a hub's renewals. */
-    private static final int REMEMBERED = 8;
+    private static final int SAMPLES = 8;
 
-    private final long[] lastMillis = new long[REMEMBERED];
+    private final long[] sampleMillis = new long[SAMPLES];
     private int answers;
 
     /**
@@ -48,7 +48,7 @@
      * @param tookMillis how long it took, in milliseconds
      */
     public void answered(long tookMillis) {
-        lastMillis[answers % REMEMBERED] = Math.max(0, tookMillis);
+        sampleMillis[answers % SAMPLES] = Math.max(0, tookMillis);
         answers++;
     }
 
@@ -62,9 +62,9 @@
             return 0;
         }
         long least = Long.MAX_VALUE;
-        for (int i = 0; i < Math.min(answers, REMEMBERED); i++) {
-            least = Math.min(least, lastMillis[i]);
+        for (int i = 0; i < Math.min(answers, SAMPLES); i++) {
+            least = Math.min(least, sampleMillis[i]);
         }
-        return Math.min(MOST_MILLIS, FACTOR * least);
+        return Math.min(MAX_DELAY_MILLIS, DELAY_FACTOR * least);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/FleetPlanner.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/FleetPlanner.java
@@ -35,7 +35,7 @@
  * margin. Upstreams at the full price only bridge the time in which reclaimable ones cannot be had.
  * Numbers grow soon and shrink late, so that they do not swing with the load. A planner that takes
  * a running system over begins with what serves, and gives nothing back before it has measured the
- * load for {@link #MEASURED_MILLIS}.
+ * load for {@link #LOAD_MEASUREMENT_MILLIS}.
  *
  * @since 0.2
  */
@@ -45,7 +45,7 @@
      * guess, shrinks a fleet, in milliseconds: some of the time over which the load is smoothed, so
      * that a load that is still being summed up is not taken for a small one.
      */
-    public static final long MEASURED_MILLIS = 8_000;
+    public static final long LOAD_MEASUREMENT_MILLIS = 8_000;
 
     /**
      * Reclaimable upstreams ordered for each that the operator provided, before any load is known:
@@ -57,10 +57,10 @@
      * Part of a guessed number that stays when the load has been measured for the first time: a
      * load that swings may just be at its lowest.
      */
-    private static final double LEAST_OF_GUESS = 0.5;
+    private static final double MIN_PART_OF_GUESS = 0.5;
 
     /** Upstreams that are to be left after a loss while no load is known. */
-    private static final double LEAST_WITHOUT_LOAD = 2;
+    private static final double MIN_WITHOUT_LOAD = 2;
 
     /**
      * How long more must be wanted before reclaimable upstreams grow, in milliseconds: longer than
@@ -75,7 +75,7 @@
      * Time beyond the boot within which reclaimable upstreams that were ordered should serve, in
      * milliseconds: until then nothing is bought in their place.
      */
-    private static final long LATE_MILLIS = 1_500;
+    private static final long START_GRACE_MILLIS = 1_500;
 
     /**
      * How long upstreams at the full price stay when they are no longer wanted: a swing of load.
@@ -87,13 +87,13 @@
     private final Map<String, Integer> dataCentres = new TreeMap<>();
     private final Set<String> provided = new HashSet<>();
     private final FullPricePlacement placement = new FullPricePlacement();
-    private final Map<String, Long> shortSinceMillis = new TreeMap<>();
-    private final FollowedNumber perDataCentre =
-            new FollowedNumber(GROW_AFTER_MILLIS, SHRINK_AFTER_MILLIS);
-    private final FollowedNumber fullPrice = new FollowedNumber(0, RELEASE_AFTER_MILLIS);
-    private long knownSinceMillis = -1;
+    private final Map<String, Long> shortageSinceMillis = new TreeMap<>();
+    private final StabilisedCount perDataCentre =
+            new StabilisedCount(GROW_AFTER_MILLIS, SHRINK_AFTER_MILLIS);
+    private final StabilisedCount fullPrice = new StabilisedCount(0, RELEASE_AFTER_MILLIS);
+    private long loadKnownSinceMillis = -1;
     private boolean guessed;
-    private int mostWanted;
+    private int maxWanted;
 
     /**
      * Creates a planner.
@@ -126,20 +126,20 @@
                 upstreams.stream().filter(upstream -> !upstream.draining()).toList();
         upstreams.forEach(upstream -> dataCentres.putIfAbsent(upstream.dataCentre(), 0));
         if (need.isEmpty()) {
-            learnProvided(serving);
+            recordProvided(serving);
         }
-        boolean holds = takesOver && !isMeasured(need.isPresent(), nowMillis);
+        boolean holds = takesOver && !isLoadMeasured(need.isPresent(), nowMillis);
         if (holds) {
-            perDataCentre.hold(mostInOneDataCentre(serving), nowMillis);
+            perDataCentre.holdAtLeast(maxInOneDataCentre(serving), nowMillis);
         }
         int target = target(wantedPerDataCentre(scaling, need), need.isPresent(), nowMillis);
         Map<String, Integer> reclaimable = reclaimable(scaling, serving, need, declined, target);
-        int coming = coming(scaling, serving, reclaimable, declined, nowMillis);
+        int coming = expectedSoon(scaling, serving, reclaimable, declined, nowMillis);
         int wantedFull =
                 holds ? count(serving, false) : wantedFullPrice(scaling, serving, need, coming);
-        int full = fullPrice.follow(wantedFull, nowMillis);
+        int full = fullPrice.update(wantedFull, nowMillis);
         Map<String, Integer> fullByDataCentre =
-                placement.place(full, scaling, room(scaling, serving, reclaimable, declined));
+                placement.place(full, scaling, fullPriceCapacity(scaling, serving, reclaimable, declined));
         List<UpstreamOrder> orders = new ArrayList<>();
         for (String dataCentre : dataCentres.keySet()) {
             orders.add(new UpstreamOrder(service, dataCentre, true, reclaimable.get(dataCentre)));
@@ -152,18 +152,18 @@
 
     /**
      * Follows what is wanted. A number that was guessed from the operator's provision is replaced
-     * by the most that was wanted once the load has been known for {@link #MEASURED_MILLIS}.
+     * by the most that was wanted once the load has been known for {@link #LOAD_MEASUREMENT_MILLIS}.
      */
     private int target(int wanted, boolean known, long nowMillis) {
         if (guessed && known) {
-            mostWanted = Math.max(mostWanted, wanted);
-            if (isMeasured(true, nowMillis)) {
+            maxWanted = Math.max(maxWanted, wanted);
+            if (isLoadMeasured(true, nowMillis)) {
                 guessed = false;
                 perDataCentre.set(
-                        Math.max(mostWanted, ceil(LEAST_OF_GUESS * perDataCentre.value())));
+                        Math.max(maxWanted, ceil(MIN_PART_OF_GUESS * perDataCentre.value())));
             }
         }
-        return perDataCentre.follow(wanted, nowMillis);
+        return perDataCentre.update(wanted, nowMillis);
     }
 
     /** What data centres decline is ordered in the others, in the same step. */
@@ -184,14 +184,14 @@
         for (String dataCentre : dataCentres.keySet()) {
             there += open.contains(dataCentre) ? 0 : count(serving, dataCentre, true);
         }
-        int each = ceil((need.get().comfortable() - there) / open.size());
+        int each = ceil((need.get().recommended() - there) / open.size());
         int bounded = Math.max(target, Math.min(scaling.max(), each));
         open.forEach(dataCentre -> byDataCentre.put(dataCentre, bounded));
         return byDataCentre;
     }
 
     /** Reclaimable upstreams that were ordered and should serve soon. */
-    private int coming(
+    private int expectedSoon(
             ScalingSpec scaling,
             List<Upstream> serving,
             Map<String, Integer> ordered,
@@ -201,31 +201,31 @@
         for (String dataCentre : dataCentres.keySet()) {
             int missing = ordered.get(dataCentre) - count(serving, dataCentre, true);
             if (missing <= 0 || declined.contains(dataCentre)) {
-                shortSinceMillis.remove(dataCentre);
+                shortageSinceMillis.remove(dataCentre);
                 continue;
             }
-            long since = shortSinceMillis.computeIfAbsent(dataCentre, name -> nowMillis);
-            coming += nowMillis - since <= scaling.bootMillis() + LATE_MILLIS ? missing : 0;
+            long since = shortageSinceMillis.computeIfAbsent(dataCentre, name -> nowMillis);
+            coming += nowMillis - since <= scaling.bootMillis() + START_GRACE_MILLIS ? missing : 0;
         }
         return coming;
     }
 
-    private boolean isMeasured(boolean known, long nowMillis) {
-        if (knownSinceMillis < 0 && known) {
-            knownSinceMillis = nowMillis;
+    private boolean isLoadMeasured(boolean known, long nowMillis) {
+        if (loadKnownSinceMillis < 0 && known) {
+            loadKnownSinceMillis = nowMillis;
         }
-        return knownSinceMillis >= 0 && nowMillis - knownSinceMillis >= MEASURED_MILLIS;
+        return loadKnownSinceMillis >= 0 && nowMillis - loadKnownSinceMillis >= LOAD_MEASUREMENT_MILLIS;
     }
 
     /**
      * Before any load is known, the operator's own provision is the best guess of what is needed.
      */
-    private void learnProvided(List<Upstream> serving) {
+    private void recordProvided(List<Upstream> serving) {
         serving.stream()
                 .filter(upstream -> !upstream.reclaimable())
                 .forEach(upstream -> provided.add(upstream.id()));
-        if (providedPerDataCentre() > 0 && knownSinceMillis < 0) {
-            perDataCentre.atLeast(providedPerDataCentre());
+        if (providedPerDataCentre() > 0 && loadKnownSinceMillis < 0) {
+            perDataCentre.raiseTo(providedPerDataCentre());
             guessed = !takesOver;
         }
     }
@@ -241,8 +241,8 @@
                 need.map(
                                 known ->
                                         Math.max(
-                                                ceil(known.comfortable() / all),
-                                                ceil(known.staffed() / others)))
+                                                ceil(known.recommended() / all),
+                                                ceil(known.withMargin() / others)))
                         .orElseGet(() -> Math.max(perDataCentre.value(), providedPerDataCentre()));
         return Math.max(Math.max(1, scaling.min()), Math.min(scaling.max(), wanted));
     }
@@ -255,14 +255,14 @@
             ScalingSpec scaling, List<Upstream> serving, Optional<FleetNeed> need, int coming) {
         int reclaimable = count(serving, true);
         int most = scaling.max() * dataCentres.size();
-        int least = ceil(need.map(FleetNeed::tight).orElse(LEAST_WITHOUT_LOAD));
-        int afterLoss = least - (reclaimable - mostInOneDataCentre(serving));
-        int bridged = need.map(known -> ceil(known.staffed()) - reclaimable - coming).orElse(0);
+        int least = ceil(need.map(FleetNeed::minimum).orElse(MIN_WITHOUT_LOAD));
+        int afterLoss = least - (reclaimable - maxInOneDataCentre(serving));
+        int bridged = need.map(known -> ceil(known.withMargin()) - reclaimable - coming).orElse(0);
         return Math.max(0, Math.min(most, Math.max(bridged, afterLoss)));
     }
 
     /** How many at the full price each data centre can have beside its reclaimable ones. */
-    private Map<String, Integer> room(
+    private Map<String, Integer> fullPriceCapacity(
             ScalingSpec scaling,
             List<Upstream> serving,
             Map<String, Integer> reclaimable,
@@ -282,7 +282,7 @@
         return (int) Math.ceil(value);
     }
 
-    private int mostInOneDataCentre(List<Upstream> serving) {
+    private int maxInOneDataCentre(List<Upstream> serving) {
         return dataCentres.keySet().stream()
                 .mapToInt(dataCentre -> count(serving, dataCentre, true))
                 .max()
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/LeaderElection.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/LeaderElection.java
@@ -41,13 +41,13 @@
     private static final long BACKOFF_MILLIS = 400;
 
     private final long ttlMillis;
-    private final long returnMillis;
-    private final LongSupplier patienceMillis;
+    private final long formerLeaderDelayMillis;
+    private final LongSupplier claimDelayMillis;
 
     private State state = State.FOLLOWING;
     private boolean keyPresent = true;
     private boolean stopping;
-    private long keyGoneMillis;
+    private long keyRemovedMillis;
     private long notBeforeMillis;
     private long lease;
     private long token;
@@ -55,7 +55,7 @@
     private long validUntilMillis;
     private long highestToken;
     private long keyRevision;
-    private boolean reclaims;
+    private boolean reclaiming;
     private long epoch;
 
     /** What this entry is doing about the lease. */
@@ -106,8 +106,8 @@
      */
     public LeaderElection(long ttlMillis, LongSupplier patienceMillis, long returnMillis) {
         this.ttlMillis = ttlMillis;
-        this.patienceMillis = patienceMillis;
-        this.returnMillis = returnMillis;
+        this.claimDelayMillis = patienceMillis;
+        this.formerLeaderDelayMillis = returnMillis;
     }
 
     /**
@@ -120,8 +120,8 @@
         if (stopping) {
             return endIfHeld();
         }
-        if (isAsLeader() && nowMillis >= validUntilMillis) {
-            follow(nowMillis);
+        if (hasLeaderState() && nowMillis >= validUntilMillis) {
+            stepDown(nowMillis);
             return Step.NONE;
         }
         if (state == State.UNCONFIRMED && nowMillis >= notBeforeMillis) {
@@ -196,7 +196,7 @@
     }
 
     /** Returns the lowest token that is at least as high as a number and fits the epoch. */
-    private long fitting(long least) {
+    private long lowestFittingToken(long least) {
         boolean fits = epoch == 0 || (least & 1) == (epoch & 1);
         return fits ? least : least + 1;
     }
@@ -210,7 +210,7 @@
     public void historyReplaced(long nowMillis) {
         keyPresent = true;
         endReclaim();
-        if (isAsLeader() && nowMillis < validUntilMillis) {
+        if (hasLeaderState() && nowMillis < validUntilMillis) {
             state = State.UNCONFIRMED;
             notBeforeMillis = nowMillis;
         } else {
@@ -248,10 +248,10 @@
         }
         if (keyToken > token) {
             keySeen(keyToken);
-            follow(nowMillis);
+            stepDown(nowMillis);
         } else {
             state = State.FOLLOWING;
-            reclaims = true;
+            reclaiming = true;
             keyRevision = revision;
         }
     }
@@ -283,9 +283,9 @@
      *
      * @param next the least token to take
      */
-    public void raise(long next) {
+    public void raiseToken(long next) {
         if (state == State.LEADING && next > token) {
-            token = fitting(next);
+            token = lowestFittingToken(next);
             tokenSeen(token);
         }
     }
@@ -295,13 +295,13 @@
      *
      * @param nowMillis the time
      */
-    public void keyGone(long nowMillis) {
+    public void keyRemoved(long nowMillis) {
         if (keyPresent) {
-            keyGoneMillis = nowMillis;
+            keyRemovedMillis = nowMillis;
         }
         keyPresent = false;
         if (state == State.LEADING) {
-            follow(nowMillis);
+            stepDown(nowMillis);
         }
     }
 
@@ -324,7 +324,7 @@
      */
     public void claimed(long made) {
         if (state == State.WAITING_FOR_CLAIM) {
-            token = fitting(Math.max(made, highestToken + 1));
+            token = lowestFittingToken(Math.max(made, highestToken + 1));
             tokenSeen(token);
             endReclaim();
             keyPresent = true;
@@ -340,7 +340,7 @@
      * @param nowMillis the time
      */
     public void notClaimed(long nowMillis) {
-        if (!isAsLeader()) {
+        if (!hasLeaderState()) {
             state = State.FOLLOWING;
             endReclaim();
             notBeforeMillis = Math.max(notBeforeMillis, nowMillis + BACKOFF_MILLIS);
@@ -364,9 +364,9 @@
      *
      * @param nowMillis the time
      */
-    public void lost(long nowMillis) {
+    public void leadershipLost(long nowMillis) {
         if (state == State.LEADING) {
-            follow(nowMillis);
+            stepDown(nowMillis);
         }
     }
 
@@ -403,19 +403,19 @@
         return lease;
     }
 
-    private boolean isAsLeader() {
+    private boolean hasLeaderState() {
         return state == State.LEADING
                 || state == State.UNCONFIRMED
                 || state == State.WAITING_FOR_CONFIRMATION;
     }
 
     private boolean mayClaim(long nowMillis) {
-        boolean free = !keyPresent && nowMillis - keyGoneMillis >= patienceMillis.getAsLong();
-        return reclaims || (free && nowMillis >= notBeforeMillis);
+        boolean free = !keyPresent && nowMillis - keyRemovedMillis >= claimDelayMillis.getAsLong();
+        return reclaiming || (free && nowMillis >= notBeforeMillis);
     }
 
     private void endReclaim() {
-        reclaims = false;
+        reclaiming = false;
         keyRevision = 0;
     }
 
@@ -427,9 +427,9 @@
         return Step.NONE;
     }
 
-    private void follow(long nowMillis) {
+    private void stepDown(long nowMillis) {
         state = State.FOLLOWING;
         endReclaim();
-        notBeforeMillis = nowMillis + returnMillis;
+        notBeforeMillis = nowMillis + formerLeaderDelayMillis;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/RegistrationWatch.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/RegistrationWatch.java
@@ -33,22 +33,22 @@
     /**
      * Least time without a newcomer, in milliseconds: several of the gaps of a tenth of a second.
      */
-    static final long LEAST_QUIET_MILLIS = 1_000;
+    static final long MIN_QUIET_MILLIS = 1_000;
 
     /**
      * Most time that is waited for another newcomer, in milliseconds: all that were provided are
      * paid for meanwhile.
      */
-    static final long MOST_QUIET_MILLIS = 3_000;
+    static final long MAX_QUIET_MILLIS = 3_000;
 
     /**
      * Longest time that a list may keep growing, in milliseconds: one that never rests, because
      * upstreams come and go, must not keep orders back for ever.
      */
-    static final long MOST_WAIT_MILLIS = 10_000;
+    static final long MAX_WAIT_MILLIS = 10_000;
 
     /** How many times the longest gap seen so far must pass without a newcomer. */
-    private static final int GAPS = 2;
+    private static final int QUIET_GAPS = 2;
 
     private final Set<String> seen = new HashSet<>();
     private long firstMillis;
@@ -80,11 +80,11 @@
             firstMillis = nowMillis;
         }
         boolean quiet = nowMillis - lastMillis >= quietMillis();
-        settled = !seen.isEmpty() && (quiet || nowMillis - firstMillis >= MOST_WAIT_MILLIS);
+        settled = !seen.isEmpty() && (quiet || nowMillis - firstMillis >= MAX_WAIT_MILLIS);
         return settled;
     }
 
     private long quietMillis() {
-        return Math.max(LEAST_QUIET_MILLIS, Math.min(MOST_QUIET_MILLIS, GAPS * longestGapMillis));
+        return Math.max(MIN_QUIET_MILLIS, Math.min(MAX_QUIET_MILLIS, QUIET_GAPS * longestGapMillis));
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/FollowedNumber.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/StabilisedCount.java
@@ -16,12 +16,12 @@
 package io.trailladder.core.duty;
 
 /** A number that follows another one only after that has differed for some time. */
-final class FollowedNumber {
+final class StabilisedCount {
     private final long growAfterMillis;
     private final long shrinkAfterMillis;
     private int value = -1;
     private long differsSinceMillis;
-    private int nearest;
+    private int nearestWanted;
 
     /**
      * Creates a number without a value.
@@ -29,7 +29,7 @@
      * @param growAfterMillis how long more must be wanted before it grows, in milliseconds
      * @param shrinkAfterMillis how long less must be wanted before it shrinks, in milliseconds
      */
-    FollowedNumber(long growAfterMillis, long shrinkAfterMillis) {
+    StabilisedCount(long growAfterMillis, long shrinkAfterMillis) {
         this.growAfterMillis = growAfterMillis;
         this.shrinkAfterMillis = shrinkAfterMillis;
     }
@@ -42,47 +42,47 @@
      * @param nowMillis the time
      * @return the number
      */
-    int follow(int wanted, long nowMillis) {
+    int update(int wanted, long nowMillis) {
         if (value < 0) {
             value = wanted;
         }
-        boolean sameSide = wanted != value && Integer.signum(wanted - value) == side();
+        boolean sameSide = wanted != value && Integer.signum(wanted - value) == direction();
         if (!sameSide) {
             differsSinceMillis = nowMillis;
-            nearest = wanted;
+            nearestWanted = wanted;
         }
-        nearest = wanted > value ? Math.min(nearest, wanted) : Math.max(nearest, wanted);
+        nearestWanted = wanted > value ? Math.min(nearestWanted, wanted) : Math.max(nearestWanted, wanted);
         long after = wanted > value ? growAfterMillis : shrinkAfterMillis;
         if (wanted != value && nowMillis - differsSinceMillis >= after) {
-            value = nearest;
-            nearest = value;
+            value = nearestWanted;
+            nearestWanted = value;
         }
         return value;
     }
 
-    private int side() {
-        return Integer.signum(nearest - value);
+    private int direction() {
+        return Integer.signum(nearestWanted - value);
     }
 
     /** Raises the number to a least one. */
-    void atLeast(int least) {
+    void raiseTo(int least) {
         if (least > value) {
             value = least;
-            nearest = least;
+            nearestWanted = least;
         }
     }
 
     /** Replaces the number. */
     void set(int replaced) {
         value = replaced;
-        nearest = replaced;
+        nearestWanted = replaced;
     }
 
     /** Keeps the number from shrinking now, and raises it to a least one. */
-    void hold(int least, long nowMillis) {
-        atLeast(least);
-        if (nearest < value) {
-            nearest = value;
+    void holdAtLeast(int least, long nowMillis) {
+        raiseTo(least);
+        if (nearestWanted < value) {
+            nearestWanted = value;
             differsSinceMillis = nowMillis;
         }
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/UsageLedger.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/UsageLedger.java
@@ -29,7 +29,7 @@
  * @since 0.2
  */
 public final class UsageLedger {
-    private static final long KEPT_WINDOWS = 8;
+    private static final long RETAINED_WINDOWS = 8;
 
     private final String self;
     private final long windowMillis;
@@ -38,14 +38,14 @@
     /** The latest change of each count, by its number, so that few are looked at for the last. */
     private final NavigableMap<Long, Change> changes = new TreeMap<>();
 
-    private final Map<Key, Long> numbers = new HashMap<>();
+    private final Map<Key, Long> latestNumbers = new HashMap<>();
     private long sequence;
     private long oldestWindow = Long.MIN_VALUE;
 
     /** Whom this entry has to tell of a change, each among those that follow. */
     private enum Audience {
         /** Those that keep all counts, lest these are lost with the others. */
-        KEEPERS,
+        REPLICAS,
         /** Other regions. */
         REGIONS,
         /** All hubs. */
@@ -114,8 +114,8 @@
      * @param entry names the life of the entry
      * @param counts its counts of recent windows
      */
-    public void mergeElsewhere(String entry, List<UsageCount> counts) {
-        merge(entry, counts, Audience.KEEPERS);
+    public void mergeFromOtherRegion(String entry, List<UsageCount> counts) {
+        merge(entry, counts, Audience.REPLICAS);
     }
 
     private void merge(String entry, List<UsageCount> counts, Audience audience) {
@@ -165,7 +165,7 @@
      * @return the counts as they are now
      */
     public Map<String, List<UsageCount>> allChangesAfter(long after) {
-        return changesAfter(after, Audience.KEEPERS);
+        return changesAfter(after, Audience.REPLICAS);
     }
 
     private Map<String, List<UsageCount>> changesAfter(long after, Audience audience) {
@@ -245,14 +245,14 @@
      *
      * @param wallMillis the time
      */
-    public void forgetOld(long wallMillis) {
-        long oldest = windowAt(wallMillis) - KEPT_WINDOWS;
+    public void removeOldWindows(long wallMillis) {
+        long oldest = windowAt(wallMillis) - RETAINED_WINDOWS;
         if (oldest == oldestWindow) {
             return;
         }
         oldestWindow = oldest;
         changes.values().removeIf(change -> change.key().window() < oldest);
-        numbers.keySet().removeIf(key -> key.window() < oldest);
+        latestNumbers.keySet().removeIf(key -> key.window() < oldest);
         byEntry.values().forEach(windows -> windows.headMap(oldest).clear());
         byEntry.entrySet()
                 .removeIf(entry -> entry.getValue().isEmpty() && !entry.getKey().equals(self));
@@ -261,7 +261,7 @@
     /** A change that was to be told to more, and may not have been told yet, stays so. */
     private void changed(Key key, Audience audience) {
         sequence++;
-        Long before = numbers.put(key, sequence);
+        Long before = latestNumbers.put(key, sequence);
         Change replaced = before == null ? null : changes.remove(before);
         boolean wider = replaced != null && replaced.audience().compareTo(audience) > 0;
         changes.put(sequence, new Change(key, wider ? replaced.audience() : audience));
--- a/trailladder-core/src/main/java/io/trailladder/core/limit/QuotaBucket.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/limit/QuotaBucket.java
@@ -33,21 +33,21 @@
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     /** Time after which what others took counts a third, in milliseconds: some requests of each. */
-    private static final double OTHERS_MILLIS = 2_000;
+    private static final double OTHERS_DECAY_MILLIS = 2_000;
 
     private RateSpec limit;
     private double level;
-    private double levelOfUnheard;
+    private double unreachableLevel;
     private long updatedMillis;
-    private double ownPart = 1;
-    private double savedFor;
-    private boolean othersGoOn;
-    private double levelIfOthersGoOn;
-    private double partIfOthersGoOn;
+    private double reachablePart = 1;
+    private double maxRequestUnits;
+    private boolean assumeOthersActive;
+    private double levelIfOthersActive;
+    private double partIfOthersActive;
     private double used;
     private double usedByLeaves;
     private double usedByPeers;
-    private double othersRecent;
+    private double recentUseByOthers;
     private long othersUpdatedMillis;
     private double othersPerSecond;
 
@@ -75,15 +75,15 @@
     public long tryTake(double units, long nowMillis) {
         refill(nowMillis);
         double needed = Math.min(units, limit.burst());
-        savedFor = Math.max(savedFor, needed);
-        if (!limit.limited() || usable() >= needed) {
+        maxRequestUnits = Math.max(maxRequestUnits, needed);
+        if (!limit.limited() || usableLevel() >= needed) {
             take(units);
             used += units;
             return 0;
         }
-        double part = othersGoOn ? partIfOthersGoOn : ownPart;
+        double part = assumeOthersActive ? partIfOthersActive : reachablePart;
         double perSecond = Math.max(1, limit.perSecond() * part);
-        return Math.max(1, (long) Math.ceil((needed - usable()) * MILLIS_PER_SECOND / perSecond));
+        return Math.max(1, (long) Math.ceil((needed - usableLevel()) * MILLIS_PER_SECOND / perSecond));
     }
 
     /**
@@ -96,7 +96,7 @@
         refill(nowMillis);
         take(units);
         usedByPeers += units;
-        othersTook(units, nowMillis);
+        recordUseByOthers(units, nowMillis);
     }
 
     /**
@@ -109,7 +109,7 @@
         refill(nowMillis);
         take(units);
         usedByLeaves += units;
-        othersTook(units, nowMillis);
+        recordUseByOthers(units, nowMillis);
     }
 
     /**
@@ -117,7 +117,7 @@
      *
      * @param units the request's size
      */
-    public void giveBack(double units) {
+    public void returnUnits(double units) {
         take(-units);
         used -= units;
     }
@@ -131,12 +131,12 @@
     public void limit(RateSpec changed, long nowMillis) {
         refill(nowMillis);
         if (changed.limited() && !limit.limited()) {
-            level = changed.burst() * ownPart;
-            levelOfUnheard = changed.burst() * (1 - ownPart);
-            levelIfOthersGoOn = changed.burst();
+            level = changed.burst() * reachablePart;
+            unreachableLevel = changed.burst() * (1 - reachablePart);
+            levelIfOthersActive = changed.burst();
         }
         limit = changed;
-        bound();
+        clampLevels();
     }
 
     /**
@@ -148,9 +148,9 @@
     public void sharedPart(double part, long nowMillis) {
         refill(nowMillis);
         split(part);
-        othersGoOn = false;
-        othersTook(0, nowMillis);
-        othersPerSecond = othersRecent * MILLIS_PER_SECOND / OTHERS_MILLIS;
+        assumeOthersActive = false;
+        recordUseByOthers(0, nowMillis);
+        othersPerSecond = recentUseByOthers * MILLIS_PER_SECOND / OTHERS_DECAY_MILLIS;
     }
 
     /**
@@ -160,15 +160,15 @@
      * @param part the part of the limit that is its own, above 0 and at most 1
      * @param nowMillis the time
      */
-    public void othersGoOn(double part, long nowMillis) {
+    public void assumeOthersActive(double part, long nowMillis) {
         refill(nowMillis);
-        if (!othersGoOn) {
-            levelIfOthersGoOn = level + levelOfUnheard;
+        if (!assumeOthersActive) {
+            levelIfOthersActive = level + unreachableLevel;
         }
         split(part);
         double left = limit.limited() ? 1 - othersPerSecond / limit.perSecond() : 1;
-        partIfOthersGoOn = Math.max(part, left);
-        othersGoOn = true;
+        partIfOthersActive = Math.max(part, left);
+        assumeOthersActive = true;
     }
 
     /**
@@ -176,26 +176,26 @@
      *
      * @param nowMillis the time
      */
-    public void othersWentOn(long nowMillis) {
+    public void othersWereActive(long nowMillis) {
         refill(nowMillis);
-        if (othersGoOn) {
-            level = levelIfOthersGoOn * ownPart;
-            levelOfUnheard = levelIfOthersGoOn * (1 - ownPart);
+        if (assumeOthersActive) {
+            level = levelIfOthersActive * reachablePart;
+            unreachableLevel = levelIfOthersActive * (1 - reachablePart);
         }
     }
 
     /**
      * Takes over a lower level that a peer knows of, after a start.
      *
-     * @param peerLevel the peer's {@link #levelOfAll}
+     * @param peerLevel the peer's {@link #totalLevel}
      * @param nowMillis the time
      */
-    public void atMost(double peerLevel, long nowMillis) {
+    public void capLevel(double peerLevel, long nowMillis) {
         refill(nowMillis);
-        double excess = Math.max(0, level + levelOfUnheard - peerLevel);
-        level -= excess * ownPart;
-        levelOfUnheard -= excess * (1 - ownPart);
-        levelIfOthersGoOn = Math.min(levelIfOthersGoOn, peerLevel);
+        double excess = Math.max(0, level + unreachableLevel - peerLevel);
+        level -= excess * reachablePart;
+        unreachableLevel -= excess * (1 - reachablePart);
+        levelIfOthersActive = Math.min(levelIfOthersActive, peerLevel);
     }
 
     /**
@@ -206,7 +206,7 @@
      * @param part a part of that
      * @return false if they are less than it, or nothing is limited
      */
-    public boolean isMuch(double units, double part) {
+    public boolean isLargePart(double units, double part) {
         double most = Math.max(limit.burst(), limit.perSecond());
         return limit.limited() && units >= most * part;
     }
@@ -246,7 +246,7 @@
      */
     public double level(long nowMillis) {
         refill(nowMillis);
-        return usable();
+        return usableLevel();
     }
 
     /**
@@ -256,49 +256,49 @@
      * @param nowMillis the time
      * @return units; below 0 if more was taken than there was
      */
-    public double levelOfAll(long nowMillis) {
+    public double totalLevel(long nowMillis) {
         refill(nowMillis);
-        return othersGoOn ? levelIfOthersGoOn : level + levelOfUnheard;
+        return assumeOthersActive ? levelIfOthersActive : level + unreachableLevel;
     }
 
-    private double usable() {
-        return othersGoOn ? levelIfOthersGoOn : level;
+    private double usableLevel() {
+        return assumeOthersActive ? levelIfOthersActive : level;
     }
 
     private void take(double units) {
         level -= units;
-        levelIfOthersGoOn -= units;
+        levelIfOthersActive -= units;
     }
 
     /** Divides what there is anew between those that are heard and those that are not. */
     private void split(double part) {
         double moved =
-                part <= ownPart
-                        ? level * (part - ownPart) / ownPart
-                        : levelOfUnheard * (part - ownPart) / (1 - ownPart);
+                part <= reachablePart
+                        ? level * (part - reachablePart) / reachablePart
+                        : unreachableLevel * (part - reachablePart) / (1 - reachablePart);
         level += moved;
-        levelOfUnheard -= moved;
-        ownPart = part;
-        savedFor = part < 1 ? savedFor : 0;
+        unreachableLevel -= moved;
+        reachablePart = part;
+        maxRequestUnits = part < 1 ? maxRequestUnits : 0;
     }
 
-    private void othersTook(double units, long nowMillis) {
+    private void recordUseByOthers(double units, long nowMillis) {
         double elapsed = Math.max(0, nowMillis - othersUpdatedMillis);
-        othersRecent = othersRecent * Math.exp(-elapsed / OTHERS_MILLIS) + units;
+        recentUseByOthers = recentUseByOthers * Math.exp(-elapsed / OTHERS_DECAY_MILLIS) + units;
         othersUpdatedMillis = Math.max(othersUpdatedMillis, nowMillis);
     }
 
     private void refill(long nowMillis) {
         double elapsed = Math.max(0, nowMillis - updatedMillis) / MILLIS_PER_SECOND;
-        level += elapsed * limit.perSecond() * ownPart;
-        levelIfOthersGoOn += elapsed * limit.perSecond() * partIfOthersGoOn;
-        bound();
+        level += elapsed * limit.perSecond() * reachablePart;
+        levelIfOthersActive += elapsed * limit.perSecond() * partIfOthersActive;
+        clampLevels();
         updatedMillis = Math.max(updatedMillis, nowMillis);
     }
 
-    private void bound() {
-        level = Math.min(level, Math.max(limit.burst() * ownPart, savedFor));
-        levelOfUnheard = Math.min(levelOfUnheard, limit.burst() * (1 - ownPart));
-        levelIfOthersGoOn = Math.min(levelIfOthersGoOn, limit.burst());
+    private void clampLevels() {
+        level = Math.min(level, Math.max(limit.burst() * reachablePart, maxRequestUnits));
+        unreachableLevel = Math.min(unreachableLevel, limit.burst() * (1 - reachablePart));
+        levelIfOthersActive = Math.min(levelIfOthersActive, limit.burst());
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/limit/RetryBudget.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/limit/RetryBudget.java
@@ -25,13 +25,13 @@
     /** Retries earned by one success. */
     public static final double RETRIES_PER_SUCCESS = 0.15;
 
-    private static final double MOST = 20;
+    private static final double MAX_BALANCE = 20;
 
-    private double balance = MOST;
+    private double balance = MAX_BALANCE;
 
     /** Records a request that succeeded. */
     public synchronized void succeeded() {
-        balance = Math.min(MOST, balance + RETRIES_PER_SUCCESS);
+        balance = Math.min(MAX_BALANCE, balance + RETRIES_PER_SUCCESS);
     }
 
     /**
--- a/trailladder-core/src/main/java/io/trailladder/core/limit/WindowedRetryBudget.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/limit/WindowedRetryBudget.java
@@ -26,7 +26,7 @@
  */
 public final class WindowedRetryBudget {
     private static final int SLICES = 20;
-    private static final double SAFETY = 0.7;
+    private static final double SAFETY_FACTOR = 0.7;
 
     private final double ratio;
     private final double allowance;
@@ -81,7 +81,7 @@
             requests += slice.requests;
             retries += slice.retries;
         }
-        double most = SAFETY * (ratio * requests + allowance / Math.max(1, entries));
+        double most = SAFETY_FACTOR * (ratio * requests + allowance / Math.max(1, entries));
         if (retries + 1 > most) {
             return false;
         }
--- a/trailladder-core/src/main/java/io/trailladder/core/membership/HubTopology.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/membership/HubTopology.java
@@ -27,7 +27,7 @@
 /**
  * Chooses the hubs among the gateway processes.
  *
- * <p>Few processes link to each other directly. Above {@link #FULL_MESH_MOST} the strongest of each
+ * <p>Few processes link to each other directly. Above {@link #FULL_MESH_MAX_PROCESSES} the strongest of each
  * data centre are hubs, which link to each other, and every other process links to one of them. So
  * the links of a process do not grow with the number of processes, and those of a hub grow with the
  * processes of its data centre only.
@@ -36,7 +36,7 @@
  */
 public final class HubTopology {
     /** Most processes that all link to each other. */
-    public static final int FULL_MESH_MOST = 12;
+    public static final int FULL_MESH_MAX_PROCESSES = 12;
 
     /** Hubs of a data centre. */
     public static final int HUBS_PER_DATA_CENTRE = 2;
@@ -47,7 +47,7 @@
                     .thenComparing(GatewayMember::name);
 
     /** Processes of a region that link to other regions. */
-    public static final int CARRIERS_PER_REGION = 2;
+    public static final int BRIDGES_PER_REGION = 2;
 
     private HubTopology() {}
 
@@ -58,7 +58,7 @@
      * @return true if there are few
      */
     public static boolean isFullMesh(Collection<GatewayMember> members) {
-        return members.size() <= FULL_MESH_MOST;
+        return members.size() <= FULL_MESH_MAX_PROCESSES;
     }
 
     /**
@@ -92,9 +92,9 @@
      * @param hubs all hubs
      * @param topology tells the regions
      * @param region the region's name
-     * @return its hubs, the first {@link #CARRIERS_PER_REGION} of those that can be reached carry
+     * @return its hubs, the first {@link #BRIDGES_PER_REGION} of those that can be reached carry
      */
-    public static List<GatewayMember> carriers(
+    public static List<GatewayMember> bridgeOrder(
             Collection<GatewayMember> hubs, Topology topology, String region) {
         List<GatewayMember> order = new ArrayList<>();
         for (GatewayMember hub : hubs) {
@@ -127,7 +127,7 @@
         List<GatewayMember> hubs = hubs(members);
         Comparator<GatewayMember> order =
                 Comparator.<GatewayMember>comparingInt(member -> rank(member, hubs, topology))
-                        .thenComparingLong(member -> spread(self, member, hubs))
+                        .thenComparingLong(member -> spreadHash(self, member, hubs))
                         .thenComparing(STRONGEST_FIRST);
         return members.stream()
                 .filter(member -> !member.name().equals(self.name()))
@@ -144,7 +144,7 @@
         };
     }
 
-    private static long spread(GatewayMember self, GatewayMember member, List<GatewayMember> hubs) {
+    private static long spreadHash(GatewayMember self, GatewayMember member, List<GatewayMember> hubs) {
         if (!hubs.contains(member)) {
             return 0;
         }
--- a/trailladder-core/src/main/java/io/trailladder/core/membership/LinkPlanner.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/membership/LinkPlanner.java
@@ -36,8 +36,8 @@
  * @since 0.2
  */
 public final class LinkPlanner {
-    private static final long AVOID_MILLIS = 3_000;
-    private static final int MOST_DOUBLINGS = 4;
+    private static final long MIN_AVOID_MILLIS = 3_000;
+    private static final int MAX_DOUBLINGS = 4;
 
     private final GatewayMember self;
     private final Topology topology;
@@ -46,11 +46,11 @@
     private List<GatewayMember> members = List.of();
     private List<GatewayMember> hubs = List.of();
     private List<GatewayMember> candidates = List.of();
-    private Set<String> followers = Set.of();
-    private String hub = "";
+    private Set<String> storeFollowers = Set.of();
+    private String hubAddress = "";
 
     /** The hubs of each region, those that are to carry its sums first. */
-    private final Map<String, List<GatewayMember>> carriers = new HashMap<>();
+    private final Map<String, List<GatewayMember>> bridgeOrders = new HashMap<>();
 
     /**
      * What to do about links.
@@ -94,11 +94,11 @@
         members = List.copyOf(listed);
         hubs = HubTopology.hubs(members);
         candidates = HubTopology.candidates(self, members, topology);
-        carriers.clear();
-        order(topology.region());
-        topology.otherRegions().forEach(this::order);
+        bridgeOrders.clear();
+        orderBridges(topology.region());
+        topology.otherRegions().forEach(this::orderBridges);
         // each region has followers of its own: what they pass on does not cross
-        followers = StoreFollowers.of(carriers.get(topology.region()));
+        storeFollowers = StoreFollowers.of(bridgeOrders.get(topology.region()));
     }
 
     /**
@@ -108,7 +108,7 @@
      * @return false where all processes link to each other: there each follows for itself
      */
     public boolean isStoreFollower(String name) {
-        return !HubTopology.isFullMesh(members) && followers.contains(name);
+        return !HubTopology.isFullMesh(members) && storeFollowers.contains(name);
     }
 
     /**
@@ -145,10 +145,10 @@
      */
     public void unreachable(String address, long nowMillis) {
         int before = failures.merge(address, 1, Integer::sum) - 1;
-        long avoid = AVOID_MILLIS << Math.min(before, MOST_DOUBLINGS);
+        long avoid = MIN_AVOID_MILLIS << Math.min(before, MAX_DOUBLINGS);
         avoidedUntilMillis.put(address, nowMillis + avoid);
-        if (hub.equals(address)) {
-            hub = "";
+        if (hubAddress.equals(address)) {
+            hubAddress = "";
         }
     }
 
@@ -170,9 +170,9 @@
      */
     public LinkPlan plan(boolean needed, long nowMillis) {
         avoidedUntilMillis.values().removeIf(until -> until <= nowMillis);
-        List<GatewayMember> own = carriers.getOrDefault(topology.region(), List.of());
+        List<GatewayMember> own = bridgeOrders.getOrDefault(topology.region(), List.of());
         if (HubTopology.isFullMesh(members) || own.stream().anyMatch(this::isSelf)) {
-            return hubPlan(mesh(own), own);
+            return hubPlan(addressesToDial(own), own);
         }
         if (needed) {
             List<GatewayMember> withSelf = new ArrayList<>(own);
@@ -180,7 +180,7 @@
             return hubPlan(addresses(own), withSelf);
         }
         chooseHub();
-        return new LinkPlan(false, hub.isEmpty() ? Set.of() : Set.of(hub));
+        return new LinkPlan(false, hubAddress.isEmpty() ? Set.of() : Set.of(hubAddress));
     }
 
     /**
@@ -190,8 +190,8 @@
      * @param dataCentre its data centre
      * @return 0 for the first; more than any hub's for a process that is none
      */
-    public int carrierRank(String name, String dataCentre) {
-        List<GatewayMember> order = carriers.getOrDefault(topology.region(dataCentre), List.of());
+    public int bridgeRank(String name, String dataCentre) {
+        List<GatewayMember> order = bridgeOrders.getOrDefault(topology.region(dataCentre), List.of());
         for (int i = 0; i < order.size(); i++) {
             if (order.get(i).name().equals(name)) {
                 return i;
@@ -200,8 +200,8 @@
         return Integer.MAX_VALUE;
     }
 
-    private void order(String region) {
-        carriers.put(region, HubTopology.carriers(hubs, topology, region));
+    private void orderBridges(String region) {
+        bridgeOrders.put(region, HubTopology.bridgeOrder(hubs, topology, region));
     }
 
     private boolean isSelf(GatewayMember member) {
@@ -210,9 +210,9 @@
 
     /** A hub links to those of its region, and to other regions if it is to carry sums. */
     private LinkPlan hubPlan(Set<String> dial, List<GatewayMember> own) {
-        if (!topology.isOneRegion() && standing(own).stream().anyMatch(this::isSelf)) {
-            boolean first = first(own).stream().anyMatch(this::isSelf);
-            topology.otherRegions().forEach(region -> dialAcross(region, first, dial));
+        if (!topology.isOneRegion() && reachableBridges(own).stream().anyMatch(this::isSelf)) {
+            boolean first = preferredBridges(own).stream().anyMatch(this::isSelf);
+            topology.otherRegions().forEach(region -> dialOtherRegion(region, first, dial));
         }
         return new LinkPlan(true, dial);
     }
@@ -221,27 +221,27 @@
      * The first carriers of a region are always wanted. Who stands in for one dials, and is
      * dialled, whatever the addresses: the other side may not know that it does.
      */
-    private void dialAcross(String region, boolean first, Set<String> dial) {
-        List<GatewayMember> order = carriers.getOrDefault(region, List.of());
-        List<GatewayMember> wanted = first(order);
-        dial.addAll(first ? mesh(wanted) : addresses(wanted));
-        for (GatewayMember member : standing(order)) {
+    private void dialOtherRegion(String region, boolean first, Set<String> dial) {
+        List<GatewayMember> order = bridgeOrders.getOrDefault(region, List.of());
+        List<GatewayMember> wanted = preferredBridges(order);
+        dial.addAll(first ? addressesToDial(wanted) : addresses(wanted));
+        for (GatewayMember member : reachableBridges(order)) {
             if (!wanted.contains(member)) {
                 dial.add(member.address());
             }
         }
     }
 
-    private static List<GatewayMember> first(List<GatewayMember> order) {
-        return order.subList(0, Math.min(HubTopology.CARRIERS_PER_REGION, order.size()));
+    private static List<GatewayMember> preferredBridges(List<GatewayMember> order) {
+        return order.subList(0, Math.min(HubTopology.BRIDGES_PER_REGION, order.size()));
     }
 
     /** The first of a region's hubs that could be reached when last tried. */
-    private List<GatewayMember> standing(List<GatewayMember> order) {
+    private List<GatewayMember> reachableBridges(List<GatewayMember> order) {
         List<GatewayMember> standing = new ArrayList<>();
         for (GatewayMember member : order) {
             boolean lost = !isSelf(member) && failures.containsKey(member.address());
-            if (!lost && standing.size() < HubTopology.CARRIERS_PER_REGION) {
+            if (!lost && standing.size() < HubTopology.BRIDGES_PER_REGION) {
                 standing.add(member);
             }
         }
@@ -254,9 +254,9 @@
                         .filter(member -> !avoidedUntilMillis.containsKey(member.address()))
                         .findFirst();
         Optional<GatewayMember> current =
-                members.stream().filter(member -> member.address().equals(hub)).findFirst();
+                members.stream().filter(member -> member.address().equals(hubAddress)).findFirst();
         if (current.isEmpty() || (!isLocalHub(current) && isLocalHub(best))) {
-            hub = best.map(GatewayMember::address).orElse("");
+            hubAddress = best.map(GatewayMember::address).orElse("");
         }
     }
 
@@ -267,7 +267,7 @@
     }
 
     /** Of two processes that want each other, the one whose address sorts lower dials. */
-    private Set<String> mesh(Collection<GatewayMember> wanted) {
+    private Set<String> addressesToDial(Collection<GatewayMember> wanted) {
         Set<String> dial = new HashSet<>();
         for (GatewayMember member : wanted) {
             if (self.address().compareTo(member.address()) < 0) {
--- a/trailladder-core/src/main/java/io/trailladder/core/membership/LocalUpstreamDirectory.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/membership/LocalUpstreamDirectory.java
@@ -33,7 +33,7 @@
  * @since 0.1
  */
 public final class LocalUpstreamDirectory {
-    private static final int MAX_REMEMBERED_LEAVING = 20_000;
+    private static final int MAX_LEAVING_NAMES = 20_000;
 
     private final Map<String, LocalUpstream> upstreams = new HashMap<>();
     private final Set<String> leaving = new HashSet<>();
@@ -56,8 +56,8 @@
             listVersion++;
         }
         List<LocalUpstream> newlyLeaving = new ArrayList<>();
-        listedLeaving.forEach(id -> noticed(id).ifPresent(newlyLeaving::add));
-        forgetOldNotices();
+        listedLeaving.forEach(id -> leavingNoticed(id).ifPresent(newlyLeaving::add));
+        removeOldNotices();
         return newlyLeaving;
     }
 
@@ -67,7 +67,7 @@
      * @param id the upstream's name, known or not yet known
      * @return the upstream if this is news and the upstream is known
      */
-    public Optional<LocalUpstream> noticed(String id) {
+    public Optional<LocalUpstream> leavingNoticed(String id) {
         if (!leaving.add(id)) {
             return Optional.empty();
         }
@@ -115,8 +115,8 @@
         return new UpstreamState(upstream, leaving.contains(upstream.id()));
     }
 
-    private void forgetOldNotices() {
-        if (leaving.size() > MAX_REMEMBERED_LEAVING) {
+    private void removeOldNotices() {
+        if (leaving.size() > MAX_LEAVING_NAMES) {
             leaving.retainAll(upstreams.keySet());
         }
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/membership/StoreFollowers.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/membership/StoreFollowers.java
@@ -39,7 +39,7 @@
      * Most followers. Three, each in another data centre where there are so many: one may be lost
      * with its data centre while another is turned away by the store.
      */
-    public static final int MOST = 3;
+    public static final int MAX_FOLLOWERS = 3;
 
     private StoreFollowers() {}
 
@@ -57,7 +57,7 @@
                     .add(hub);
         }
         Set<String> names = new HashSet<>();
-        for (int rank = 0; names.size() < MOST && rank < hubs.size(); rank++) {
+        for (int rank = 0; names.size() < MAX_FOLLOWERS && rank < hubs.size(); rank++) {
             addRank(byDataCentre, rank, names);
         }
         return names;
@@ -66,7 +66,7 @@
     private static void addRank(
             Map<String, List<GatewayMember>> byDataCentre, int rank, Set<String> names) {
         for (List<GatewayMember> local : byDataCentre.values()) {
-            if (rank < local.size() && names.size() < MOST) {
+            if (rank < local.size() && names.size() < MAX_FOLLOWERS) {
                 names.add(local.get(rank).name());
             }
         }
--- a/trailladder-core/src/main/java/io/trailladder/core/pipeline/AttemptHistory.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/pipeline/AttemptHistory.java
@@ -28,7 +28,7 @@
     private int sent;
     private int connectFailures;
     private boolean mayHaveRun;
-    private boolean answerBegun;
+    private boolean answerStarted;
     private String lastEventId = "";
 
     /**
@@ -59,8 +59,8 @@
     }
 
     /** Records that the caller was sent the head of the answer. */
-    public void answerBegun() {
-        answerBegun = true;
+    public void answerStarted() {
+        answerStarted = true;
     }
 
     /**
@@ -68,7 +68,7 @@
      *
      * @param eventId the event's name
      */
-    public void eventPassed(String eventId) {
+    public void eventForwarded(String eventId) {
         lastEventId = eventId;
     }
 
@@ -113,8 +113,8 @@
      *
      * @return true if its status can no longer be chosen
      */
-    public boolean hasAnswerBegun() {
-        return answerBegun;
+    public boolean hasAnswerStarted() {
+        return answerStarted;
     }
 
     /**
--- a/trailladder-core/src/main/java/io/trailladder/core/pipeline/Prompt.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/pipeline/Prompt.java
@@ -39,7 +39,7 @@
      *
      * @return a part's name; empty if there are no parts
      */
-    public String subject() {
+    public String sharedBlockId() {
         if (blocks.isEmpty()) {
             return "";
         }
--- a/trailladder-core/src/main/java/io/trailladder/core/pipeline/RecoveryPolicy.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/pipeline/RecoveryPolicy.java
@@ -34,7 +34,7 @@
     public static final int MAX_CONNECT_FAILURES = 3;
 
     /** Least time left that makes another attempt worth while, in milliseconds. */
-    public static final long LEAST_MILLIS_LEFT = 30;
+    public static final long MIN_REMAINING_MILLIS = 30;
 
     private RecoveryPolicy() {}
 
@@ -59,7 +59,7 @@
         if (!repeatable || !budget || !allowsAnother(request, history, nowMillis)) {
             return new GiveUp(ending(history, failure));
         }
-        if (!history.hasAnswerBegun()) {
+        if (!history.hasAnswerStarted()) {
             return new Retry();
         }
         boolean resumable = route.kind() == RouteKind.STREAMING && route.resumable();
@@ -78,7 +78,7 @@
             ServingRequest request, AttemptHistory history, long nowMillis) {
         return history.sent() < request.route().maxAttempts()
                 && history.connectFailures() < MAX_CONNECT_FAILURES
-                && request.deadlineMillis() - nowMillis >= LEAST_MILLIS_LEFT;
+                && request.deadlineMillis() - nowMillis >= MIN_REMAINING_MILLIS;
     }
 
     /**
@@ -89,7 +89,7 @@
      * @return what the caller is told
      */
     public static Ending endingOf(AttemptHistory history, boolean underWay) {
-        if (history.hasAnswerBegun()) {
+        if (history.hasAnswerStarted()) {
             return Ending.BROKEN_OFF;
         }
         boolean mayHaveRun = history.mayHaveRun() || underWay;
@@ -103,13 +103,13 @@
      * @param underWay true if an attempt was sent whose outcome is not known
      * @return what the caller is told
      */
-    public static Ending endingInTime(AttemptHistory history, boolean underWay) {
+    public static Ending endingAtDeadline(AttemptHistory history, boolean underWay) {
         Ending ending = endingOf(history, underWay);
         return ending == Ending.MAY_HAVE_RUN ? Ending.TIMED_OUT : ending;
     }
 
     private static Ending ending(AttemptHistory history, AttemptFailure failure) {
-        boolean answered = failure == AttemptFailure.SERVER_ERROR && !history.hasAnswerBegun();
+        boolean answered = failure == AttemptFailure.SERVER_ERROR && !history.hasAnswerStarted();
         return answered ? Ending.PASSED_ON : endingOf(history, false);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/policy/EngineSpec.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/policy/EngineSpec.java
@@ -20,8 +20,8 @@
  *
  * @param slots requests an engine works on at once
  * @param cacheTokens tokens its memory holds
- * @param moves true if engines copy the memory of a running request to one another
- * @param handleMillis how long a copied memory is kept, in milliseconds
+ * @param copiesCache true if engines copy the memory of a running request to one another
+ * @param cacheCopyMillis how long a copied memory is kept, in milliseconds
  * @since 0.2
  */
-public record EngineSpec(int slots, long cacheTokens, boolean moves, long handleMillis) {}
+public record EngineSpec(int slots, long cacheTokens, boolean copiesCache, long cacheCopyMillis) {}
--- a/trailladder-core/src/main/java/io/trailladder/core/policy/Route.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/policy/Route.java
@@ -67,7 +67,7 @@
      * @param service the service's name
      * @return true if one of its shares names it
      */
-    public boolean leadsTo(String service) {
+    public boolean routesTo(String service) {
         return shares.stream().anyMatch(share -> share.service().equals(service));
     }
 
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/AnswerCount.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/AnswerCount.java
@@ -28,7 +28,7 @@
     public static final AnswerCount NONE = new AnswerCount(0, 0, 0);
 
     /** Most answers that are believed of one process and all it speaks for. */
-    private static final int MOST = 10_000_000;
+    private static final int MAX_ANSWERS = 10_000_000;
 
     /**
      * Creates a count in which only bad answers came late.
@@ -77,7 +77,7 @@
      *
      * @return false if a figure is negative, absurdly large or beyond its whole
      */
-    public boolean isSound() {
-        return answers >= 0 && answers <= MOST && bad >= 0 && bad <= slow && slow <= answers;
+    public boolean isValid() {
+        return answers >= 0 && answers <= MAX_ANSWERS && bad >= 0 && bad <= slow && slow <= answers;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/AnswerSeen.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/AnswerObservation.java
@@ -20,17 +20,17 @@
  *
  * @param route the route's name
  * @param failed true if the upstream answered that it failed
- * @param firstMillis time to the first event, or to the answer of a plain service, in milliseconds;
+ * @param firstEventMillis time to the first event, or to the answer of a plain service, in milliseconds;
  *     the age of the request if none came
  * @param predictedMillis what was predicted for that, in milliseconds
- * @param pauseMillis mean pause between the events, in milliseconds; 0 if there were too few
- * @param whole true if the answer ended; false if it was broken off before
+ * @param eventIntervalMillis mean pause between the events, in milliseconds; 0 if there were too few
+ * @param complete true if the answer ended; false if it was broken off before
  * @since 0.4
  */
-public record AnswerSeen(
+public record AnswerObservation(
         String route,
         boolean failed,
-        double firstMillis,
+        double firstEventMillis,
         double predictedMillis,
-        double pauseMillis,
-        boolean whole) {}
+        double eventIntervalMillis,
+        boolean complete) {}
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/AnswerSort.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/AnswerRating.java
@@ -20,7 +20,7 @@
  *
  * @since 0.5
  */
-public enum AnswerSort {
+public enum AnswerRating {
     /** It ended well and in time. */
     GOOD,
     /** It came clearly later than usual. */
@@ -37,7 +37,7 @@
      * @param isSlow true if it came clearly later than usual
      * @return what it says
      */
-    public static AnswerSort of(boolean isBad, boolean isSlow) {
+    public static AnswerRating of(boolean isBad, boolean isSlow) {
         if (isBad) {
             return BAD;
         }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/ExposureLedger.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/ExposureLedger.java
@@ -38,7 +38,7 @@
      * are counted here as sent but never reach an upstream, and for those counted at the edges of
      * the order's time.
      */
-    private static final double SPENT_PART = 0.9;
+    private static final double EXPOSED_PART = 0.9;
 
     /** Part of the bound that samples may spend; what they leave pays for the switch. */
     private static final double SAMPLED_PART = 0.75;
@@ -47,11 +47,11 @@
      * Requests on top without which no life begins with a piece of one. By chance the lives of 100
      * processes that start once more exceed their parts by more than 25 once in a thousand times.
      */
-    private static final double LEAST_ALLOWANCE = 25;
+    private static final double MIN_ALLOWANCE_FOR_CREDIT = 25;
 
     private final double bound;
-    private final double spent;
-    private final double sampled;
+    private final double exposedShare;
+    private final double sampledShare;
     private final double credit;
     private int sent;
     private int exposed;
@@ -64,8 +64,8 @@
      */
     public ExposureLedger(double bound, double credit) {
         this.bound = bound;
-        this.spent = SPENT_PART * bound;
-        this.sampled = SAMPLED_PART * bound;
+        this.exposedShare = EXPOSED_PART * bound;
+        this.sampledShare = SAMPLED_PART * bound;
         this.credit = credit;
     }
 
@@ -78,7 +78,7 @@
      * @return a ledger that has spent nothing
      */
     public static ExposureLedger of(double bound, double allowance, SplittableRandom random) {
-        return new ExposureLedger(bound, allowance >= LEAST_ALLOWANCE ? random.nextDouble() : 0);
+        return new ExposureLedger(bound, allowance >= MIN_ALLOWANCE_FOR_CREDIT ? random.nextDouble() : 0);
     }
 
     /** Records that the version under test was chosen for a request, which may never reach it. */
@@ -97,7 +97,7 @@
      * @return true if the samples' part stays kept with it
      */
     public boolean maySample() {
-        return exposed + 1 <= sampled * (sent + 1) + credit;
+        return exposed + 1 <= sampledShare * (sent + 1) + credit;
     }
 
     /**
@@ -106,7 +106,7 @@
      * @return true if the whole part stays kept with it
      */
     public boolean mayExpose() {
-        return exposed + 1 <= spent * (sent + 1) + credit;
+        return exposed + 1 <= exposedShare * (sent + 1) + credit;
     }
 
     /**
@@ -124,7 +124,7 @@
      * @return from 0 to 1
      */
     public double sampledShare() {
-        return sampled;
+        return sampledShare;
     }
 
     /**
@@ -134,8 +134,8 @@
      * @param sampledMillis how long samples were taken, in milliseconds
      * @return a time, in milliseconds
      */
-    public long paidMillis(long sampledMillis) {
-        return Math.round((spent - sampled) * sampledMillis);
+    public long affordableMillis(long sampledMillis) {
+        return Math.round((exposedShare - sampledShare) * sampledMillis);
     }
 
     /**
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/PaceBaseline.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/LatencyBaseline.java
@@ -24,39 +24,39 @@
  *
  * @since 0.4
  */
-public final class PaceBaseline {
+public final class LatencyBaseline {
     /** How many times the usual an answer must take to count as late. */
-    private static final double LATE_TIMES = 2.5;
+    private static final double LATE_FACTOR = 2.5;
 
     /** How many times the usual an answer must take to count as slow. */
-    private static final double SLOW_TIMES = 1.5;
+    private static final double SLOW_FACTOR = 1.5;
 
     /**
      * Answers of the old version on a route before which those of all routes tell what is usual,
      * and on all routes before which nothing counts as late.
      */
-    private static final int LEAST_SEEN = 5;
+    private static final int MIN_ANSWERS = 5;
 
     /** Weight of the latest answer in the mean once some have been seen. */
-    private static final double WEIGHT = 0.05;
+    private static final double LATEST_WEIGHT = 0.05;
 
     /** Least time that a ratio is taken of, in milliseconds: a network's and a timer's. */
-    private static final double LEAST_MILLIS = 10;
+    private static final double MIN_MILLIS = 10;
 
     /** How far one answer may move the mean, in times the usual: an outlier is not a trend. */
-    private static final double MOST_TIMES = 4;
+    private static final double MAX_OUTLIER_FACTOR = 4;
 
-    private final Map<String, Usual> byKind = new HashMap<>();
+    private final Map<String, RunningMean> byKind = new HashMap<>();
 
     /** The mean of one kind of time. */
-    private static final class Usual {
+    private static final class RunningMean {
         private double mean;
-        private int seen;
+        private int count;
 
         void add(double ratio) {
-            seen++;
-            double bounded = seen > LEAST_SEEN ? Math.min(ratio, MOST_TIMES * mean) : ratio;
-            mean += Math.max(WEIGHT, 1.0 / seen) * (bounded - mean);
+            count++;
+            double bounded = count > MIN_ANSWERS ? Math.min(ratio, MAX_OUTLIER_FACTOR * mean) : ratio;
+            mean += Math.max(LATEST_WEIGHT, 1.0 / count) * (bounded - mean);
         }
     }
 
@@ -68,31 +68,31 @@
      * @param millis how long it took, in milliseconds
      * @param predictedMillis what was predicted, in milliseconds
      */
-    public void usual(String route, String kind, double millis, double predictedMillis) {
+    public void observe(String route, String kind, double millis, double predictedMillis) {
         double ratio = ratio(millis, predictedMillis);
-        byKind.computeIfAbsent(kind + route, name -> new Usual()).add(ratio);
-        byKind.computeIfAbsent(kind, name -> new Usual()).add(ratio);
+        byKind.computeIfAbsent(kind + route, name -> new RunningMean()).add(ratio);
+        byKind.computeIfAbsent(kind, name -> new RunningMean()).add(ratio);
     }
 
     /**
      * Tells whether an answer came several times later than usual.
      *
-     * @param times how many {@link #times} the usual it took
+     * @param times how many {@link #slowdown} the usual it took
      * @return false while too little is known
      */
     public static boolean isLate(double times) {
-        return times > LATE_TIMES;
+        return times > LATE_FACTOR;
     }
 
     /**
      * Tells whether an answer came clearly later than usual. Many do by chance; more of one version
      * than of the other do not.
      *
-     * @param times how many {@link #times} the usual it took
+     * @param times how many {@link #slowdown} the usual it took
      * @return false while too little is known
      */
     public static boolean isSlow(double times) {
-        return times > SLOW_TIMES;
+        return times > SLOW_FACTOR;
     }
 
     /**
@@ -104,16 +104,16 @@
      * @param predictedMillis what was predicted, in milliseconds
      * @return a factor; 0 while too little is known
      */
-    public double times(String route, String kind, double millis, double predictedMillis) {
-        Usual usual = byKind.get(kind + route);
-        if (usual == null || usual.seen < LEAST_SEEN) {
+    public double slowdown(String route, String kind, double millis, double predictedMillis) {
+        RunningMean usual = byKind.get(kind + route);
+        if (usual == null || usual.count < MIN_ANSWERS) {
             usual = byKind.get(kind);
         }
-        boolean known = usual != null && usual.seen >= LEAST_SEEN;
+        boolean known = usual != null && usual.count >= MIN_ANSWERS;
         return known ? ratio(millis, predictedMillis) / usual.mean : 0;
     }
 
     private static double ratio(double millis, double predictedMillis) {
-        return Math.max(LEAST_MILLIS, millis) / Math.max(LEAST_MILLIS, predictedMillis);
+        return Math.max(MIN_MILLIS, millis) / Math.max(MIN_MILLIS, predictedMillis);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/Rollout.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/Rollout.java
@@ -28,7 +28,7 @@
  * versions, and what the other processes are told.
  *
  * <p>A process that sees by itself that the version is bad sends it nothing more at once. A process
- * that has not heard of the leader for {@link #HEARD_MILLIS} sends it nothing either, so that
+ * that has not heard of the leader for {@link #LEADER_TIMEOUT_MILLIS} sends it nothing either, so that
  * nobody goes on with a version that the others have found bad.
  *
  * <pre>{@code
@@ -45,30 +45,30 @@
      * How long after the last news of the leader the new version is still sampled, in milliseconds:
      * ten digests, and well below the 5 s within which a bad version must have been left.
      */
-    public static final long HEARD_MILLIS = 2_000;
+    public static final long LEADER_TIMEOUT_MILLIS = 2_000;
 
     /**
      * How long after the completion only the new version is chosen, in milliseconds: entries of
      * stopped upstreams stay listed for three heartbeats of 1.2 s and the list's lag.
      */
-    private static final long SETTLE_MILLIS = 10_000;
+    private static final long SETTLING_MILLIS = 10_000;
 
     /** Stands for a deadline that is not known. */
-    private static final long NOT_KNOWN = Long.MAX_VALUE / 4;
+    private static final long UNKNOWN_DEADLINE_MILLIS = Long.MAX_VALUE / 4;
 
-    private static final String FIRST = "first/";
-    private static final String PAUSE = "pause/";
+    private static final String FIRST_EVENT = "first/";
+    private static final String EVENT_INTERVAL = "pause/";
 
     private RolloutOrder order;
     private final ExposureLedger ledger;
-    private final PaceBaseline pace = new PaceBaseline();
-    private final Map<String, RouteEvidence> seen = new TreeMap<>();
+    private final LatencyBaseline baseline = new LatencyBaseline();
+    private final Map<String, RouteEvidence> evidenceByRoute = new TreeMap<>();
     private RolloutPhase phase = RolloutPhase.SAMPLING;
-    private final long begunMillis;
+    private final long knownSinceMillis;
     private long deadlineMillis;
     private long round;
-    private long heardMillis = Long.MIN_VALUE / 2;
-    private long finalMillis;
+    private long lastRoundMillis = Long.MIN_VALUE / 2;
+    private long resultMillis;
     private final Set<String> oldVersions = new HashSet<>();
 
     /**
@@ -81,7 +81,7 @@
     public Rollout(RolloutOrder order, ExposureLedger ledger, long nowMillis) {
         this.order = order;
         this.ledger = ledger;
-        this.begunMillis = nowMillis;
+        this.knownSinceMillis = nowMillis;
         this.deadlineMillis = nowMillis + order.durationMillis();
     }
 
@@ -97,7 +97,7 @@
      */
     public static Rollout ofUnknownAge(RolloutOrder order, ExposureLedger ledger, long nowMillis) {
         Rollout rollout = new Rollout(order, ledger, nowMillis);
-        rollout.deadlineMillis = NOT_KNOWN;
+        rollout.deadlineMillis = UNKNOWN_DEADLINE_MILLIS;
         return rollout;
     }
 
@@ -144,7 +144,7 @@
      * @return false if no process that is heard saw the order written
      */
     public boolean isDeadlineKnown() {
-        return deadlineMillis < NOT_KNOWN / 2;
+        return deadlineMillis < UNKNOWN_DEADLINE_MILLIS / 2;
     }
 
     /**
@@ -152,8 +152,8 @@
      *
      * @return a time, in milliseconds
      */
-    public long begunMillis() {
-        return begunMillis;
+    public long knownSinceMillis() {
+        return knownSinceMillis;
     }
 
     /**
@@ -185,20 +185,20 @@
      * @return some of them, perhaps none
      */
     public List<Upstream> admitted(List<Upstream> serving, boolean first, long nowMillis) {
-        noteOld(serving);
+        recordOldVersions(serving);
         return switch (phase) {
             case SAMPLING ->
                     first && maySample(nowMillis)
                             ? sampleOrOld(serving)
-                            : oldOrLeft(serving, nowMillis);
+                            : oldOrRemaining(serving, nowMillis);
             case SWITCHING ->
-                    mayMove(nowMillis) ? targetOrOld(serving) : oldOrLeft(serving, nowMillis);
+                    maySwitch(nowMillis) ? targetOrOld(serving) : oldOrRemaining(serving, nowMillis);
             case COMPLETED -> completed(serving, nowMillis);
             case HALTED, ROLLED_BACK -> old(serving);
         };
     }
 
-    private void noteOld(List<Upstream> serving) {
+    private void recordOldVersions(List<Upstream> serving) {
         if (phase.isFinal()) {
             return;
         }
@@ -210,23 +210,23 @@
     }
 
     private boolean maySample(long nowMillis) {
-        return mayTry(nowMillis) && ledger.maySample();
+        return mayExpose(nowMillis) && ledger.maySample();
     }
 
-    private boolean mayMove(long nowMillis) {
-        return mayTry(nowMillis) && ledger.mayExpose();
+    private boolean maySwitch(long nowMillis) {
+        return mayExpose(nowMillis) && ledger.mayExpose();
     }
 
     /**
      * After the deadline only a record brings the new version more: there may be one unheard of.
      */
-    private boolean mayTry(long nowMillis) {
-        return isHeard(nowMillis) && nowMillis < deadlineMillis;
+    private boolean mayExpose(long nowMillis) {
+        return isLeaderReachable(nowMillis) && nowMillis < deadlineMillis;
     }
 
     /** The old version has stopped; what the rest of the part does not pay for has to wait. */
     private List<Upstream> completed(List<Upstream> serving, long nowMillis) {
-        boolean paid = heldMillis(nowMillis) == 0 || ledger.mayExpose();
+        boolean paid = waitMillis(nowMillis) == 0 || ledger.mayExpose();
         return paid ? afterCompletion(serving, nowMillis) : List.of();
     }
 
@@ -237,17 +237,17 @@
      * @param nowMillis the time
      * @return a time, in milliseconds; 0 if none has to wait
      */
-    public long heldMillis(long nowMillis) {
+    public long waitMillis(long nowMillis) {
         if (phase != RolloutPhase.COMPLETED) {
             return 0;
         }
-        long until = Math.min(deadlineMillis, finalMillis + RolloutLead.LAST_MILLIS);
+        long until = Math.min(deadlineMillis, resultMillis + RolloutController.COMPLETION_LEAD_MILLIS);
         return Math.max(0, until - nowMillis);
     }
 
     private List<Upstream> sampleOrOld(List<Upstream> serving) {
         List<Upstream> target = target(serving);
-        return target.isEmpty() ? old(serving) : sampled(target);
+        return target.isEmpty() ? old(serving) : sampleUpstreams(target);
     }
 
     private List<Upstream> targetOrOld(List<Upstream> serving) {
@@ -257,7 +257,7 @@
 
     /** Later versions replace the new one in their turn; those that it replaced are gone. */
     private List<Upstream> afterCompletion(List<Upstream> serving, long nowMillis) {
-        if (nowMillis - finalMillis < SETTLE_MILLIS) {
+        if (nowMillis - resultMillis < SETTLING_MILLIS) {
             return targetOrOld(serving);
         }
         List<Upstream> later =
@@ -275,7 +275,7 @@
      * The old version. A process that was cut off and hears of no result serves with what is left
      * once the deadline has passed and the old version is gone.
      */
-    private List<Upstream> oldOrLeft(List<Upstream> serving, long nowMillis) {
+    private List<Upstream> oldOrRemaining(List<Upstream> serving, long nowMillis) {
         List<Upstream> old = old(serving);
         return old.isEmpty() && nowMillis > deadlineMillis ? serving : old;
     }
@@ -292,7 +292,7 @@
      * The few requests of the sample go to few upstreams, so that these bear the load of each that
      * is to come and a fault that shows only under load shows in the sample.
      */
-    private List<Upstream> sampled(List<Upstream> target) {
+    private List<Upstream> sampleUpstreams(List<Upstream> target) {
         int few = (int) Math.floor(target.size() * ledger.sampledShare());
         return target.stream()
                 .sorted(Comparator.comparing(Upstream::id))
@@ -300,8 +300,8 @@
                 .toList();
     }
 
-    private boolean isHeard(long nowMillis) {
-        return nowMillis - heardMillis <= HEARD_MILLIS;
+    private boolean isLeaderReachable(long nowMillis) {
+        return nowMillis - lastRoundMillis <= LEADER_TIMEOUT_MILLIS;
     }
 
     /**
@@ -329,40 +329,40 @@
      * @param answer how it ended
      * @return what it says of the version
      */
-    public AnswerSort answered(Upstream upstream, AnswerSeen answer) {
+    public AnswerRating answered(Upstream upstream, AnswerObservation answer) {
         boolean isTarget = isTarget(upstream);
         boolean warm = upstream.coldRemainingMillis() <= 0;
-        boolean late = warm && PaceBaseline.isLate(times(answer));
-        if (!answer.whole() && !late && !answer.failed()) {
-            return AnswerSort.NOT_COUNTED;
+        boolean late = warm && LatencyBaseline.isLate(slowdown(answer));
+        if (!answer.complete() && !late && !answer.failed()) {
+            return AnswerRating.NOT_COUNTED;
         }
         if (!isTarget && !answer.failed()) {
-            learnPace(answer);
+            recordBaseline(answer);
         }
         RouteEvidence none = new RouteEvidence(answer.route(), AnswerCount.NONE, AnswerCount.NONE);
-        RouteEvidence before = seen.getOrDefault(answer.route(), none);
+        RouteEvidence before = evidenceByRoute.getOrDefault(answer.route(), none);
         boolean bad = late || answer.failed();
-        boolean slow = warm && PaceBaseline.isSlow(times(answer));
-        seen.put(answer.route(), before.with(isTarget, bad, slow));
-        if (isTarget && (bad || slow) && !phase.isFinal() && RolloutJudge.isBad(evidence())) {
+        boolean slow = warm && LatencyBaseline.isSlow(slowdown(answer));
+        evidenceByRoute.put(answer.route(), before.with(isTarget, bad, slow));
+        if (isTarget && (bad || slow) && !phase.isFinal() && VersionEvaluator.isBad(evidence())) {
             phase = phase.merge(RolloutPhase.HALTED);
         }
-        return AnswerSort.of(bad, slow);
+        return AnswerRating.of(bad, slow);
     }
 
     /** How many times the usual it took to the first event, or between two, whichever is more. */
-    private double times(AnswerSeen answer) {
+    private double slowdown(AnswerObservation answer) {
         double first =
-                pace.times(answer.route(), FIRST, answer.firstMillis(), answer.predictedMillis());
-        return answer.pauseMillis() > 0
-                ? Math.max(first, pace.times(answer.route(), PAUSE, answer.pauseMillis(), 0))
+                baseline.slowdown(answer.route(), FIRST_EVENT, answer.firstEventMillis(), answer.predictedMillis());
+        return answer.eventIntervalMillis() > 0
+                ? Math.max(first, baseline.slowdown(answer.route(), EVENT_INTERVAL, answer.eventIntervalMillis(), 0))
                 : first;
     }
 
-    private void learnPace(AnswerSeen answer) {
-        pace.usual(answer.route(), FIRST, answer.firstMillis(), answer.predictedMillis());
-        if (answer.pauseMillis() > 0) {
-            pace.usual(answer.route(), PAUSE, answer.pauseMillis(), 0);
+    private void recordBaseline(AnswerObservation answer) {
+        baseline.observe(answer.route(), FIRST_EVENT, answer.firstEventMillis(), answer.predictedMillis());
+        if (answer.eventIntervalMillis() > 0) {
+            baseline.observe(answer.route(), EVENT_INTERVAL, answer.eventIntervalMillis(), 0);
         }
     }
 
@@ -372,7 +372,7 @@
      * @return its evidence, by route
      */
     public List<RouteEvidence> evidence() {
-        return List.copyOf(seen.values());
+        return List.copyOf(evidenceByRoute.values());
     }
 
     /**
@@ -382,8 +382,8 @@
      * @param nowMillis the time
      * @return the news
      */
-    public RolloutNews news(List<RouteEvidence> evidence, long nowMillis) {
-        return new RolloutNews(order, phase, deadlineMillis - nowMillis, round, evidence);
+    public RolloutUpdate update(List<RouteEvidence> evidence, long nowMillis) {
+        return new RolloutUpdate(order, phase, deadlineMillis - nowMillis, round, evidence);
     }
 
     /**
@@ -392,12 +392,12 @@
      * @param news the news
      * @param nowMillis the time
      */
-    public void heard(RolloutNews news, long nowMillis) {
+    public void received(RolloutUpdate news, long nowMillis) {
         moveTo(phase.merge(news.phase()), nowMillis);
-        deadlineMillis = Math.min(deadlineMillis, nowMillis + news.leftMillis());
+        deadlineMillis = Math.min(deadlineMillis, nowMillis + news.remainingMillis());
         if (news.round() > round) {
             round = news.round();
-            heardMillis = nowMillis;
+            lastRoundMillis = nowMillis;
         }
     }
 
@@ -429,7 +429,7 @@
 
     private void moveTo(RolloutPhase next, long nowMillis) {
         if (next != phase && next.isFinal()) {
-            finalMillis = nowMillis;
+            resultMillis = nowMillis;
         }
         phase = next;
     }
@@ -443,6 +443,6 @@
     public void lead(RolloutPhase decided, long nowMillis) {
         moveTo(phase.merge(decided), nowMillis);
         round++;
-        heardMillis = nowMillis;
+        lastRoundMillis = nowMillis;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutLead.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutController.java
@@ -15,8 +15,8 @@
  */
 package io.trailladder.core.rollout;
 
-import io.trailladder.core.rollout.RolloutJudge.Judgement;
-import io.trailladder.core.rollout.RolloutJudge.Verdict;
+import io.trailladder.core.rollout.VersionEvaluator.Evaluation;
+import io.trailladder.core.rollout.VersionEvaluator.Verdict;
 import io.trailladder.core.rollout.RolloutStatus.State;
 import java.util.List;
 import java.util.Locale;
@@ -37,12 +37,12 @@
  *
  * @since 0.4
  */
-public final class RolloutLead {
+public final class RolloutController {
     /**
      * Time before the deadline at which the completion is recorded, in milliseconds: two of the
      * leader's steps, a lost answer read back, and an order seen 100 ms after it was written.
      */
-    public static final long LAST_MILLIS = 400;
+    public static final long COMPLETION_LEAD_MILLIS = 400;
 
     /** Time before the deadline at which a version that was not shown to be good is left. */
     private static final long GIVE_UP_MILLIS = 1_000;
@@ -51,13 +51,13 @@
      * How long a leader that has just started waits to be told the deadline, in milliseconds: links
      * to peers are made within a second, and each digest tells it.
      */
-    private static final long TOLD_MILLIS = 2_000;
+    private static final long DEADLINE_WAIT_MILLIS = 2_000;
 
     /** Longest time for which all requests move before the record, in milliseconds. */
-    private static final long MOST_MOVING_MILLIS = 3_000;
+    private static final long MAX_SWITCH_MILLIS = 3_000;
 
     /** New upstreams that must serve before all requests move, as a part of the old ones. */
-    private static final double ENOUGH = 0.7;
+    private static final double MIN_TARGET_SHARE = 0.7;
 
     private final Rollout rollout;
 
@@ -84,7 +84,7 @@
      *
      * @param rollout the roll-out
      */
-    public RolloutLead(Rollout rollout) {
+    public RolloutController(Rollout rollout) {
         this.rollout = rollout;
     }
 
@@ -112,65 +112,65 @@
 
     private Step decide(List<RouteEvidence> evidence, Fleet fleet, long nowMillis) {
         long left = rollout.deadlineMillis() - nowMillis;
-        Judgement judgement = RolloutJudge.judge(evidence);
+        Evaluation judgement = VersionEvaluator.evaluate(evidence);
         boolean bad = judgement.verdict() == Verdict.BAD;
         if (bad || rollout.phase() == RolloutPhase.HALTED) {
             return halt(bad ? judgement.reason() : "found bad by a process");
         }
         if (!rollout.isDeadlineKnown() && fleet.old() == 0 && fleet.target() > 0) {
-            return keep(
+            return continueIn(
                     RolloutPhase.SAMPLING, "only the new version serves, since a time not known");
         }
         if (!rollout.isDeadlineKnown()) {
-            return nowMillis - rollout.begunMillis() < TOLD_MILLIS
-                    ? keep(RolloutPhase.SAMPLING, "waiting for a process that knows the deadline")
+            return nowMillis - rollout.knownSinceMillis() < DEADLINE_WAIT_MILLIS
+                    ? continueIn(RolloutPhase.SAMPLING, "waiting for a process that knows the deadline")
                     : halt("no process knows when the order was written");
         }
-        if (left > Math.max(GIVE_UP_MILLIS, movingMillis())) {
-            return keep(RolloutPhase.SAMPLING, judgement.reason());
+        if (left > Math.max(GIVE_UP_MILLIS, switchMillis())) {
+            return continueIn(RolloutPhase.SAMPLING, judgement.reason());
         }
         String missing = missing(judgement, fleet);
         if (!missing.isEmpty()) {
             return left > GIVE_UP_MILLIS
-                    ? keep(RolloutPhase.SAMPLING, missing)
+                    ? continueIn(RolloutPhase.SAMPLING, missing)
                     : halt("time is up: " + missing);
         }
-        return move(judgement, fleet, left);
+        return switchOrComplete(judgement, fleet, left);
     }
 
     /** The old version stops with the record, so new work leaves it as long before as is paid. */
-    private Step move(Judgement judgement, Fleet fleet, long left) {
-        if (left <= LAST_MILLIS) {
+    private Step switchOrComplete(Evaluation judgement, Fleet fleet, long left) {
+        if (left <= COMPLETION_LEAD_MILLIS) {
             String cut = fleet.oldRequests() + " requests under way at the old version, ";
             return new Step(
                     RolloutPhase.SWITCHING, Optional.of(State.COMPLETED), cut + judgement.reason());
         }
         RolloutPhase phase =
-                left <= movingMillis() ? RolloutPhase.SWITCHING : RolloutPhase.SAMPLING;
-        return keep(phase, judgement.reason());
+                left <= switchMillis() ? RolloutPhase.SWITCHING : RolloutPhase.SAMPLING;
+        return continueIn(phase, judgement.reason());
     }
 
-    private static String missing(Judgement judgement, Fleet fleet) {
+    private static String missing(Evaluation judgement, Fleet fleet) {
         if (judgement.verdict() != Verdict.GOOD) {
             return judgement.reason();
         }
-        if (fleet.target() < ENOUGH * fleet.old()) {
+        if (fleet.target() < MIN_TARGET_SHARE * fleet.old()) {
             return String.format(
                     Locale.ROOT,
                     "%d upstreams of the new version serve, expected %d",
                     fleet.target(),
-                    (int) Math.ceil(ENOUGH * fleet.old()));
+                    (int) Math.ceil(MIN_TARGET_SHARE * fleet.old()));
         }
         return "";
     }
 
     /** Time before the deadline for which all requests are paid for. */
-    private long movingMillis() {
-        long paid = rollout.ledger().paidMillis(rollout.order().durationMillis());
-        return Math.min(MOST_MOVING_MILLIS, paid);
+    private long switchMillis() {
+        long paid = rollout.ledger().affordableMillis(rollout.order().durationMillis());
+        return Math.min(MAX_SWITCH_MILLIS, paid);
     }
 
-    private static Step keep(RolloutPhase phase, String reason) {
+    private static Step continueIn(RolloutPhase phase, String reason) {
         return new Step(phase, Optional.empty(), reason);
     }
 
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutOrder.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutOrder.java
@@ -32,7 +32,7 @@
      * @param other the other order
      * @return true if they differ in their revision at most
      */
-    public boolean isAlike(RolloutOrder other) {
+    public boolean equalsIgnoringRevision(RolloutOrder other) {
         return service.equals(other.service)
                 && version.equals(other.version)
                 && durationMillis == other.durationMillis;
@@ -44,7 +44,7 @@
      * @param next the revision
      * @return a copy
      */
-    public RolloutOrder at(long next) {
+    public RolloutOrder withRevision(long next) {
         return new RolloutOrder(service, version, durationMillis, next);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutStatus.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutStatus.java
@@ -63,7 +63,7 @@
      * @param other the other record
      * @return true if they differ in their revision at most
      */
-    public boolean isAlike(RolloutStatus other) {
+    public boolean equalsIgnoringRevision(RolloutStatus other) {
         return service.equals(other.service)
                 && version.equals(other.version)
                 && state == other.state;
@@ -75,7 +75,7 @@
      * @param next the revision
      * @return a copy
      */
-    public RolloutStatus at(long next) {
+    public RolloutStatus withRevision(long next) {
         return new RolloutStatus(service, version, state, next);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutNews.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/RolloutUpdate.java
@@ -22,21 +22,21 @@
  *
  * @param order the order it is about
  * @param phase how far it has come, as the sender knows
- * @param leftMillis time left until the order's deadline, in milliseconds; below 0 after it
+ * @param remainingMillis time left until the order's deadline, in milliseconds; below 0 after it
  * @param round grows while the leader is heard; a round that stands still says that the leader is
  *     not heard any more
  * @param evidence what the sender, and those it speaks for, have seen; empty if it is told to a
  *     process that speaks for nobody
  * @since 0.4
  */
-public record RolloutNews(
+public record RolloutUpdate(
         RolloutOrder order,
         RolloutPhase phase,
-        long leftMillis,
+        long remainingMillis,
         long round,
         List<RouteEvidence> evidence) {
     /** Copies the evidence. */
-    public RolloutNews {
+    public RolloutUpdate {
         evidence = List.copyOf(evidence);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/RouteEvidence.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/RouteEvidence.java
@@ -70,7 +70,7 @@
      *
      * @return false if a count is not
      */
-    public boolean isSound() {
-        return old.isSound() && target.isSound();
+    public boolean isValid() {
+        return old.isValid() && target.isValid();
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/rollout/VersionGate.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/rollout/VersionGate.java
@@ -26,7 +26,7 @@
  * Decides which upstreams of a service a request may go to, by their versions.
  *
  * <p>Without a roll-out every version serves. A version that appears beside others before an order
- * names it is left alone for {@link #HELD_MILLIS}, because the order may be on its way; after that
+ * names it is left alone for {@link #UNORDERED_VERSION_DELAY_MILLIS}, because the order may be on its way; after that
  * it is taken for an ordinary replacement.
  *
  * @since 0.4
@@ -36,10 +36,10 @@
      * How long a version that no order names waits, in milliseconds: orders are written before
      * their upstreams start, and reach every process that hears a hub within a second.
      */
-    static final long HELD_MILLIS = 2_500;
+    static final long UNORDERED_VERSION_DELAY_MILLIS = 2_500;
 
     private final Map<String, Rollout> rollouts = new HashMap<>();
-    private final Map<String, Map<String, Long>> seenMillis = new HashMap<>();
+    private final Map<String, Map<String, Long>> servesFromMillis = new HashMap<>();
 
     /**
      * Has a roll-out decide about its service. It replaces an earlier one.
@@ -94,10 +94,10 @@
             return rollout.admitted(serving, first, nowMillis);
         }
         if (isOneVersion(serving)) {
-            note(service, serving, nowMillis);
+            recordVersions(service, serving, nowMillis);
             return serving;
         }
-        Map<String, Long> seen = note(service, serving, nowMillis);
+        Map<String, Long> seen = recordVersions(service, serving, nowMillis);
         List<Upstream> known =
                 serving.stream()
                         .filter(upstream -> nowMillis >= seen.get(upstream.version()))
@@ -106,15 +106,15 @@
     }
 
     /** Notes from when each version serves: those of the first list at once, others later. */
-    private Map<String, Long> note(String service, List<Upstream> serving, long nowMillis) {
-        Map<String, Long> seen = seenMillis.get(service);
-        long from = seen == null ? nowMillis : nowMillis + HELD_MILLIS;
+    private Map<String, Long> recordVersions(String service, List<Upstream> serving, long nowMillis) {
+        Map<String, Long> seen = servesFromMillis.get(service);
+        long from = seen == null ? nowMillis : nowMillis + UNORDERED_VERSION_DELAY_MILLIS;
         if (seen == null) {
             if (serving.isEmpty()) {
                 return Map.of();
             }
             seen = new HashMap<>();
-            seenMillis.put(service, seen);
+            servesFromMillis.put(service, seen);
         }
         for (Upstream upstream : serving) {
             seen.putIfAbsent(upstream.version(), from);
--- a/trailladder-core/src/main/java/io/trailladder/core/store/StoreEpoch.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/store/StoreEpoch.java
@@ -32,15 +32,15 @@
  */
 public final class StoreEpoch {
     /** Most epochs that may pass unheard: a number further ahead is taken for a spoiled one. */
-    static final long MOST_AHEAD = 1_000;
+    static final long MAX_AHEAD = 1_000;
 
     /** Highest number that is taken for one at all. */
-    static final long HIGHEST = Integer.MAX_VALUE;
+    static final long MAX_EPOCH = Integer.MAX_VALUE;
 
     private long current;
 
     /** What a named epoch says. */
-    public enum Named {
+    public enum Observation {
         /** It is the current one, the first that is known, or none. */
         CURRENT,
         /** It has just become the current one; what is known of the store is of another history. */
@@ -57,20 +57,20 @@
      * @param epoch the number; 0 if none was named
      * @return what that means
      */
-    public Named named(long epoch) {
+    public Observation observe(long epoch) {
         if (epoch == 0 || epoch == current) {
-            return Named.CURRENT;
+            return Observation.CURRENT;
         }
-        boolean tooFar = current > 0 && epoch - current > MOST_AHEAD;
-        if (epoch < 0 || epoch > HIGHEST || tooFar) {
-            return Named.UNSOUND;
+        boolean tooFar = current > 0 && epoch - current > MAX_AHEAD;
+        if (epoch < 0 || epoch > MAX_EPOCH || tooFar) {
+            return Observation.UNSOUND;
         }
         if (epoch < current) {
-            return Named.OLD;
+            return Observation.OLD;
         }
         boolean first = current == 0;
         current = epoch;
-        return first ? Named.CURRENT : Named.NEW;
+        return first ? Observation.CURRENT : Observation.NEW;
     }
 
     /**
--- a/trailladder-core/src/main/java/io/trailladder/core/time/AgreedTime.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/time/AgreedTime.java
@@ -41,17 +41,17 @@
      * Fewest processes, this one included, whose median is believed more than the own clock: one
      * wrong clock among them is outvoted.
      */
-    public static final int LEAST_VOTERS = 3;
+    public static final int MIN_VOTERS = 3;
 
     /**
      * Change of the own clock from which on the median is worked out anew, in milliseconds: it is
      * asked for with each request, and clocks that are read to the millisecond move by one.
      */
-    private static final long OWN_CHANGE_MILLIS = 5;
+    private static final long RECOMPUTE_CHANGE_MILLIS = 5;
 
-    private final Map<String, TimeVote> told = new HashMap<>();
+    private final Map<String, TimeVote> reported = new HashMap<>();
     private TimeVote agreed = new TimeVote(0, 1);
-    private long agreedOwnMillis = Long.MIN_VALUE;
+    private long agreedOwnOffsetMillis = Long.MIN_VALUE;
     private long lastMillis = Long.MIN_VALUE;
 
     /**
@@ -60,10 +60,10 @@
      * @param peer the peer's name
      * @param vote the time as the peer, and those it speaks for, see it, by the steady clock here
      */
-    public void told(String peer, TimeVote vote) {
-        if (vote.isSound()) {
-            told.put(peer, vote);
-            agreedOwnMillis = Long.MIN_VALUE;
+    public void reported(String peer, TimeVote vote) {
+        if (vote.isValid()) {
+            reported.put(peer, vote);
+            agreedOwnOffsetMillis = Long.MIN_VALUE;
         }
     }
 
@@ -72,9 +72,9 @@
      *
      * @param peer the peer's name
      */
-    public void forget(String peer) {
-        told.remove(peer);
-        agreedOwnMillis = Long.MIN_VALUE;
+    public void remove(String peer) {
+        reported.remove(peer);
+        agreedOwnOffsetMillis = Long.MIN_VALUE;
     }
 
     /**
@@ -85,12 +85,12 @@
      * @return milliseconds since the start of 1970; never less than before
      */
     public long millis(long steadyMillis, long ownOffsetMillis) {
-        boolean stale = agreedOwnMillis == Long.MIN_VALUE;
-        if (stale || Math.abs(ownOffsetMillis - agreedOwnMillis) > OWN_CHANGE_MILLIS) {
-            agreed = median(ownOffsetMillis, told.values());
-            agreedOwnMillis = ownOffsetMillis;
+        boolean stale = agreedOwnOffsetMillis == Long.MIN_VALUE;
+        if (stale || Math.abs(ownOffsetMillis - agreedOwnOffsetMillis) > RECOMPUTE_CHANGE_MILLIS) {
+            agreed = median(ownOffsetMillis, reported.values());
+            agreedOwnOffsetMillis = ownOffsetMillis;
         }
-        boolean believed = agreed.voters() >= LEAST_VOTERS;
+        boolean believed = agreed.voters() >= MIN_VOTERS;
         long offset = believed ? agreed.offsetMillis() : ownOffsetMillis;
         lastMillis = Math.max(lastMillis, steadyMillis + offset);
         return lastMillis;
@@ -106,7 +106,7 @@
     public TimeVote vote(long ownOffsetMillis, Collection<String> peers) {
         List<TimeVote> votes = new ArrayList<>(peers.size());
         for (String peer : peers) {
-            TimeVote vote = told.get(peer);
+            TimeVote vote = reported.get(peer);
             if (vote != null) {
                 votes.add(vote);
             }
@@ -124,7 +124,7 @@
         for (TimeVote vote : votes) {
             passed += vote.voters();
             if (2 * passed > voters) {
-                return new TimeVote(vote.offsetMillis(), Math.min(voters, TimeVote.MOST_VOTERS));
+                return new TimeVote(vote.offsetMillis(), Math.min(voters, TimeVote.MAX_VOTERS));
             }
         }
         throw new IllegalStateException("no median of " + votes);
--- a/trailladder-core/src/main/java/io/trailladder/core/time/TimeVote.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/time/TimeVote.java
@@ -25,14 +25,14 @@
  */
 public record TimeVote(long offsetMillis, int voters) {
     /** Most processes that one vote is believed to speak for: some times the largest deployment. */
-    public static final int MOST_VOTERS = 10_000;
+    public static final int MAX_VOTERS = 10_000;
 
     /**
      * Tells whether the figures can be true.
      *
      * @return false for a vote of nobody, or of absurdly many
      */
-    public boolean isSound() {
-        return voters > 0 && voters <= MOST_VOTERS;
+    public boolean isValid() {
+        return voters > 0 && voters <= MAX_VOTERS;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/PromptAffinity.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/PromptAffinity.java
@@ -51,7 +51,7 @@
      */
     static PromptAffinity of(
             Prompt prompt, List<Upstream> serving, Topology topology, String region) {
-        String subject = prompt.subject();
+        String subject = prompt.sharedBlockId();
         if (subject.isEmpty()) {
             return NONE;
         }
--- a/trailladder-core/src/test/java/io/trailladder/core/crash/CrashLedgerProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/crash/CrashLedgerProperties.java
@@ -37,7 +37,7 @@
     private final List<CrashLedger> ledgers = new ArrayList<>();
     private final Set<Integer> wronglyRefused = new HashSet<>();
     private long now;
-    private long lives;
+    private long nextIncarnation;
     private Random random;
     private int endsUnderBad;
 
@@ -50,15 +50,15 @@
         for (int i = 0; i < PROCESSES; i++) {
             ledgers.add(new CrashLedger());
         }
-        lives = UPSTREAMS;
+        nextIncarnation = UPSTREAMS;
     }
 
-    private CrashLedger any() {
+    private CrashLedger randomLedger() {
         return ledgers.get(random.nextInt(PROCESSES));
     }
 
     /** All tell all what they know, in any order, some of it twice. */
-    private void tell() {
+    private void exchangeReports() {
         List<int[]> ways = new ArrayList<>();
         for (int from = 0; from < PROCESSES; from++) {
             for (int to = 0; to < PROCESSES; to++) {
@@ -71,24 +71,24 @@
             if (way[0] != way[1]) {
                 CrashLedger to = ledgers.get(way[1]);
                 ledgers.get(way[0])
-                        .news(0, source -> true)
-                        .forEach(report -> to.told("p" + way[0], report, now));
+                        .changedSince(0, source -> true)
+                        .forEach(report -> to.received("p" + way[0], report, now));
             }
         }
     }
 
     /** The bad request comes once: one upstream ends, and with it some others that ran there. */
-    private void badComes(int standBeside) {
-        CrashLedger process = any();
+    private void sendBadRequest(int standBeside) {
+        CrashLedger process = randomLedger();
         if (process.verdict(BAD, now) == CrashVerdict.REFUSED) {
             return;
         }
         endsUnderBad++;
-        long upstream = lives++;
+        long upstream = nextIncarnation++;
         process.ended(BAD, upstream, now - random.nextLong(100, 200), now);
         for (int i = 0; i < standBeside; i++) {
             int other = random.nextInt(OTHERS);
-            CrashLedger at = any();
+            CrashLedger at = randomLedger();
             if (at.verdict(new RequestFingerprint(other), now) == CrashVerdict.REFUSED) {
                 wronglyRefused.add(other);
             } else {
@@ -99,25 +99,25 @@
     }
 
     @Property(tries = 100, seed = "20261203")
-    void badRequestEndsFourUpstreamsAtMostWhereAllHearOfIt(@ForAll long seed) {
+    void badRequestEndsAtMostFourUpstreams(@ForAll long seed) {
         begin(seed);
         for (int i = 0; i < 30; i++) {
-            badComes(random.nextInt(30));
-            tell();
+            sendBadRequest(random.nextInt(30));
+            exchangeReports();
             now += 500;
         }
-        assertTrue(endsUnderBad <= CrashLedger.REFUSED_ANYWAY_FROM, endsUnderBad + " ended");
+        assertTrue(endsUnderBad <= CrashLedger.UNCONDITIONAL_REFUSAL_MIN_ENDS, endsUnderBad + " ended");
         for (CrashLedger ledger : ledgers) {
             assertEquals(CrashVerdict.REFUSED, ledger.verdict(BAD, now));
         }
     }
 
     @Property(tries = 100, seed = "20261203")
-    void thoseThatStoodBesideAreServedOnceAllHaveHeard(@ForAll long seed) {
+    void concurrentRequestsAreServedOnceReportsAreExchanged(@ForAll long seed) {
         begin(seed);
         for (int i = 0; i < 30; i++) {
-            badComes(random.nextInt(30));
-            tell();
+            sendBadRequest(random.nextInt(30));
+            exchangeReports();
             now += 500;
         }
         for (int other = 0; other < OTHERS; other++) {
@@ -129,24 +129,24 @@
     }
 
     @Property(tries = 200, seed = "20261203")
-    void whatIsToldInAnyOrderAndTwiceComesToTheSame(@ForAll long seed) {
+    void orderAndRepeatsOfReportsDoNotMatter(@ForAll long seed) {
         begin(seed);
         for (int i = 0; i < 40; i++) {
             RequestFingerprint request = new RequestFingerprint(random.nextInt(4));
             if (random.nextInt(6) == 0) {
-                any().cleared(request, now);
+                randomLedger().cleared(request, now);
             } else {
-                any().ended(request, random.nextInt(6), now - 10, now);
+                randomLedger().ended(request, random.nextInt(6), now - 10, now);
             }
             now += 1;
         }
-        tell();
-        tell();
+        exchangeReports();
+        exchangeReports();
         for (int request = 0; request < 4; request++) {
             RequestFingerprint one = new RequestFingerprint(request);
-            int ends = ledgers.get(0).known(one).size();
+            int ends = ledgers.get(0).countedEnds(one).size();
             for (CrashLedger ledger : ledgers) {
-                assertEquals(ends, ledger.known(one).size(), "ends of " + request);
+                assertEquals(ends, ledger.countedEnds(one).size(), "ends of " + request);
             }
         }
     }
--- a/trailladder-core/src/test/java/io/trailladder/core/crash/CrashLedgerTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/crash/CrashLedgerTest.java
@@ -48,7 +48,7 @@
     }
 
     @Example
-    void thirdEndHasItRefused() {
+    void requestIsRefusedAfterThreeEnds() {
         end(BAD, 1, 100);
         end(BAD, 2, 100);
         assertVerdict(CrashVerdict.SERVED, BAD);
@@ -58,7 +58,7 @@
     }
 
     @Example
-    void oneEndCountsOnceHoweverManyTriesItHad() {
+    void endIsCountedOnceForSeveralAttempts() {
         for (int i = 0; i < 5; i++) {
             end(BAD, 1, 100);
         }
@@ -66,7 +66,7 @@
     }
 
     @Example
-    void upstreamThatIsBackUnderItsNameAndEndsAgainCountsAgain() {
+    void restartedUpstreamWithUnchangedIncarnationCountsAgain() {
         for (int i = 0; i < 3; i++) {
             end(BAD, 1, 100);
             now += 500;
@@ -75,13 +75,13 @@
     }
 
     @Example
-    void livesOfAnUpstreamHaveNamesOfTheirOwn() {
-        assertFalse(UpstreamEnd.nameOf("w", 0) == UpstreamEnd.nameOf("w", 1));
-        assertFalse(UpstreamEnd.nameOf("w", 0) == UpstreamEnd.nameOf("v", 0));
+    void incarnationsOfAnUpstreamDiffer() {
+        assertFalse(UpstreamEnd.incarnationOf("w", 0) == UpstreamEnd.incarnationOf("w", 1));
+        assertFalse(UpstreamEnd.incarnationOf("w", 0) == UpstreamEnd.incarnationOf("v", 0));
     }
 
     @Example
-    void wholeRunClearsWhatWasBefore() {
+    void completeRunClearsEarlierEnds() {
         endThree(BAD, 100);
         assertTrue(ledger.cleared(BAD, now));
         assertVerdict(CrashVerdict.SERVED, BAD);
@@ -94,7 +94,7 @@
     }
 
     @Example
-    void endsBeforeAWholeRunAreNotBroughtBackByAPeer() {
+    void peerReportDoesNotRestoreClearedEnds() {
         endThree(BAD, 100);
         List<CrashReport> told = ledger.suspected();
         ledger.cleared(BAD, now);
@@ -102,9 +102,9 @@
         for (CrashReport report : told) {
             List<UpstreamEnd> later =
                     report.ends().stream()
-                            .map(e -> new UpstreamEnd(e.upstream(), e.repeat(), now, e.ranMillis()))
+                            .map(e -> new UpstreamEnd(e.incarnation(), e.earlierEnds(), now, e.ranMillis()))
                             .toList();
-            ledger.told("p", new CrashReport(BAD, CrashReport.NEVER, later), now);
+            ledger.received("p", new CrashReport(BAD, CrashReport.NEVER, later), now);
         }
         assertVerdict(CrashVerdict.SERVED, BAD);
     }
@@ -112,21 +112,21 @@
     @Example
     void upstreamsThatAreStillListedDidNotEnd() {
         endThree(BAD, 100);
-        now += CrashLedger.LISTED_MILLIS;
-        ledger.look(Set.of(1L), 0, now);
+        now += CrashLedger.MAX_LISTED_MILLIS;
+        ledger.cleanUp(Set.of(1L), 0, now);
         assertVerdict(CrashVerdict.SERVED, BAD);
     }
 
     @Example
-    void listThatIsNotSoundLongEnoughProvesNothing() {
+    void listThatWasNotValidLongEnoughDismissesNothing() {
         endThree(BAD, 100);
-        now += CrashLedger.LISTED_MILLIS;
-        ledger.look(Set.of(1L, 2L, 3L), now - CrashLedger.LISTED_MILLIS + 1, now);
+        now += CrashLedger.MAX_LISTED_MILLIS;
+        ledger.cleanUp(Set.of(1L, 2L, 3L), now - CrashLedger.MAX_LISTED_MILLIS + 1, now);
         assertVerdict(CrashVerdict.REFUSED, BAD);
     }
 
     @Example
-    void oneThatStoodBesideALikelierOneIsServed() {
+    void requestExplainedByALikelierOneIsServed() {
         end(OTHER, 9, 100);
         endThree(BAD, 100);
         for (int upstream = 1; upstream <= 3; upstream++) {
@@ -137,7 +137,7 @@
     }
 
     @Example
-    void ofTwoAlikeTheOneThatRanShorterIsRefused() {
+    void ofTwoWithEqualEndsTheShorterRunningOneIsRefused() {
         endThree(BAD, 100);
         for (int upstream = 1; upstream <= 3; upstream++) {
             ledger.ended(OTHER, upstream, now - 900, now);
@@ -147,7 +147,7 @@
     }
 
     @Example
-    void nextEndSetsThemApartWhereTheWrongOneWasChosen() {
+    void nextEndCorrectsAWrongAttribution() {
         endThree(OTHER, 50);
         for (int upstream = 1; upstream <= 3; upstream++) {
             ledger.ended(BAD, upstream, now - 900, now);
@@ -159,7 +159,7 @@
     }
 
     @Example
-    void fourEndsHaveItRefusedWhateverStandsBeside() {
+    void requestIsRefusedAfterFourEndsDespiteALikelierOne() {
         for (int upstream = 1; upstream <= 5; upstream++) {
             end(OTHER, upstream, 10);
             if (upstream <= 4) {
@@ -170,49 +170,49 @@
     }
 
     @Example
-    void afterARestOneProcessTriesItOnceMore() {
+    void refusedRequestIsRetriedOnceAfterTheDelay() {
         endThree(BAD, 100);
-        now += CrashLedger.REST_MILLIS;
+        now += CrashLedger.RETRY_DELAY_MILLIS;
         assertVerdict(CrashVerdict.TRIED_AGAIN, BAD);
-        ledger.triedAgain(BAD);
+        ledger.retried(BAD);
         assertVerdict(CrashVerdict.REFUSED, BAD);
     }
 
     @Example
-    void processThatOnlyHeardOfTheEndsDoesNotTry() {
+    void processThatOnlyReceivedReportsDoesNotRetry() {
         endThree(BAD, 100);
         CrashLedger peer = new CrashLedger();
-        ledger.suspected().forEach(report -> peer.told("p", report, now));
-        now += CrashLedger.REST_MILLIS;
+        ledger.suspected().forEach(report -> peer.received("p", report, now));
+        now += CrashLedger.RETRY_DELAY_MILLIS;
         assertEquals(CrashVerdict.REFUSED, peer.verdict(BAD, now));
     }
 
     @Example
-    void requestsThatEverComeAnewTakeNoMoreRoom() {
+    void numberOfRememberedRequestsIsBounded() {
         endThree(BAD, 100);
-        for (int i = 0; i < 3 * CrashLedger.MOST_REQUESTS; i++) {
+        for (int i = 0; i < 3 * CrashLedger.MAX_REQUESTS; i++) {
             end(new RequestFingerprint(100 + i), 7_000 + i, 10);
         }
-        assertEquals(CrashLedger.MOST_REQUESTS, ledger.size());
+        assertEquals(CrashLedger.MAX_REQUESTS, ledger.size());
         assertVerdict(CrashVerdict.REFUSED, BAD);
     }
 
     @Example
-    void whatIsOldIsForgotten() {
+    void oldRequestsAreRemoved() {
         end(OTHER, 1, 100);
         endThree(BAD, 100);
-        now += CrashLedger.KEPT_MILLIS + 1;
-        ledger.look(Set.of(), now, now);
+        now += CrashLedger.RETENTION_MILLIS + 1;
+        ledger.cleanUp(Set.of(), now, now);
         assertEquals(1, ledger.size());
         assertTrue(ledger.hasSuspects());
-        now += CrashLedger.REFUSED_KEPT_MILLIS + 1;
-        ledger.look(Set.of(), now, now);
+        now += CrashLedger.REFUSED_RETENTION_MILLIS + 1;
+        ledger.cleanUp(Set.of(), now, now);
         assertEquals(0, ledger.size());
         assertFalse(ledger.hasSuspects());
     }
 
     @Example
-    void fingerprintTellsCallersTargetsAndBodiesApart() {
+    void fingerprintDependsOnCallerTargetAndBody() {
         byte[] body = "body".getBytes(StandardCharsets.UTF_8);
         RequestFingerprint one = RequestFingerprint.of("k", "POST", "h/x", body);
         assertEquals(one, RequestFingerprint.of("k", "POST", "h/x", body.clone()));
@@ -223,14 +223,14 @@
 
     /** A connection may break at an upstream that lives; what it does later shows it. */
     @Example
-    void endsOfAnUpstreamThatLivedLaterDoNotCount() {
+    void endsOfAnUpstreamObservedAliveLaterDoNotCount() {
         endThree(BAD, 100);
         assertVerdict(CrashVerdict.REFUSED, BAD);
-        ledger.livedAt(2, now);
+        ledger.observedAlive(2, now);
         assertVerdict(CrashVerdict.SERVED, BAD);
         end(BAD, 2, 100);
         assertVerdict(CrashVerdict.REFUSED, BAD);
-        ledger.livedAt(2, now - 150);
+        ledger.observedAlive(2, now - 150);
         assertVerdict(CrashVerdict.REFUSED, BAD);
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/duty/StorePatienceTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/duty/ElectionDelayTest.java
@@ -31,14 +31,14 @@
  * Who asks to lead first once the leader's key is gone: hubs near the store, whose answers take 5
  * to 8 ms, or far ones with 21 ms and more, each with a patience of its own of 100 to 600 ms.
  */
-class StorePatienceTest {
+class ElectionDelayTest {
     private static final long TTL_MILLIS = 3_000;
     private static final long STEP_MILLIS = 100;
 
     private final SplittableRandom random = new SplittableRandom(20_261_203);
 
     private LeaderElection hub(int answerMillis) {
-        StorePatience patience = new StorePatience();
+        ElectionDelay patience = new ElectionDelay();
         for (int i = 0; i < 20; i++) {
             int busy = random.nextInt(3) == 0 ? random.nextInt(200) : random.nextInt(3);
             patience.answered((long) answerMillis + busy);
@@ -46,12 +46,12 @@
         int own = 100 + random.nextInt(500);
         LeaderElection election =
                 new LeaderElection(TTL_MILLIS, () -> own + patience.extraMillis(), 2 * TTL_MILLIS);
-        election.keyGone(0);
+        election.keyRemoved(0);
         return election;
     }
 
     /** Returns the time at which the first of some hubs asks. */
-    private static long firstAskMillis(List<LeaderElection> hubs) {
+    private static long firstRequestMillis(List<LeaderElection> hubs) {
         for (long now = 0; now < 10_000; now += STEP_MILLIS) {
             for (LeaderElection hub : hubs) {
                 if (hub.next(now) == Step.GRANT) {
@@ -63,27 +63,27 @@
     }
 
     @Property(tries = 300, seed = "20261203")
-    void nearHubAsksBeforeAllFarOnes(@ForAll @IntRange(min = 1, max = 16) int far) {
+    void nearHubRequestsTheLeaseBeforeAllFarOnes(@ForAll @IntRange(min = 1, max = 16) int far) {
         List<LeaderElection> there = new ArrayList<>();
         for (int i = 0; i < far; i++) {
             there.add(hub(21));
         }
-        assertTrue(firstAskMillis(List.of(hub(5))) <= firstAskMillis(there));
+        assertTrue(firstRequestMillis(List.of(hub(5))) <= firstRequestMillis(there));
     }
 
     @Example
-    void farHubsLeadSoonIfNoNearOneIsThere() {
+    void farHubsRequestTheLeaseSoonIfThereIsNoNearOne() {
         List<LeaderElection> there = List.of(hub(21), hub(21), hub(21), hub(21));
-        assertTrue(firstAskMillis(there) <= 1_600, "asked at " + firstAskMillis(there));
+        assertTrue(firstRequestMillis(there) <= 1_600, "asked at " + firstRequestMillis(there));
     }
 
     @Example
-    void slowStoreDelaysNobodyByMoreThanASecond() {
-        assertTrue(firstAskMillis(List.of(hub(4_000))) <= 1_700);
+    void slowStoreDelaysNoProcessByMoreThanASecond() {
+        assertTrue(firstRequestMillis(List.of(hub(4_000))) <= 1_700);
     }
 
     @Example
-    void patienceIsTheUsualOneBeforeAnyAnswer() {
-        assertEquals(0, new StorePatience().extraMillis());
+    void noDelayIsAddedBeforeTheFirstAnswer() {
+        assertEquals(0, new ElectionDelay().extraMillis());
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/duty/FleetPlannerTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/duty/FleetPlannerTest.java
@@ -119,7 +119,7 @@
     }
 
     @Example
-    void lossIsBridgedAtTheFullPriceIfReclaimableOnesDoNotCome() {
+    void lossIsBridgedAtTheFullPriceIfReclaimableOnesDoNotStart() {
         FleetPlanner planner = new FleetPlanner("s", false);
         planner.plan(SCALING, fleet(0, 2), busy(2.6), NONE, 0);
         planner.plan(SCALING, afterLoss(), busy(2.6), NONE, 1_000);
@@ -128,7 +128,7 @@
     }
 
     @Example
-    void whatOneDataCentreDeclinesIsOrderedInTheOthersInTheSameStep() {
+    void declinedUpstreamsAreOrderedInOtherDataCentresInTheSameStep() {
         FleetPlanner planner = new FleetPlanner("s", false);
         int before = ordered(planner.plan(SCALING, fleet(0, 2), busy(4), NONE, 0), true);
         List<UpstreamOrder> orders =
@@ -137,7 +137,7 @@
     }
 
     @Example
-    void fullPriceIsBoughtWhereItCostsLeast() {
+    void fullPriceUpstreamsAreOrderedInTheLeastExpensiveDataCentre() {
         FleetPlanner planner = new FleetPlanner("s", false);
         Set<String> all = Set.of("a", "b", "c");
         List<UpstreamOrder> orders = planner.plan(SCALING, afterLoss(), busy(1.6), all, 0);
@@ -165,7 +165,7 @@
 
     /** Both kinds count towards the most of a data centre, but what was declined is not there. */
     @Example
-    void declinedOnesTakeNoRoomFromTheFullPrice() {
+    void declinedOrdersDoNotReduceFullPriceCapacity() {
         FleetPlanner planner = new FleetPlanner("s", false);
         Set<String> all = Set.of("a", "b", "c");
         planner.plan(SCALING, fleet(0, 6), busy(6), NONE, 0);
@@ -189,14 +189,14 @@
     }
 
     @Example
-    void listThatNeverRestsIsTakenAsItIsInTheEnd() {
+    void listThatKeepsGrowingIsAcceptedAfterTheMaxWait() {
         RegistrationWatch watch = new RegistrationWatch();
         List<Upstream> upstreams = new ArrayList<>();
-        for (long now = 0; now < RegistrationWatch.MOST_WAIT_MILLIS; now += 250) {
+        for (long now = 0; now < RegistrationWatch.MAX_WAIT_MILLIS; now += 250) {
             upstreams.add(new Upstream("w" + now, "s", "a", "h:1", 8, false, false, 0));
             assertTrue(!watch.isSettled(upstreams, now), "complete at " + now);
         }
-        assertTrue(watch.isSettled(upstreams, RegistrationWatch.MOST_WAIT_MILLIS));
+        assertTrue(watch.isSettled(upstreams, RegistrationWatch.MAX_WAIT_MILLIS));
     }
 
     @Example
@@ -208,7 +208,7 @@
 
     /** A swing of 0.42 round the mean with a period of 40 s, as the traffic of one user has it. */
     @Example
-    void swingOfTheLoadIsNotFollowedDown() {
+    void loadSwingDoesNotShrinkTheFleet() {
         FleetPlanner planner = new FleetPlanner("s", true);
         ScalingSpec large = new ScalingSpec(1, 28, 4_000, 0.22, Map.of());
         List<Upstream> upstreams = fleet(0, 20);
@@ -231,7 +231,7 @@
         ScalingSpec large = new ScalingSpec(1, 28, 4_000, 0.22, Map.of());
         assertEquals(63, ordered(planner.plan(large, fleet(14, 0), UNKNOWN, NONE, 0), true));
         int ordered = 0;
-        for (long now = 20_000; now <= 20_000 + FleetPlanner.MEASURED_MILLIS; now += 250) {
+        for (long now = 20_000; now <= 20_000 + FleetPlanner.LOAD_MEASUREMENT_MILLIS; now += 250) {
             ordered = ordered(planner.plan(large, fleet(0, 21), busy(4), NONE, now), true);
         }
         assertEquals(33, ordered, "half of the guess, though 11.4 are needed in comfort");
@@ -244,14 +244,14 @@
     /** Few upstreams keep a whole need after a loss, many only a margin over the least. */
     @Example
     void marginAfterALossShrinksWithTheSizeOfTheFleet() {
-        assertEquals(1.9, new FleetNeed(1.9, 1).staffed(), 1e-9);
-        assertEquals(6, new FleetNeed(8, 4).staffed(), 1e-9);
-        assertEquals(42, new FleetNeed(72, 36).staffed(), 1e-9);
+        assertEquals(1.9, new FleetNeed(1.9, 1).withMargin(), 1e-9);
+        assertEquals(6, new FleetNeed(8, 4).withMargin(), 1e-9);
+        assertEquals(42, new FleetNeed(72, 36).withMargin(), 1e-9);
     }
 
     /** A step of three times is met by reclaimable ones in one order, not one by one. */
     @Example
-    void stepOfTheLoadIsMetAtOnceByReclaimableOnes() {
+    void loadStepIsMetByReclaimableUpstreamsInOneOrder() {
         FleetPlanner planner = new FleetPlanner("s", false);
         ScalingSpec large = new ScalingSpec(1, 28, 4_000, 0.22, Map.of());
         planner.plan(large, fleet(0, 6), busy(6), NONE, 0);
@@ -264,7 +264,7 @@
 
     /** Requests beyond all places are a backlog: they do not each want a place from now on. */
     @Example
-    void queueIsNotTakenForAFleetThatIsNeeded() {
+    void queuedRequestsDoNotCountAsNeededUpstreams() {
         ServiceLoad queued = new ServiceLoad(10, 10_000, 900);
         ServiceLoad load = queued.withBacklog(400, 800);
         assertEquals(400 + 500 * 0.2, load.running(), 1e-9);
@@ -281,10 +281,10 @@
     }
 
     @Example
-    void takingOverDoesNotShrinkWhatServes() {
+    void takeOverDoesNotShrinkTheServingFleet() {
         FleetPlanner planner = new FleetPlanner("s", true);
         List<Upstream> serving = fleet(1, 5);
-        for (long now = 0; now <= FleetPlanner.MEASURED_MILLIS; now += 250) {
+        for (long now = 0; now <= FleetPlanner.LOAD_MEASUREMENT_MILLIS; now += 250) {
             Optional<FleetNeed> load = now < 500 ? UNKNOWN : busy(now / 10_000.0);
             List<UpstreamOrder> orders = planner.plan(SCALING, serving, load, NONE, now);
             assertTrue(ordered(orders, true) >= 15, "reclaimable at " + now);
@@ -293,7 +293,7 @@
     }
 
     @Example
-    void entriesThatComeBackLateAfterTakingOverAreKeptToo() {
+    void upstreamsListedLateAfterATakeOverAreKept() {
         FleetPlanner planner = new FleetPlanner("s", true);
         planner.plan(SCALING, fleet(0, 5).subList(0, 2), UNKNOWN, NONE, 0);
         assertEquals(15, ordered(planner.plan(SCALING, fleet(0, 5), busy(0.4), NONE, 1_000), true));
@@ -312,7 +312,7 @@
     @Example
     void aPeakRightAfterTakingOverIsNotBridgedAtTheFullPrice() {
         FleetPlanner planner = new FleetPlanner("s", true);
-        for (long now = 0; now < FleetPlanner.MEASURED_MILLIS; now += 250) {
+        for (long now = 0; now < FleetPlanner.LOAD_MEASUREMENT_MILLIS; now += 250) {
             assertEquals(0, ordered(planner.plan(SCALING, fleet(0, 5), busy(9), NONE, now), false));
         }
     }
--- a/trailladder-core/src/test/java/io/trailladder/core/duty/LeaderElectionProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/duty/LeaderElectionProperties.java
@@ -42,7 +42,7 @@
         final List<Long> leaseEnds = new ArrayList<>();
         long revision = 10;
         long keyLease = -1;
-        long keyMade;
+        long keyCreatedRevision;
 
         long grant(long now) {
             leaseEnds.add(now + TTL);
@@ -61,7 +61,7 @@
                 return false;
             }
             keyLease = lease;
-            keyMade = ++revision;
+            keyCreatedRevision = ++revision;
             return true;
         }
 
@@ -89,14 +89,14 @@
         } else if (step == Step.CLAIM) {
             boolean done = !requestLost && store.claim(entry.lease(), now);
             if (done && !answerLost) {
-                entry.claimed(store.keyMade);
+                entry.claimed(store.keyCreatedRevision);
             } else {
                 entry.notClaimed(now);
             }
         } else if (step == Step.RENEW && !requestLost) {
             boolean done = store.renew(entry.lease(), now);
             if (!done) {
-                entry.lost(now);
+                entry.leadershipLost(now);
             } else if (!answerLost) {
                 entry.renewed(now);
             }
@@ -127,9 +127,9 @@
                     continue;
                 }
                 if (store.keyLease < 0) {
-                    entry.keyGone(now);
+                    entry.keyRemoved(now);
                 } else {
-                    entry.keySeen(store.keyMade);
+                    entry.keySeen(store.keyCreatedRevision);
                 }
                 act(entry, store, random, now, 0.1);
                 if (entry.leads(now) && entry.token() != highest) {
@@ -146,7 +146,7 @@
     @Example
     void stoppingLeaderGivesItsLeaseUp() {
         LeaderElection entry = new LeaderElection(TTL, 0, TTL);
-        entry.keyGone(0);
+        entry.keyRemoved(0);
         assertEquals(Step.GRANT, entry.next(0));
         entry.granted(7);
         assertEquals(Step.CLAIM, entry.next(1));
@@ -159,9 +159,9 @@
     }
 
     @Example
-    void claimWithoutAnswerIsNeverBelieved() {
+    void unansweredClaimNeverMakesALeader() {
         LeaderElection entry = new LeaderElection(TTL, 0, TTL);
-        entry.keyGone(0);
+        entry.keyRemoved(0);
         entry.next(0);
         entry.granted(7);
         entry.next(1);
--- a/trailladder-core/src/test/java/io/trailladder/core/duty/LeaderElectionReturnsProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/duty/LeaderElectionRestoredStoreProperties.java
@@ -33,7 +33,7 @@
  * entries at once: the platform never accepts the calls of two leaders turn about, no token is used
  * by two, and calls are accepted again. Faults and time are drawn from the seed.
  */
-class LeaderElectionReturnsProperties {
+class LeaderElectionRestoredStoreProperties {
     private static final long TTL = 3_000;
     private static final int ENTRIES = 5;
     private static final long STEP_MILLIS = 50;
@@ -41,17 +41,17 @@
     private static final long CALL_MILLIS = 200;
 
     /** Within which time every entry hears of a change from its peers. */
-    private static final long TOLD_MILLIS = 1_000;
+    private static final long EPOCH_REPORT_MILLIS = 1_000;
 
     private static final long DIGEST_MILLIS = 200;
     private static final long FIRST_RAISE = 1_000;
 
     /** The leader's key; lease 0 if there is none. */
-    private record Key(String holder, long made, long revision, long lease, long above) {
+    private record Key(String holder, long createdRevision, long revision, long lease, long knownToken) {
         static final Key NONE = new Key("", 0, 0, 0, 0);
 
         long token() {
-            return lease == 0 ? 0 : Math.max(made, above + 1);
+            return lease == 0 ? 0 : Math.max(createdRevision, knownToken + 1);
         }
     }
 
@@ -79,7 +79,7 @@
             copiedLeases = leases;
         }
 
-        void comeBack(long now) {
+        void restore(long now) {
             leaseEnds = new HashMap<>(copiedEnds);
             key = copiedKey;
             revision = copiedRevision;
@@ -103,7 +103,7 @@
                 return false;
             }
             revision++;
-            long made = key.lease() == 0 ? revision : key.made();
+            long made = key.lease() == 0 ? revision : key.createdRevision();
             key = new Key(holder, made, revision, lease, above);
             return true;
         }
@@ -121,7 +121,7 @@
         }
 
         /** No two holders' calls may be accepted in turns within a lease. */
-        void assertNoTurns() {
+        void assertNoAlternation() {
             for (int i = 2; i < accepted.size(); i++) {
                 String last = accepted.get(i);
                 for (int j = i - 1; j > 0; j--) {
@@ -145,7 +145,7 @@
         long epoch;
         long pausedUntil;
         long calledMillis;
-        int raises;
+        int raiseCount;
 
         Entry(String name, Random random) {
             this.name = name;
@@ -159,11 +159,11 @@
             election.started(now);
             election.epoch(named);
             epoch = named;
-            raises = 0;
+            raiseCount = 0;
         }
 
         /** Learns the epoch; returns false if it is another one than before. */
-        boolean learns(long named, long now) {
+        boolean observeEpoch(long named, long now) {
             if (epoch == named) {
                 return true;
             }
@@ -177,8 +177,8 @@
         }
 
         void act(Store store, long now, double lost) {
-            boolean told = now - store.replacedMillis >= TOLD_MILLIS;
-            if (told && !learns(store.epoch, now)) {
+            boolean told = now - store.replacedMillis >= EPOCH_REPORT_MILLIS;
+            if (told && !observeEpoch(store.epoch, now)) {
                 return;
             }
             if (epoch == store.epoch || epoch == 0) {
@@ -188,7 +188,7 @@
             boolean requestLost = random.nextDouble() < lost;
             boolean answerLost = random.nextDouble() < lost;
             if (step != Step.NONE) {
-                ask(step, store, now, requestLost, answerLost);
+                request(step, store, now, requestLost, answerLost);
             }
             if (election.leads(now) && now - calledMillis >= CALL_MILLIS) {
                 calledMillis = now;
@@ -198,16 +198,16 @@
 
         private void watch(Store store, long now) {
             if (store.key.lease() == 0) {
-                election.keyGone(now);
+                election.keyRemoved(now);
             } else {
                 election.keySeen(store.key.token());
             }
         }
 
-        private void ask(
+        private void request(
                 Step step, Store store, long now, boolean requestLost, boolean answerLost) {
-            boolean done = !requestLost && does(step, store, now);
-            boolean counts = !requestLost && !answerLost && learns(store.epoch, now);
+            boolean done = !requestLost && perform(step, store, now);
+            boolean counts = !requestLost && !answerLost && observeEpoch(store.epoch, now);
             switch (step) {
                 case GRANT -> {
                     if (counts) {
@@ -218,8 +218,8 @@
                 }
                 case CLAIM -> {
                     if (counts && done) {
-                        election.claimed(store.key.made());
-                        raises = 0;
+                        election.claimed(store.key.createdRevision());
+                        raiseCount = 0;
                     } else {
                         election.notClaimed(now);
                     }
@@ -228,7 +228,7 @@
                     if (counts && done) {
                         election.renewed(now);
                     } else if (counts) {
-                        election.lost(now);
+                        election.leadershipLost(now);
                     }
                 }
                 case CONFIRM -> confirm(store, now, counts);
@@ -236,7 +236,7 @@
             }
         }
 
-        private boolean does(Step step, Store store, long now) {
+        private boolean perform(Step step, Store store, long now) {
             return switch (step) {
                 case GRANT -> {
                     store.leaseEnds.put(++store.leases, now + TTL);
@@ -269,11 +269,11 @@
             if (store.call(name, election.token(), now)) {
                 return;
             }
-            if (store.key.holder().equals(name) && learns(store.epoch, now)) {
-                long step = FIRST_RAISE << Math.min(10, raises++);
-                election.raise(election.token() + step + random.nextLong(step));
+            if (store.key.holder().equals(name) && observeEpoch(store.epoch, now)) {
+                long step = FIRST_RAISE << Math.min(10, raiseCount++);
+                election.raiseToken(election.token() + step + random.nextLong(step));
             } else {
-                election.lost(now);
+                election.leadershipLost(now);
             }
         }
     }
@@ -286,7 +286,7 @@
         return entries;
     }
 
-    private static void pass(
+    private static void run(
             Store store, List<Entry> entries, long fromMillis, long untilMillis, double lost) {
         for (long now = fromMillis; now < untilMillis; now += STEP_MILLIS) {
             store.expire(now);
@@ -296,12 +296,12 @@
                 }
             }
             if (now % DIGEST_MILLIS == 0) {
-                tell(entries, now);
+                exchangeTokens(entries, now);
             }
         }
     }
 
-    private static void tell(List<Entry> entries, long now) {
+    private static void exchangeTokens(List<Entry> entries, long now) {
         long highest = 0;
         for (Entry entry : entries) {
             if (now >= entry.pausedUntil) {
@@ -316,7 +316,7 @@
     }
 
     @Property(tries = 300)
-    void neverTurnAboutAndNeverTheSameToken(@ForAll long seed) {
+    void leadersNeverAlternateAndNeverShareAToken(@ForAll long seed) {
         Random random = new Random(seed);
         Store store = new Store();
         List<Entry> entries = entries(random);
@@ -325,7 +325,7 @@
                 store.copy();
             }
             if (random.nextInt(200) == 0) {
-                store.comeBack(now);
+                store.restore(now);
             }
             if (random.nextInt(20) == 0) {
                 store.revision += random.nextInt(60);
@@ -336,26 +336,26 @@
             if (random.nextInt(300) == 0) {
                 entries.get(random.nextInt(ENTRIES)).start(now, store.epoch);
             }
-            pass(store, entries, now, now + STEP_MILLIS, 0.05);
+            run(store, entries, now, now + STEP_MILLIS, 0.05);
         }
         int before = store.accepted.size();
-        pass(store, entries, LENGTH_MILLIS, LENGTH_MILLIS + 8 * TTL, 0);
+        run(store, entries, LENGTH_MILLIS, LENGTH_MILLIS + 8 * TTL, 0);
         assertTrue(store.accepted.size() > before, "no call is accepted at the end");
-        store.assertNoTurns();
+        store.assertNoAlternation();
     }
 
     @Example
-    void leaderThatLivesIsAcceptedAgainWithinALease() {
+    void runningLeaderIsAcceptedAgainWithinALease() {
         Random random = new Random(1);
         Store store = new Store();
         List<Entry> entries = entries(random);
         store.copy();
-        pass(store, entries, 0, 5_000, 0);
+        run(store, entries, 0, 5_000, 0);
         assertTrue(!store.accepted.isEmpty(), "somebody leads");
         String leader = store.accepted.get(store.accepted.size() - 1);
-        store.comeBack(5_000);
+        store.restore(5_000);
         int before = store.accepted.size();
-        pass(store, entries, 5_000, 5_000 + TTL, 0);
+        run(store, entries, 5_000, 5_000 + TTL, 0);
         assertTrue(store.accepted.size() > before, "calls within a lease");
         assertEquals(leader, store.accepted.get(before), "the same leads on");
     }
@@ -367,12 +367,12 @@
         List<Entry> entries = entries(random);
         store.copy();
         store.revision += 5_000;
-        pass(store, entries, 0, 5_000, 0);
-        store.comeBack(5_000);
+        run(store, entries, 0, 5_000, 0);
+        store.restore(5_000);
         entries.forEach(entry -> entry.start(5_000, store.epoch));
         int before = store.accepted.size();
-        pass(store, entries, 5_000, 5_000 + 2 * TTL, 0);
+        run(store, entries, 5_000, 5_000 + 2 * TTL, 0);
         assertTrue(store.accepted.size() > before, "calls are accepted");
-        store.assertNoTurns();
+        store.assertNoAlternation();
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/duty/UsageLedgerTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/duty/UsageLedgerTest.java
@@ -44,7 +44,7 @@
     }
 
     @Example
-    void restartedEntryCountsBesideItsEarlierLife() {
+    void restartedEntryCountsBesideItsEarlierIncarnation() {
         UsageLedger ledger = new UsageLedger("a/1", WINDOW);
         ledger.merge("b/1", List.of(new UsageCount(1, "t", 5)), false);
         ledger.merge("b/2", List.of(new UsageCount(1, "t", 2)), false);
@@ -52,7 +52,7 @@
     }
 
     @Example
-    void onlyWhatIsToBePassedOnIsNews() {
+    void onlyCountsToBePassedOnAreReportedAsChanges() {
         UsageLedger ledger = new UsageLedger("hub/1", WINDOW);
         ledger.started("t", 5_000);
         ledger.merge("leaf/1", List.of(new UsageCount(1, "t", 5)), true);
@@ -71,7 +71,7 @@
     }
 
     @Example
-    void whoeverKeepsAllIsToldAllThatHasChanged() {
+    void usageReplicaReceivesAllChanges() {
         UsageLedger ledger = new UsageLedger("hub/1", WINDOW);
         ledger.merge("other-hub/1", List.of(new UsageCount(1, "t", 9)), false);
         long told = ledger.sequence();
@@ -88,12 +88,12 @@
     }
 
     @Example
-    void changesOfOldWindowsAreForgottenWithTheirCounts() {
+    void changesOfOldWindowsAreRemovedWithTheirCounts() {
         UsageLedger ledger = new UsageLedger("a/1", WINDOW);
         ledger.started("t", 0);
         ledger.merge("b/1", List.of(new UsageCount(0, "t", 9)), false);
         ledger.started("t", 20 * WINDOW);
-        ledger.forgetOld(20 * WINDOW);
+        ledger.removeOldWindows(20 * WINDOW);
         assertEquals(Map.of("a/1", List.of(new UsageCount(20, "t", 1))), ledger.allChangesAfter(0));
         assertEquals(List.of("a/1"), ledger.entries());
     }
--- a/trailladder-core/src/test/java/io/trailladder/core/limit/QuotaBucketTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/limit/QuotaBucketTest.java
@@ -43,21 +43,21 @@
     }
 
     @Example
-    void whatPeersTakeIsNotThereAnyMore() {
+    void unitsTakenByPeersAreNotAvailable() {
         QuotaBucket bucket = new QuotaBucket(LIMIT, LIMIT.burst(), 0);
         bucket.takenByPeers(1_000, 0);
         assertTrue(bucket.tryTake(100, 0) > 0);
     }
 
     @Example
-    void unheardPeersKeepTheirPart() {
+    void unreachablePeersKeepTheirPart() {
         QuotaBucket bucket = new QuotaBucket(LIMIT, 0, 0);
         bucket.sharedPart(0.5, 0);
         assertEquals(500, bucket.level(SECOND), 0.001);
     }
 
     /** Has a bucket hear others that take some units every 100 ms for ten seconds. */
-    private static QuotaBucket hearing(double unitsOfOthers) {
+    private static QuotaBucket bucketWithActiveOthers(double unitsOfOthers) {
         QuotaBucket bucket = new QuotaBucket(LIMIT, LIMIT.burst(), 0);
         for (long now = 0; now <= 10 * SECOND; now += 100) {
             bucket.takenByPeers(unitsOfOthers, now);
@@ -67,18 +67,18 @@
     }
 
     @Example
-    void entryThatHearsNobodyForAMomentUsesWhatTheOthersLeave() {
-        QuotaBucket bucket = hearing(40);
+    void entryIsolatedBrieflyUsesWhatTheOthersLeave() {
+        QuotaBucket bucket = bucketWithActiveOthers(40);
         bucket.tryTake(bucket.level(10 * SECOND), 10 * SECOND);
-        bucket.othersGoOn(0.01, 10 * SECOND);
+        bucket.assumeOthersActive(0.01, 10 * SECOND);
         assertEquals(600, bucket.level(11 * SECOND), 60);
     }
 
     @Example
-    void entryThatHearsNobodyTakesNothingThatTheOthersUse() {
-        QuotaBucket bucket = hearing(100);
+    void isolatedEntryTakesNothingThatTheOthersUse() {
+        QuotaBucket bucket = bucketWithActiveOthers(100);
         double before = bucket.level(10 * SECOND);
-        bucket.othersGoOn(0.01, 10 * SECOND);
+        bucket.assumeOthersActive(0.01, 10 * SECOND);
         assertEquals(before + 10, bucket.level(11 * SECOND), 60);
     }
 
@@ -92,7 +92,7 @@
     }
 
     @Example
-    void entryThatIsCutOffSpendsItsPartOfWhatIsLeft() {
+    void isolatedEntrySpendsItsPartOfTheLevel() {
         QuotaBucket bucket = new QuotaBucket(LIMIT, 800, 0);
         bucket.sharedPart(0.1, 0);
         assertEquals(80, takeAll(bucket, 0), 10);
@@ -100,32 +100,32 @@
     }
 
     @Example
-    void entryThatStaysCutOffHasTakenFromItsPartWhatOthersWereThoughtToLeave() {
-        QuotaBucket bucket = hearing(40);
+    void entryThatStaysIsolatedIsChargedWhatOthersWereAssumedToLeave() {
+        QuotaBucket bucket = bucketWithActiveOthers(40);
         double left = bucket.level(10 * SECOND);
-        bucket.othersGoOn(0.1, 10 * SECOND);
+        bucket.assumeOthersActive(0.1, 10 * SECOND);
         assertEquals(left, takeAll(bucket, 10 * SECOND), 10);
         bucket.sharedPart(0.1, 10 * SECOND);
         assertEquals(0, takeAll(bucket, 12 * SECOND));
     }
 
     @Example
-    void entryThatHearsOthersAgainIsChargedNothingThatTheyLeft() {
-        QuotaBucket bucket = hearing(40);
-        bucket.othersGoOn(0.1, 10 * SECOND);
+    void reconnectedEntryIsNotChargedWhatTheOthersLeft() {
+        QuotaBucket bucket = bucketWithActiveOthers(40);
+        bucket.assumeOthersActive(0.1, 10 * SECOND);
         takeAll(bucket, 10 * SECOND);
-        bucket.othersWentOn(11 * SECOND);
+        bucket.othersWereActive(11 * SECOND);
         bucket.sharedPart(1, 11 * SECOND);
         assertEquals(600, bucket.level(11 * SECOND), 60);
     }
 
     @Example
-    void entryThatIsHeardAgainHasWhatItLeftToTheOthers() {
+    void reconnectedEntryRegainsThePartOfUnreachableProcesses() {
         QuotaBucket bucket = new QuotaBucket(LIMIT, LIMIT.burst(), 0);
         bucket.sharedPart(0.25, 0);
         bucket.tryTake(200, 0);
         bucket.sharedPart(0.5, 0);
-        assertEquals(800, bucket.levelOfAll(0), 0.001);
+        assertEquals(800, bucket.totalLevel(0), 0.001);
         assertEquals(300, bucket.level(0), 0.001);
         bucket.sharedPart(1, 0);
         assertEquals(800, bucket.level(0), 0.001);
@@ -145,7 +145,7 @@
 
     /** However the processes are cut apart, and again, all together pass what one bucket holds. */
     @Property
-    void partsOfACutPassTogetherNoMoreThanRateAndBurst(
+    void partitionsTogetherPassNoMoreThanRateAndBurst(
             @ForAll @Size(min = 1, max = 6) List<@IntRange(min = 1, max = 5) Integer> groups,
             @ForAll @IntRange(min = 100, max = 2_000) int stepMillis) {
         int processes = groups.stream().mapToInt(size -> size).sum();
@@ -166,7 +166,7 @@
     @Example
     void restartedEntryTakesOverALowerLevel() {
         QuotaBucket bucket = new QuotaBucket(LIMIT, LIMIT.burst(), 0);
-        bucket.atMost(-300, 0);
+        bucket.capLevel(-300, 0);
         assertEquals(-300, bucket.level(0), 0.001);
     }
 
--- a/trailladder-core/src/test/java/io/trailladder/core/membership/LinkPlannerProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/membership/LinkPlannerProperties.java
@@ -59,7 +59,7 @@
 
     @Example
     void fewProcessesAllLinkToEachOtherOnce() {
-        List<GatewayMember> members = members(HubTopology.FULL_MESH_MOST, 0);
+        List<GatewayMember> members = members(HubTopology.FULL_MESH_MAX_PROCESSES, 0);
         int links = 0;
         for (GatewayMember self : members) {
             LinkPlan plan = planner(self, members).plan(false, 0);
@@ -113,7 +113,7 @@
     }
 
     @Example
-    void hubThatStaysOutOfReachIsTriedLessAndLessOften() {
+    void unreachableHubIsTriedAtGrowingIntervals() {
         List<GatewayMember> members = members(30, 6);
         GatewayMember leaf = members.get(0);
         LinkPlanner planner = planner(leaf, members);
@@ -150,7 +150,7 @@
     }
 
     @Example
-    void leafThatOthersRelyOnLinksToAllHubs() {
+    void leafThatActsAsAHubLinksToAllHubs() {
         List<GatewayMember> members = members(30, 6);
         LinkPlanner planner = planner(members.get(0), members);
         assertFalse(planner.plan(false, 0).hub());
--- a/trailladder-core/src/test/java/io/trailladder/core/membership/MemberCountProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/membership/MemberCountProperties.java
@@ -34,13 +34,13 @@
     /** Processes that all tell each other what they have read. */
     private static final class Cluster {
         private final Reading[] readings;
-        private final int[] heard;
+        private final int[] received;
 
         Cluster(int size, int members) {
             readings = new Reading[size];
-            heard = new int[size];
+            received = new int[size];
             Arrays.fill(readings, new Reading(members, true));
-            Arrays.fill(heard, members);
+            Arrays.fill(received, members);
         }
 
         int count(int process) {
@@ -50,21 +50,21 @@
                     told.add(readings[i]);
                 }
             }
-            return MemberCount.of(readings[process], told, heard[process]);
+            return MemberCount.of(readings[process], told, received[process]);
         }
     }
 
     @Property(tries = 500, seed = "20261202")
-    void numberThatWasOnceTooHighIsForgotten(
+    void countThatWasOnceTooHighIsNotRetained(
             @ForAll @IntRange(min = 6, max = 20) int size, @ForAll long seed) {
         Cluster cluster = new Cluster(size, size);
         Random random = new Random(seed);
         for (int round = 0; round < 10; round++) {
             int process = random.nextInt(size);
-            cluster.heard[process] = size * 2;
+            cluster.received[process] = size * 2;
             cluster.readings[process] = new Reading(size + 5, true);
             assertEquals(size * 2, Math.max(size + 5, cluster.count(process)));
-            cluster.heard[process] = size;
+            cluster.received[process] = size;
             cluster.readings[process] = new Reading(size, true);
         }
         for (int process = 0; process < size; process++) {
@@ -73,20 +73,20 @@
     }
 
     @Example
-    void processThatHasReadNothingBelievesItsPeers() {
+    void processThatHasReadNothingUsesTheReadingsOfItsPeers() {
         assertEquals(7, MemberCount.of(UNREAD, List.of(new Reading(7, true)), 1));
         assertEquals(1, MemberCount.of(UNREAD, List.of(), 1));
     }
 
     @Example
-    void oldReadingOfAProcessWithoutTheStoreGivesWay() {
+    void oldReadingOfAProcessWithoutTheStoreIsReplaced() {
         Reading old = new Reading(12, false);
         assertEquals(8, MemberCount.of(old, List.of(new Reading(8, true)), 8));
         assertEquals(12, MemberCount.of(old, List.of(), 1));
     }
 
     @Example
-    void processesThatAreHeardCountBeforeTheyAreListed() {
+    void processesWithReceivedFiguresCountBeforeTheyAreListed() {
         assertEquals(9, MemberCount.of(new Reading(8, true), List.of(), 9));
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/membership/RegionPlanTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/membership/RegionPlanTest.java
@@ -56,7 +56,7 @@
         return members.stream().filter(m -> m.address().equals(address)).findFirst().orElseThrow();
     }
 
-    private static Set<String> linksAcross(List<GatewayMember> members) {
+    private static Set<String> linksBetweenRegions(List<GatewayMember> members) {
         Set<String> across = new TreeSet<>();
         for (GatewayMember self : members) {
             for (String address : planner(self, members).plan(false, 0).dial()) {
@@ -70,54 +70,54 @@
     }
 
     @Property(tries = 60, seed = "20261203")
-    void fourLinksCrossHoweverManyProcessesThereAre(@ForAll @IntRange(min = 4, max = 340) int n) {
+    void fourLinksBetweenRegionsForAnyNumberOfProcesses(@ForAll @IntRange(min = 4, max = 340) int n) {
         List<GatewayMember> members = members(n);
-        assertEquals(4, linksAcross(members).size());
+        assertEquals(4, linksBetweenRegions(members).size());
     }
 
     @Property(tries = 60, seed = "20261203")
-    void carriersOfARegionStandInTwoDataCentres(@ForAll @IntRange(min = 6, max = 340) int n) {
+    void bridgesOfARegionAreInTwoDataCentres(@ForAll @IntRange(min = 6, max = 340) int n) {
         List<GatewayMember> members = members(n);
         Topology topology = Topology.of("a1", REGIONS);
         for (String region : List.of("a", "b")) {
             List<GatewayMember> order =
-                    HubTopology.carriers(HubTopology.hubs(members), topology, region);
+                    HubTopology.bridgeOrder(HubTopology.hubs(members), topology, region);
             assertNotEquals(order.get(0).dataCentre(), order.get(1).dataCentre());
         }
     }
 
     @Example
-    void theNextHubCarriesOnceACarrierCannotBeReached() {
+    void nextHubBecomesABridgeWhenABridgeIsUnreachable() {
         List<GatewayMember> members = members(72);
         List<GatewayMember> order =
-                HubTopology.carriers(HubTopology.hubs(members), Topology.of("a1", REGIONS), "a");
+                HubTopology.bridgeOrder(HubTopology.hubs(members), Topology.of("a1", REGIONS), "a");
         LinkPlanner third = planner(order.get(2), members);
-        assertTrue(across(third, members).isEmpty(), "two others carry");
+        assertTrue(addressesInOtherRegion(third, members).isEmpty(), "two others carry");
         third.unreachable(order.get(0).address(), 0);
-        assertEquals(2, across(third, members).size());
+        assertEquals(2, addressesInOtherRegion(third, members).size());
         third.reached(order.get(0).address());
-        assertTrue(across(third, members).isEmpty(), "two others carry again");
+        assertTrue(addressesInOtherRegion(third, members).isEmpty(), "two others carry again");
     }
 
     @Example
-    void lostCarriersOfTheOtherRegionAreStoodInForAndTriedFurther() {
+    void unreachableBridgesOfTheOtherRegionAreReplacedAndTriedAgain() {
         List<GatewayMember> members = members(72);
         Topology topology = Topology.of("a1", REGIONS);
         List<GatewayMember> hubs = HubTopology.hubs(members);
-        GatewayMember self = HubTopology.carriers(hubs, topology, "a").get(0);
-        List<GatewayMember> there = HubTopology.carriers(hubs, topology, "b");
+        GatewayMember self = HubTopology.bridgeOrder(hubs, topology, "a").get(0);
+        List<GatewayMember> there = HubTopology.bridgeOrder(hubs, topology, "b");
         LinkPlanner planner = planner(self, members);
         planner.unreachable(there.get(0).address(), 0);
         planner.unreachable(there.get(1).address(), 0);
-        Set<String> across = across(planner, members);
+        Set<String> across = addressesInOtherRegion(planner, members);
         assertTrue(across.contains(there.get(2).address()), "the third is dialled");
         assertTrue(across.contains(there.get(3).address()), "the fourth is dialled");
         planner.reached(there.get(0).address());
         planner.reached(there.get(1).address());
-        assertTrue(across(planner, members).size() <= 2, "the first two are enough again");
+        assertTrue(addressesInOtherRegion(planner, members).size() <= 2, "the first two are enough again");
     }
 
-    private static Set<String> across(LinkPlanner planner, List<GatewayMember> members) {
+    private static Set<String> addressesInOtherRegion(LinkPlanner planner, List<GatewayMember> members) {
         Set<String> across = new TreeSet<>();
         for (String address : planner.plan(false, 100_000).dial()) {
             if (REGIONS.get(at(address, members).dataCentre()).equals("b")) {
--- a/trailladder-core/src/test/java/io/trailladder/core/pipeline/RecoveryPolicyProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/pipeline/RecoveryPolicyProperties.java
@@ -56,7 +56,7 @@
     }
 
     /** Plays failures until the request is given up; returns how it ended. */
-    private static Ending play(
+    private static Ending endingAfter(
             ServingRequest request, AttemptHistory history, List<AttemptFailure> failures) {
         Recovery recovery = new Retry();
         int upstream = 0;
@@ -78,11 +78,11 @@
     }
 
     @Property
-    void unsafeRequestNeverRunsTwiceAndNotRunIsTrue(
+    void unsafeRequestIsNotRepeatedAndNotRunIsCertain(
             @ForAll @Size(min = 1, max = 6) List<AttemptFailure> failures,
             @ForAll @IntRange(min = 1, max = 4) int attempts) {
         AttemptHistory history = new AttemptHistory();
-        Ending ending = play(request(RouteKind.UNSAFE, false, attempts), history, failures);
+        Ending ending = endingAfter(request(RouteKind.UNSAFE, false, attempts), history, failures);
         if (ending == Ending.NOT_RUN) {
             assertFalse(history.mayHaveRun());
         }
@@ -93,16 +93,16 @@
             @ForAll @Size(min = 1, max = 10) List<AttemptFailure> failures,
             @ForAll @IntRange(min = 1, max = 4) int attempts) {
         AttemptHistory history = new AttemptHistory();
-        play(request(RouteKind.SAFE, false, attempts), history, failures);
+        endingAfter(request(RouteKind.SAFE, false, attempts), history, failures);
         assertTrue(history.sent() <= attempts);
     }
 
     @Example
-    void streamGoesOnAfterItsLastWholeEvent() {
+    void streamResumesAfterItsLastCompleteEvent() {
         AttemptHistory history = new AttemptHistory();
         history.sent("w0");
-        history.answerBegun();
-        history.eventPassed("7");
+        history.answerStarted();
+        history.eventForwarded("7");
         history.failed("w0", AttemptFailure.BROKEN);
         ServingRequest request = request(RouteKind.STREAMING, true, 2);
         Recovery recovery =
@@ -111,10 +111,10 @@
     }
 
     @Example
-    void streamThatMayNotBeResumedIsBrokenOffAloud() {
+    void streamThatMayNotBeResumedIsBrokenOff() {
         AttemptHistory history = new AttemptHistory();
         history.sent("w0");
-        history.answerBegun();
+        history.answerStarted();
         history.failed("w0", AttemptFailure.BROKEN);
         ServingRequest request = request(RouteKind.STREAMING, false, 2);
         Recovery recovery =
@@ -123,7 +123,7 @@
     }
 
     @Example
-    void emptyBudgetEndsARepeatableRequestAtOnce() {
+    void emptyRetryBudgetEndsARepeatableRequest() {
         AttemptHistory history = new AttemptHistory();
         history.sent("w0");
         history.failed("w0", AttemptFailure.NOT_EXECUTED);
@@ -134,7 +134,7 @@
     }
 
     @Example
-    void misdirectedAttemptCostsNoAttempt() {
+    void misdirectedAttemptIsNotCounted() {
         AttemptHistory history = new AttemptHistory();
         history.sent("w0");
         history.failed("w0", AttemptFailure.MISDIRECTED);
@@ -145,7 +145,7 @@
     }
 
     @Property
-    void attemptThatNeverLeftRunsNothing(@ForAll AttemptFailure failure) {
+    void failureBeforeSendingAllowsARetry(@ForAll AttemptFailure failure) {
         AttemptHistory history = new AttemptHistory();
         history.failed("w0", failure.beforeSending());
         assertFalse(history.mayHaveRun());
@@ -156,7 +156,7 @@
     }
 
     @Property
-    void failureThatIsCertainStaysWhatItIs(@ForAll AttemptFailure failure) {
+    void failureWithoutExecutionIsUnchangedBeforeSending(@ForAll AttemptFailure failure) {
         boolean certain = !failure.mayHaveRun();
         assertEquals(certain ? failure : AttemptFailure.NOT_SENT, failure.beforeSending());
     }
--- a/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutLeadTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutControllerTest.java
@@ -18,8 +18,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-import io.trailladder.core.rollout.RolloutLead.Fleet;
-import io.trailladder.core.rollout.RolloutLead.Step;
+import io.trailladder.core.rollout.RolloutController.Fleet;
+import io.trailladder.core.rollout.RolloutController.Step;
 import io.trailladder.core.rollout.RolloutStatus.State;
 import java.util.List;
 import java.util.Optional;
@@ -29,57 +29,57 @@
 import net.jqwik.api.constraints.IntRange;
 
 /** What the leader decides at which time. */
-class RolloutLeadTest {
+class RolloutControllerTest {
     private static final int DURATION_MILLIS = 12_000;
     private static final RolloutOrder ORDER = new RolloutOrder("s", "v2", DURATION_MILLIS, 7);
     private static final Fleet FLEET = new Fleet(12, 12, 40);
-    private static final RolloutStatus MOVING = new RolloutStatus("s", "v2", State.IN_PROGRESS, 8);
+    private static final RolloutStatus IN_PROGRESS = new RolloutStatus("s", "v2", State.IN_PROGRESS, 8);
     private static final List<RouteEvidence> GOOD =
             List.of(new RouteEvidence("r", new AnswerCount(900, 2), new AnswerCount(90, 0)));
 
-    private static Rollout known() {
+    private static Rollout rolloutWithDeadline() {
         return new Rollout(ORDER, new ExposureLedger(0.1, 0), 0);
     }
 
     private static Step step(Rollout rollout, List<RouteEvidence> evidence, long nowMillis) {
-        return new RolloutLead(rollout).next(evidence, MOVING, FLEET, nowMillis);
+        return new RolloutController(rollout).next(evidence, IN_PROGRESS, FLEET, nowMillis);
     }
 
     /** A completion stops the old version, so that what it costs before the deadline is bounded. */
     @Property(tries = 500, seed = "20261203")
     void completionIsRecordedShortlyBeforeTheDeadlineAtTheEarliest(
             @ForAll @IntRange(min = 0, max = 30_000) int nowMillis) {
-        Step step = step(known(), GOOD, nowMillis);
-        boolean isTime = nowMillis >= DURATION_MILLIS - RolloutLead.LAST_MILLIS;
+        Step step = step(rolloutWithDeadline(), GOOD, nowMillis);
+        boolean isTime = nowMillis >= DURATION_MILLIS - RolloutController.COMPLETION_LEAD_MILLIS;
         assertEquals(isTime, step.record().equals(Optional.of(State.COMPLETED)));
     }
 
     @Example
-    void versionThatWasNotShownToBeGoodIsRolledBackBeforeTheDeadline() {
-        Step step = step(known(), List.of(), DURATION_MILLIS - 900);
+    void undecidedVersionIsRolledBackBeforeTheDeadline() {
+        Step step = step(rolloutWithDeadline(), List.of(), DURATION_MILLIS - 900);
         assertEquals(Optional.of(State.ROLLED_BACK), step.record());
     }
 
     /** A leader that was lost over the deadline goes on by what was seen. */
     @Example
-    void lateRecordIsByTheSameEvidence() {
+    void resultAfterTheDeadlineUsesTheSameEvidence() {
         assertEquals(
-                Optional.of(State.COMPLETED), step(known(), GOOD, DURATION_MILLIS + 800).record());
+                Optional.of(State.COMPLETED), step(rolloutWithDeadline(), GOOD, DURATION_MILLIS + 800).record());
         assertEquals(
                 Optional.of(State.ROLLED_BACK),
-                step(known(), List.of(), DURATION_MILLIS + 800).record());
+                step(rolloutWithDeadline(), List.of(), DURATION_MILLIS + 800).record());
     }
 
     @Example
     void suspectVersionIsNotCompleted() {
         List<RouteEvidence> suspect =
                 List.of(new RouteEvidence("r", new AnswerCount(3_000, 6), new AnswerCount(240, 5)));
-        assertEquals(Optional.empty(), step(known(), suspect, 6_000).record());
-        assertEquals(Optional.of(State.ROLLED_BACK), step(known(), suspect, 11_800).record());
+        assertEquals(Optional.empty(), step(rolloutWithDeadline(), suspect, 6_000).record());
+        assertEquals(Optional.of(State.ROLLED_BACK), step(rolloutWithDeadline(), suspect, 11_800).record());
     }
 
     @Example
-    void newWorkMovesAsLongBeforeTheRecordAsIsPaid() {
+    void switchLastsAsLongAsTheBoundAllows() {
         RolloutOrder hour = new RolloutOrder("s", "v2", 60_000, 7);
         Rollout rollout = new Rollout(hour, new ExposureLedger(0.1, 0), 0);
         assertEquals(RolloutPhase.SAMPLING, step(rollout, GOOD, 59_000).phase());
@@ -99,33 +99,33 @@
 
     /** An order of the past whose version serves alone must not take the service away. */
     @Example
-    void versionThatServesAloneIsLeftAlone() {
+    void onlyServingVersionIsNotRolledBack() {
         Rollout rollout = Rollout.ofUnknownAge(ORDER, new ExposureLedger(0.1, 0), 0);
         Fleet alone = new Fleet(0, 12, 0);
-        Step step = new RolloutLead(rollout).next(GOOD, MOVING, alone, 60_000);
+        Step step = new RolloutController(rollout).next(GOOD, IN_PROGRESS, alone, 60_000);
         assertEquals(Optional.empty(), step.record());
         assertEquals(RolloutPhase.SAMPLING, step.phase());
     }
 
     /** A process that starts anew takes the deadline from one that goes on. */
     @Example
-    void deadlineThatAPeerKnowsHolds() {
+    void deadlineIsTakenFromAPeer() {
         Rollout rollout = Rollout.ofUnknownAge(ORDER, new ExposureLedger(0.1, 0), 0);
-        rollout.heard(new RolloutNews(ORDER, RolloutPhase.SAMPLING, 5_000, 3, List.of()), 100);
+        rollout.received(new RolloutUpdate(ORDER, RolloutPhase.SAMPLING, 5_000, 3, List.of()), 100);
         assertEquals(5_100, rollout.deadlineMillis());
         Step step = step(rollout, GOOD, 5_000);
         assertEquals(Optional.of(State.COMPLETED), step.record());
         Rollout other = Rollout.ofUnknownAge(ORDER, new ExposureLedger(0.1, 0), 0);
-        other.heard(rollout.news(List.of(), 5_000), 5_200);
+        other.received(rollout.update(List.of(), 5_000), 5_200);
         assertEquals(5_300, other.deadlineMillis());
     }
 
     /** What nobody knows does not become known by telling. */
     @Example
-    void unknownDeadlineStaysUnknownWhenTold() {
+    void unknownDeadlineStaysUnknownAfterAPeerUpdate() {
         Rollout one = Rollout.ofUnknownAge(ORDER, new ExposureLedger(0.1, 0), 0);
         Rollout other = Rollout.ofUnknownAge(ORDER, new ExposureLedger(0.1, 0), 900_000);
-        other.heard(one.news(List.of(), 5_000), 901_000);
+        other.received(one.update(List.of(), 5_000), 901_000);
         assertFalse(other.isDeadlineKnown());
     }
 }
