--- a/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutModelTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutModelTest.java
@@ -19,8 +19,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.trailladder.core.rollout.RolloutLead.Fleet;
-import io.trailladder.core.rollout.RolloutLead.Step;
+import io.trailladder.core.rollout.RolloutController.Fleet;
+import io.trailladder.core.rollout.RolloutController.Step;
 import io.trailladder.core.rollout.RolloutStatus.State;
 import io.trailladder.core.upstream.Upstream;
 import java.util.ArrayDeque;
@@ -37,22 +37,22 @@
  * of, so that the real deciders run and no state is met twice.
  */
 class RolloutModelTest {
-    private static final int DURATION = 3_000;
+    private static final int DURATION_MILLIS = 3_000;
 
     /** Times that count: samples, the last second, the record, the deadline, and long after it. */
-    private static final int[] TIMES = {0, 2_100, 2_700, 3_200, 8_300};
+    private static final int[] TIMES_MILLIS = {0, 2_100, 2_700, 3_200, 8_300};
 
     /** How long a leader that cannot reach the store goes on leading, in milliseconds. */
-    private static final int LEASE = 3_000;
+    private static final int LEASE_MILLIS = 3_000;
 
-    private static final RolloutOrder ORDER = new RolloutOrder("s", "v2", DURATION, 1);
+    private static final RolloutOrder ORDER = new RolloutOrder("s", "v2", DURATION_MILLIS, 1);
     private static final Upstream OLD = upstream("a", "v1");
     private static final Upstream NEW = upstream("b", "v2");
     private static final Fleet FLEET = new Fleet(1, 1, 0);
     private static final List<RouteEvidence> GOOD = evidence(0);
     private static final List<RouteEvidence> BAD = evidence(40);
-    private static final int MOST_ROUNDS_APART = 2;
-    private static final int NEVER = -9_000;
+    private static final int MAX_ROUNDS_APART = 2;
+    private static final int NEVER_MILLIS = -9_000;
 
     /** What becomes of a write: done, done but its answer lost, or lost. */
     private enum Write {
@@ -65,9 +65,9 @@
     private record Member(
             RolloutPhase phase,
             boolean deadlineKnown,
-            int begun,
+            int knownSince,
             int round,
-            int heard,
+            int lastRoundAt,
             State read,
             int readRevision) {}
 
@@ -78,7 +78,7 @@
     private record World(
             int time, int leader, int leaseEnd, int restarts, Store store, Member a, Member b) {
         int now() {
-            return TIMES[time];
+            return TIMES_MILLIS[time];
         }
 
         Member process(int index) {
@@ -95,8 +95,8 @@
                     leaseEnd,
                     restarts,
                     store,
-                    near(first, least),
-                    near(second, least));
+                    withSmallRound(first, least),
+                    withSmallRound(second, least));
         }
 
         World with(Store next) {
@@ -104,22 +104,22 @@
         }
 
         /** Only who is ahead counts, so rounds are kept small. */
-        private static Member near(Member process, int least) {
-            int round = Math.min(MOST_ROUNDS_APART, process.round() - least);
+        private static Member withSmallRound(Member process, int least) {
+            int round = Math.min(MAX_ROUNDS_APART, process.round() - least);
             return new Member(
                     process.phase(),
                     process.deadlineKnown(),
-                    process.begun(),
+                    process.knownSince(),
                     round,
-                    process.heard(),
+                    process.lastRoundAt(),
                     process.read(),
                     process.readRevision());
         }
     }
 
     private final Deque<World> open = new ArrayDeque<>();
-    private final Set<World> met = new HashSet<>();
-    private final Set<State> ends = new HashSet<>();
+    private final Set<World> visited = new HashSet<>();
+    private final Set<State> reachedStates = new HashSet<>();
 
     private static Upstream upstream(String id, String version) {
         return new Upstream(id, "s", "z", "h:1", 8, false, false, 0, version, 0, 0);
@@ -130,20 +130,20 @@
     }
 
     @Example
-    void noInterleavingBreaksTheRules() {
-        Member fresh = new Member(RolloutPhase.SAMPLING, true, 0, 0, NEVER, State.NONE, 0);
-        meet(new World(0, 0, LEASE, 0, new Store(State.NONE, 0, -1), fresh, fresh));
+    void noInterleavingBreaksTheInvariants() {
+        Member fresh = new Member(RolloutPhase.SAMPLING, true, 0, 0, NEVER_MILLIS, State.NONE, 0);
+        visit(new World(0, 0, LEASE_MILLIS, 0, new Store(State.NONE, 0, -1), fresh, fresh));
         while (!open.isEmpty()) {
             World world = open.remove();
-            next(world).forEach(this::meet);
+            next(world).forEach(this::visit);
         }
-        System.out.println(met.size() + " states of two processes, ends " + ends);
-        assertTrue(ends.containsAll(Set.of(State.COMPLETED, State.ROLLED_BACK)), ends.toString());
+        System.out.println(visited.size() + " states of two processes, ends " + reachedStates);
+        assertTrue(reachedStates.containsAll(Set.of(State.COMPLETED, State.ROLLED_BACK)), reachedStates.toString());
     }
 
-    private void meet(World reached) {
+    private void visit(World reached) {
         World world = canonical(reached);
-        if (met.add(world)) {
+        if (visited.add(world)) {
             check(world);
             open.add(world);
         }
@@ -154,7 +154,7 @@
         return new World(
                 world.time(),
                 world.now() < world.leaseEnd() ? world.leader() : 0,
-                world.now() < world.leaseEnd() ? world.leaseEnd() : NEVER,
+                world.now() < world.leaseEnd() ? world.leaseEnd() : NEVER_MILLIS,
                 world.restarts(),
                 world.store(),
                 canonical(world.a(), world.now()),
@@ -162,26 +162,26 @@
     }
 
     private static Member canonical(Member process, int now) {
-        boolean heardLately = now - process.heard() <= Rollout.HEARD_MILLIS;
+        boolean heardLately = now - process.lastRoundAt() <= Rollout.LEADER_TIMEOUT_MILLIS;
         return new Member(
                 process.phase(),
                 process.deadlineKnown(),
-                process.deadlineKnown() ? 0 : process.begun(),
+                process.deadlineKnown() ? 0 : process.knownSince(),
                 process.round(),
-                heardLately ? process.heard() : NEVER,
+                heardLately ? process.lastRoundAt() : NEVER_MILLIS,
                 process.read(),
                 process.readRevision());
     }
 
     /** What must hold in each state. */
     private void check(World world) {
-        ends.add(world.store().state());
+        reachedStates.add(world.store().state());
         for (int index = 0; index < 2; index++) {
             Rollout view = view(world.process(index));
             boolean toNew = view.admitted(List.of(OLD, NEW), true, world.now()).contains(NEW);
             boolean leftLong =
                     world.store().state() == State.ROLLED_BACK
-                            && world.now() - world.store().endedAt() > LEASE + Rollout.HEARD_MILLIS;
+                            && world.now() - world.store().endedAt() > LEASE_MILLIS + Rollout.LEADER_TIMEOUT_MILLIS;
             assertFalse(toNew && leftLong, () -> "sent long after the roll-back: " + world);
             boolean readBack = world.process(index).read() == State.ROLLED_BACK;
             assertFalse(toNew && readBack, () -> "sent though it knows better: " + world);
@@ -190,11 +190,11 @@
 
     private static List<World> next(World world) {
         List<World> next = new ArrayList<>();
-        if (world.time() + 1 < TIMES.length) {
+        if (world.time() + 1 < TIMES_MILLIS.length) {
             next.add(passTime(world));
         }
         for (int index = 0; index < 2; index++) {
-            next.add(tell(world, index));
+            next.add(sendUpdate(world, index));
             next.add(read(world, index));
             if (world.restarts() == 0) {
                 next.add(restart(world, index));
@@ -223,7 +223,7 @@
         return new World(
                 world.time(),
                 index,
-                world.now() + LEASE,
+                world.now() + LEASE_MILLIS,
                 world.restarts(),
                 world.store(),
                 world.a(),
@@ -233,7 +233,7 @@
     /** A life that starts anew has read the store and no peer. */
     private static World restart(World world, int index) {
         Member life =
-                new Member(RolloutPhase.SAMPLING, false, world.now(), 0, NEVER, State.NONE, 0);
+                new Member(RolloutPhase.SAMPLING, false, world.now(), 0, NEVER_MILLIS, State.NONE, 0);
         World lost =
                 new World(
                         world.time(),
@@ -246,13 +246,13 @@
         return read(lost.with(index, life), index);
     }
 
-    private static World tell(World world, int from) {
+    private static World sendUpdate(World world, int from) {
         Member teller = world.process(from);
         Member told = world.process(1 - from);
-        RolloutNews news = view(teller).news(List.of(), world.now());
+        RolloutUpdate news = view(teller).update(List.of(), world.now());
         Rollout view = view(told);
-        view.heard(news, world.now());
-        int heard = news.round() > told.round() ? world.now() : told.heard();
+        view.received(news, world.now());
+        int heard = news.round() > told.round() ? world.now() : told.lastRoundAt();
         return world.with(1 - from, process(view, told, heard, world.now()));
     }
 
@@ -260,7 +260,7 @@
         Member reader = world.process(index);
         Rollout view = view(reader);
         view.recorded(status(world.store()), world.now());
-        Member seen = process(view, reader, reader.heard(), world.now());
+        Member seen = process(view, reader, reader.lastRoundAt(), world.now());
         return world.with(index, withRead(seen, world.store()));
     }
 
@@ -279,7 +279,7 @@
         if (view.phase().isFinal()) {
             return world;
         }
-        Step step = new RolloutLead(view).next(evidence, read, FLEET, world.now());
+        Step step = new RolloutController(view).next(evidence, read, FLEET, world.now());
         view.lead(step.phase(), world.now());
         World led = world.with(index, process(view, leading, world.now(), world.now()));
         return step.record().map(state -> write(led, index, state, write)).orElse(led);
@@ -306,7 +306,7 @@
         if (after == State.COMPLETED) {
             assertTrue(writer.deadlineKnown(), () -> "completed without a deadline: " + world);
             assertTrue(
-                    world.now() >= DURATION - RolloutLead.LAST_MILLIS,
+                    world.now() >= DURATION_MILLIS - RolloutController.COMPLETION_LEAD_MILLIS,
                     () -> "completed before it is paid for: " + world);
         }
     }
@@ -321,9 +321,9 @@
         return new Member(
                 process.phase(),
                 process.deadlineKnown(),
-                process.begun(),
+                process.knownSince(),
                 process.round(),
-                process.heard(),
+                process.lastRoundAt(),
                 store.state(),
                 store.revision());
     }
@@ -334,11 +334,11 @@
         Rollout view =
                 process.deadlineKnown()
                         ? new Rollout(ORDER, ledger, 0)
-                        : Rollout.ofUnknownAge(ORDER, ledger, process.begun());
-        RolloutNews past =
-                new RolloutNews(
+                        : Rollout.ofUnknownAge(ORDER, ledger, process.knownSince());
+        RolloutUpdate past =
+                new RolloutUpdate(
                         ORDER, process.phase(), Long.MAX_VALUE / 4, process.round(), List.of());
-        view.heard(past, process.heard());
+        view.received(past, process.lastRoundAt());
         return view;
     }
 
@@ -346,17 +346,17 @@
         return new Member(
                 view.phase(),
                 view.isDeadlineKnown(),
-                before.begun(),
-                (int) view.news(List.of(), now).round(),
+                before.knownSince(),
+                (int) view.update(List.of(), now).round(),
                 heard,
                 before.read(),
                 before.readRevision());
     }
 
     @Example
-    void viewsBuiltAnewAreTheSame() {
+    void rebuiltViewEqualsTheOriginal() {
         Member process =
                 new Member(RolloutPhase.SWITCHING, false, 100, 2, 900, State.IN_PROGRESS, 2);
-        assertEquals(process, process(view(process), process, process.heard(), 1_000));
+        assertEquals(process, process(view(process), process, process.lastRoundAt(), 1_000));
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutPowerTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutPowerTest.java
@@ -31,7 +31,7 @@
  * {@code -Drollout.plays=1000} for narrow intervals.
  */
 class RolloutPowerTest {
-    private static final int PLAYS = Integer.getInteger("rollout.plays", 8);
+    private static final int RUNS = Integer.getInteger("rollout.plays", 8);
     private static final int[] PER_SECOND = {60, 115, 283};
     private static final int PROCESSES = 70;
     private static final int DURATION_MILLIS = 12_000;
@@ -40,7 +40,7 @@
     private static final double DEVIATIONS = 1.96;
 
     /** What was seen of one kind of version at one rate. */
-    private record Seen(int completed, double mostUsed, double held, double cut) {}
+    private record Result(int completed, double maxUsed, double delayedRequests, double interruptedRequests) {}
 
     private static Map<String, Version> versions() {
         Map<String, Version> versions = new LinkedHashMap<>();
@@ -59,14 +59,14 @@
     }
 
     @Example
-    void powerIsStatedByRateAndTraffic() {
+    void completedVersionsAreCountedByFailureRateAndTraffic() {
         for (int perSecond : PER_SECOND) {
-            versions().forEach((name, version) -> state(name, version, perSecond));
+            versions().forEach((name, version) -> report(name, version, perSecond));
         }
     }
 
-    private static void state(String name, Version version, int perSecond) {
-        Seen seen = play(version, perSecond);
+    private static void report(String name, Version version, int perSecond) {
+        Result seen = simulate(version, perSecond);
         System.out.printf(
                 Locale.ROOT,
                 "%3d a second, %-20s %4d of %d completed (%s), %.2f of the bound, held %.0f, cut"
@@ -74,42 +74,42 @@
                 perSecond,
                 name,
                 seen.completed(),
-                PLAYS,
+                RUNS,
                 interval(seen.completed()),
-                seen.mostUsed(),
-                seen.held(),
-                seen.cut());
-        assertTrue(seen.mostUsed() <= 1, name + " broke the bound");
+                seen.maxUsed(),
+                seen.delayedRequests(),
+                seen.interruptedRequests());
+        assertTrue(seen.maxUsed() <= 1, name + " broke the bound");
         if (perSecond > PER_SECOND[0] && version.fails() >= 0.3 && version.route() < 0) {
             assertEquals(0, seen.completed(), name + " completed");
         }
     }
 
-    private static Seen play(Version version, int perSecond) {
+    private static Result simulate(Version version, int perSecond) {
         int completed = 0;
         double used = 0;
         double held = 0;
         double cut = 0;
-        for (int seed = 0; seed < PLAYS; seed++) {
+        for (int seed = 0; seed < RUNS; seed++) {
             Faults faults = new Faults(-1, -1, 0, 0, 300);
             SimulatedRollout played =
                     new SimulatedRollout(version, faults, PROCESSES, DURATION_MILLIS, seed)
-                            .play(perSecond);
+                            .run(perSecond);
             used = Math.max(used, played.exposed() / played.exposureBound());
-            if (played.state() == State.COMPLETED && played.finalMillis() <= DURATION_MILLIS) {
+            if (played.state() == State.COMPLETED && played.resultMillis() <= DURATION_MILLIS) {
                 completed++;
-                held += played.held();
-                cut += played.cut();
+                held += played.delayedRequests();
+                cut += played.interruptedRequests();
             }
         }
         int counted = Math.max(1, completed);
-        return new Seen(completed, used, held / counted, cut / counted);
+        return new Result(completed, used, held / counted, cut / counted);
     }
 
     /** Where the part lies with a probability of 0.95, by Wilson's score. */
     private static String interval(int completed) {
-        double rate = (double) completed / PLAYS;
-        double square = DEVIATIONS * DEVIATIONS / PLAYS;
+        double rate = (double) completed / RUNS;
+        double square = DEVIATIONS * DEVIATIONS / RUNS;
         double half = Math.sqrt(square * rate * (1 - rate) + square * square / 4);
         double middle = rate + square / 2;
         return String.format(
--- a/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutProperties.java
@@ -40,37 +40,37 @@
     private static final int DURATION_MILLIS = 12_000;
 
     /** Plays over all kinds of bad versions and faults: some seconds of computing. */
-    private static final int ALL_PLAYS = 400;
+    private static final int RANDOM_RUNS = 400;
 
-    private static SimulatedRollout play(
+    private static SimulatedRollout simulate(
             Version version, Faults faults, int processes, double perSecond, long seed) {
         return new SimulatedRollout(version, faults, processes, DURATION_MILLIS, seed)
-                .play(perSecond);
+                .run(perSecond);
     }
 
-    private static void assertExposureKept(SimulatedRollout played) {
+    private static void assertExposureWithinBound(SimulatedRollout played) {
         assertTrue(
                 played.exposed() <= played.exposureBound(),
                 played.exposed() + " sent, expected at most " + played.exposureBound());
         assertTrue(
-                played.lateMillis() <= SimulatedRollout.LEFT_MILLIS,
-                "sent " + played.lateMillis() + " ms after the 50th bad answer");
+                played.exposureAfterBadMillis() <= SimulatedRollout.MAX_EXPOSURE_AFTER_BAD_MILLIS,
+                "sent " + played.exposureAfterBadMillis() + " ms after the 50th bad answer");
     }
 
     @Property(tries = 60, seed = "20261202")
-    void failingVersionsGetLittleAndAreRolledBack(
+    void failingVersionsAreRolledBackWithinTheBound(
             @ForAll @DoubleRange(min = 0.3, max = 1) double fails,
             @ForAll @IntRange(min = 6, max = 95) int processes,
             @ForAll @DoubleRange(min = 40, max = 300) double perSecond,
             @ForAll long seed) {
         SimulatedRollout played =
-                play(Version.failing(fails), Faults.NONE, processes, perSecond, seed);
-        assertExposureKept(played);
+                simulate(Version.failing(fails), Faults.NONE, processes, perSecond, seed);
+        assertExposureWithinBound(played);
         assertEquals(State.ROLLED_BACK, played.state());
     }
 
     @Property(tries = 60, seed = "20261202")
-    void exposureIsKeptWhateverStrikes(
+    void exposureStaysWithinTheBoundUnderFaults(
             @ForAll @DoubleRange(min = 0.01, max = 1) double fails,
             @ForAll @DoubleRange(min = 0, max = 1) double slow,
             @ForAll @IntRange(min = 0, max = 6_000) int from,
@@ -82,8 +82,8 @@
             @ForAll long seed) {
         Version version = new Version(fails, slow, 4, from, -1, -1);
         Faults faults = new Faults(leaderLostSecond * 1_000, 2_000, cutParts, restart * 300);
-        SimulatedRollout played = play(version, faults, processes, perSecond, seed);
-        assertExposureKept(played);
+        SimulatedRollout played = simulate(version, faults, processes, perSecond, seed);
+        assertExposureWithinBound(played);
     }
 
     /**
@@ -92,15 +92,15 @@
      * the bound.
      */
     @Example
-    void exposureIsKeptHoweverThePlayEnds() {
+    void exposureStaysWithinTheBoundForEveryResult() {
         Map<State, Integer> ends = new EnumMap<>(State.class);
         List<String> broken = new ArrayList<>();
         double closest = 0;
-        for (int seed = 1; seed <= ALL_PLAYS; seed++) {
-            SimulatedRollout played = anyPlay(seed);
+        for (int seed = 1; seed <= RANDOM_RUNS; seed++) {
+            SimulatedRollout played = randomRun(seed);
             ends.merge(played.state(), 1, Integer::sum);
             closest = Math.max(closest, played.exposed() / played.exposureBound());
-            boolean late = played.lateMillis() > SimulatedRollout.LEFT_MILLIS;
+            boolean late = played.exposureAfterBadMillis() > SimulatedRollout.MAX_EXPOSURE_AFTER_BAD_MILLIS;
             if (played.exposed() > played.exposureBound() || late) {
                 broken.add(
                         String.format(
@@ -110,20 +110,20 @@
                                 played.state(),
                                 played.exposed(),
                                 played.exposureBound(),
-                                played.lateMillis()));
+                                played.exposureAfterBadMillis()));
             }
         }
         System.out.printf(
                 Locale.ROOT,
                 "%d plays with bad versions ended %s; most used of the bound %.2f%n",
-                ALL_PLAYS,
+                RANDOM_RUNS,
                 ends,
                 closest);
         assertEquals(List.of(), broken);
     }
 
     /** A play with a bad version and faults, all drawn by its seed. */
-    private static SimulatedRollout anyPlay(int seed) {
+    private static SimulatedRollout randomRun(int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         double[] rates = {0.01, 0.02, 0.05, 0.1, 0.3};
         double fails = rates[random.nextInt(rates.length)];
@@ -138,7 +138,7 @@
         Faults faults = new Faults(lost, 2_000, random.nextInt(3), restart, 400);
         int processes = 6 + random.nextInt(90);
         double perSecond = 5 + random.nextInt(400);
-        return play(version, faults, processes, perSecond, seed);
+        return simulate(version, faults, processes, perSecond, seed);
     }
 
     @Property(tries = 40, seed = "20261202")
@@ -148,8 +148,8 @@
             @ForAll @DoubleRange(min = 60, max = 300) double perSecond,
             @ForAll long seed) {
         Version version = new Version(0, slow, times, 0, -1, -1);
-        SimulatedRollout played = play(version, Faults.NONE, 30, perSecond, seed);
-        assertExposureKept(played);
+        SimulatedRollout played = simulate(version, Faults.NONE, 30, perSecond, seed);
+        assertExposureWithinBound(played);
         assertEquals(State.ROLLED_BACK, played.state());
     }
 
@@ -158,17 +158,17 @@
             @ForAll @IntRange(min = 6, max = 70) int processes,
             @ForAll @DoubleRange(min = 100, max = 300) double perSecond,
             @ForAll long seed) {
-        SimulatedRollout played = play(Version.GOOD, Faults.NONE, processes, perSecond, seed);
+        SimulatedRollout played = simulate(Version.GOOD, Faults.NONE, processes, perSecond, seed);
         assertEquals(State.COMPLETED, played.state());
-        assertTrue(played.finalMillis() <= DURATION_MILLIS, "at " + played.finalMillis());
+        assertTrue(played.resultMillis() <= DURATION_MILLIS, "at " + played.resultMillis());
     }
 
     @Property(tries = 40, seed = "20261202")
     void versionsThatFailOnOneRouteAreRolledBack(
             @ForAll @IntRange(min = 0, max = 2) int route, @ForAll long seed) {
         Version version = new Version(0.5, 0, 1, 0, -1, route);
-        SimulatedRollout played = play(version, Faults.NONE, 40, 200, seed);
-        assertExposureKept(played);
+        SimulatedRollout played = simulate(version, Faults.NONE, 40, 200, seed);
+        assertExposureWithinBound(played);
         assertEquals(State.ROLLED_BACK, played.state());
     }
 
@@ -176,8 +176,8 @@
     void versionsThatFailLaterAreRolledBack(
             @ForAll @IntRange(min = 1_000, max = 4_500) int from, @ForAll long seed) {
         Version version = new Version(0.5, 0, 1, from, -1, -1);
-        SimulatedRollout played = play(version, Faults.NONE, 40, 200, seed);
-        assertExposureKept(played);
+        SimulatedRollout played = simulate(version, Faults.NONE, 40, 200, seed);
+        assertExposureWithinBound(played);
         assertEquals(State.ROLLED_BACK, played.state());
     }
 
@@ -186,8 +186,8 @@
     void versionsThatFailUnderLoadAreRolledBack() {
         for (long seed = 0; seed < 20; seed++) {
             Version version = new Version(0.6, 0, 1, 0, 3, -1);
-            SimulatedRollout played = play(version, Faults.NONE, 40, 240, seed);
-            assertExposureKept(played);
+            SimulatedRollout played = simulate(version, Faults.NONE, 40, 240, seed);
+            assertExposureWithinBound(played);
             assertEquals(State.ROLLED_BACK, played.state(), "seed " + seed);
         }
     }
@@ -199,9 +199,9 @@
             for (Version version : List.of(Version.GOOD, Version.failing(0.3))) {
                 SimulatedRollout played =
                         new SimulatedRollout(version, Faults.NONE, 60, DURATION_MILLIS, second)
-                                .losingAllAt(second * 1_000)
-                                .play(250);
-                assertExposureKept(played);
+                                .restartingAllAt(second * 1_000)
+                                .run(250);
+                assertExposureWithinBound(played);
                 assertEquals(State.ROLLED_BACK, played.state(), "second " + second);
             }
         }
@@ -211,8 +211,8 @@
     void lossOfTheLeaderDelaysButKeepsTheBounds() {
         for (int second = 1; second < 11; second++) {
             Faults faults = new Faults(second * 1_000, -1, 0, 0);
-            SimulatedRollout bad = play(Version.failing(0.4), faults, 40, 250, second);
-            assertExposureKept(bad);
+            SimulatedRollout bad = simulate(Version.failing(0.4), faults, 40, 250, second);
+            assertExposureWithinBound(bad);
             assertEquals(State.ROLLED_BACK, bad.state(), "second " + second);
         }
     }
--- a/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutTest.java
@@ -41,59 +41,59 @@
     }
 
     @Example
-    void nothingIsSampledBeforeALeaderIsHeard() {
+    void nothingIsSampledWithoutALeader() {
         assertEquals(List.of(OLD), rollout.admitted(BOTH, true, 100));
         rollout.lead(RolloutPhase.SAMPLING, 200);
         assertEquals(List.of(NEW), rollout.admitted(BOTH, true, 300));
-        long silent = 201 + Rollout.HEARD_MILLIS;
+        long silent = 201 + Rollout.LEADER_TIMEOUT_MILLIS;
         assertEquals(List.of(OLD), rollout.admitted(BOTH, true, silent));
     }
 
     @Example
-    void requestThatFailedBeforeIsNoSample() {
+    void requestThatFailedBeforeIsNotSampled() {
         rollout.lead(RolloutPhase.SAMPLING, 0);
         assertEquals(List.of(OLD), rollout.admitted(BOTH, false, 100));
     }
 
     @Example
-    void processThatSeesItFailStopsByItself() {
+    void processThatObservesFailuresHaltsByItself() {
         rollout.lead(RolloutPhase.SAMPLING, 0);
         for (int i = 0; i < 100; i++) {
-            rollout.answered(OLD, new AnswerSeen("r", false, 50, 50, 0, true));
+            rollout.answered(OLD, new AnswerObservation("r", false, 50, 50, 0, true));
         }
         for (int i = 0; i < 6; i++) {
-            rollout.answered(NEW, new AnswerSeen("r", true, 50, 50, 0, true));
+            rollout.answered(NEW, new AnswerObservation("r", true, 50, 50, 0, true));
         }
         assertEquals(RolloutPhase.HALTED, rollout.phase());
         assertEquals(List.of(OLD), rollout.admitted(BOTH, true, 100));
     }
 
     @Example
-    void coldUpstreamMayBeLate() {
+    void lateAnswersOfAColdUpstreamAreNotBad() {
         Upstream cold = new Upstream("c", "s", "z", "h:1", 8, false, false, 0, "v2", 900, 0);
         for (int i = 0; i < 100; i++) {
-            rollout.answered(OLD, new AnswerSeen("r", false, 50, 50, 0, true));
-            rollout.answered(cold, new AnswerSeen("r", false, 900, 50, 0, true));
+            rollout.answered(OLD, new AnswerObservation("r", false, 50, 50, 0, true));
+            rollout.answered(cold, new AnswerObservation("r", false, 900, 50, 0, true));
         }
         assertEquals(RolloutPhase.SAMPLING, rollout.phase());
         assertEquals(0, rollout.evidence().get(0).target().bad());
     }
 
     @Example
-    void recordInTheStoreDecides() {
-        rollout.heard(new RolloutNews(ORDER, RolloutPhase.HALTED, 9_000, 1, List.of()), 0);
+    void recordInTheStoreOverridesPeers() {
+        rollout.received(new RolloutUpdate(ORDER, RolloutPhase.HALTED, 9_000, 1, List.of()), 0);
         rollout.recorded(new RolloutStatus("s", "v2", State.COMPLETED, 9), 100);
         assertEquals(List.of(NEW), rollout.admitted(BOTH, true, 200));
     }
 
     @Example
-    void recordOfAnEarlierOrderSaysNothing() {
+    void recordOfAnEarlierOrderIsIgnored() {
         rollout.recorded(new RolloutStatus("s", "v2", State.ROLLED_BACK, 5), 100);
         assertEquals(RolloutPhase.SAMPLING, rollout.phase());
     }
 
     @Example
-    void versionThatWasRolledBackGetsNothingEvenAlone() {
+    void rolledBackVersionGetsNothingEvenIfItIsTheOnlyOne() {
         rollout.recorded(new RolloutStatus("s", "v2", State.ROLLED_BACK, 9), 100);
         assertEquals(List.of(), rollout.admitted(List.of(NEW), true, 200));
     }
@@ -110,7 +110,7 @@
     }
 
     @Example
-    void orderTakenBackStopsTheSample() {
+    void withdrawnOrderStopsSampling() {
         rollout.lead(RolloutPhase.SAMPLING, 0);
         rollout.admitted(BOTH, true, 50);
         rollout.withdrawn(100);
@@ -118,27 +118,27 @@
     }
 
     @Example
-    void whatIsNotPaidForWaitsOnceTheOldVersionHasStopped() {
+    void requestsBeyondTheBoundWaitOnceTheOldVersionHasStopped() {
         Rollout spent = new Rollout(ORDER, new ExposureLedger(0.1, 0), 0);
         spent.admitted(BOTH, true, 0);
         spent.recorded(new RolloutStatus("s", "v2", State.COMPLETED, 9), 11_700);
         assertEquals(List.of(), spent.admitted(BOTH, true, 11_800));
-        assertEquals(200, spent.heldMillis(11_800));
-        assertEquals(0, spent.heldMillis(12_000));
+        assertEquals(200, spent.waitMillis(11_800));
+        assertEquals(0, spent.waitMillis(12_000));
         assertEquals(List.of(NEW), spent.admitted(BOTH, true, 12_000));
     }
 
     /** Whoever learns of a completion long after it has no deadline to wait for. */
     @Example
-    void nothingWaitsLongerThanARecordIsEarly() {
+    void waitIsAtMostTheCompletionLeadTime() {
         Rollout late = Rollout.ofUnknownAge(ORDER, new ExposureLedger(0.1, 0), 0);
         late.recorded(new RolloutStatus("s", "v2", State.COMPLETED, 9), 50_000);
-        assertEquals(RolloutLead.LAST_MILLIS, late.heldMillis(50_000));
-        assertEquals(List.of(NEW), late.admitted(BOTH, true, 50_000 + RolloutLead.LAST_MILLIS));
+        assertEquals(RolloutController.COMPLETION_LEAD_MILLIS, late.waitMillis(50_000));
+        assertEquals(List.of(NEW), late.admitted(BOTH, true, 50_000 + RolloutController.COMPLETION_LEAD_MILLIS));
     }
 
     @Example
-    void switchGoesBackToTheOldVersionWhenItIsNotPaidFor() {
+    void switchFallsBackToTheOldVersionBeyondTheBound() {
         Rollout moving = new Rollout(ORDER, new ExposureLedger(0.1, 0), 0);
         for (int i = 0; i < 100; i++) {
             moving.sent();
@@ -162,7 +162,7 @@
     }
 
     @Example
-    void requestsThatNeverLeaveEarnNoSamples() {
+    void requestsThatAreNotSentAllowNoSamples() {
         ExposureLedger ledger = new ExposureLedger(0.1, 0.5);
         for (int i = 0; i < 100; i++) {
             ledger.chosen();
@@ -173,7 +173,7 @@
     }
 
     @Property(tries = 300, seed = "20261202")
-    void partsOfAllLivesTogetherKeepTheBound(
+    void sharesOfAllIncarnationsStayWithinTheBound(
             @ForAll @IntRange(min = 1, max = 95) int processes,
             @ForAll @IntRange(min = 0, max = 20_000) int requests,
             @ForAll long seed) {
@@ -199,16 +199,16 @@
     }
 
     @Example
-    void versionThatNoOrderNamesWaitsAMoment() {
+    void versionWithoutAnOrderIsDelayed() {
         VersionGate gate = new VersionGate();
         assertEquals(List.of(OLD), gate.admitted("s", List.of(OLD), true, 0));
         assertEquals(List.of(OLD), gate.admitted("s", BOTH, true, 1_000));
-        assertEquals(BOTH, gate.admitted("s", BOTH, true, 1_000 + VersionGate.HELD_MILLIS));
+        assertEquals(BOTH, gate.admitted("s", BOTH, true, 1_000 + VersionGate.UNORDERED_VERSION_DELAY_MILLIS));
         assertFalse(gate.rollout("s").isPresent());
     }
 
     @Example
-    void firstListIsTakenAsItIs() {
+    void allVersionsOfTheFirstListServeAtOnce() {
         assertEquals(BOTH, new VersionGate().admitted("s", BOTH, true, 0));
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/rollout/SimulatedRollout.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/rollout/SimulatedRollout.java
@@ -15,8 +15,8 @@
  */
 package io.trailladder.core.rollout;
 
-import io.trailladder.core.rollout.RolloutLead.Fleet;
-import io.trailladder.core.rollout.RolloutLead.Step;
+import io.trailladder.core.rollout.RolloutController.Fleet;
+import io.trailladder.core.rollout.RolloutController.Step;
 import io.trailladder.core.rollout.RolloutStatus.State;
 import io.trailladder.core.upstream.Upstream;
 import java.util.ArrayList;
@@ -56,7 +56,7 @@
     record Version(
             double fails,
             double slow,
-            double slowTimes,
+            double slowFactor,
             int fromMillis,
             int aboveRunning,
             int route) {
@@ -81,10 +81,10 @@
      */
     record Faults(
             int leaderLostMillis,
-            int cutFromMillis,
-            int cutParts,
+            int partitionFromMillis,
+            int partitionedThirds,
             int restartEveryMillis,
-            int seenLateMillis) {
+            int maxOrderDelayMillis) {
         static final Faults NONE = new Faults(-1, -1, 0, 0);
 
         Faults(int leaderLostMillis, int cutFromMillis, int cutParts, int restartEveryMillis) {
@@ -97,54 +97,54 @@
     /** One process. */
     private final class Member {
         private Rollout rollout;
-        private RolloutLead lead;
-        private final Map<Integer, List<RouteEvidence>> told = new HashMap<>();
-        private boolean cut;
+        private RolloutController controller;
+        private final Map<Integer, List<RouteEvidence>> evidenceByProcess = new HashMap<>();
+        private boolean isolated;
 
         Member() {
             rollout = newView();
         }
 
         private Rollout newView() {
-            return new Rollout(order, ExposureLedger.of(SHARE, SLACK, random), now);
+            return new Rollout(order, ExposureLedger.of(SHARE, ALLOWANCE, random), now);
         }
 
-        void seeLate(int lateMillis) {
+        void delayOrder(int lateMillis) {
             now = lateMillis;
             rollout = newView();
             now = 0;
         }
 
         /** Starts anew with what lies in the store, when no peer can tell more. */
-        void restartAlone() {
-            rollout = Rollout.ofUnknownAge(order, ExposureLedger.of(SHARE, SLACK, random), now);
+        void restartWithoutPeers() {
+            rollout = Rollout.ofUnknownAge(order, ExposureLedger.of(SHARE, ALLOWANCE, random), now);
             rollout.recorded(status, now);
-            told.clear();
-            lead = null;
+            evidenceByProcess.clear();
+            controller = null;
         }
 
         void restart() {
             rollout = newView();
-            rollout.heard(
-                    new RolloutNews(order, RolloutPhase.SAMPLING, deadline - now, 0, List.of()),
+            rollout.received(
+                    new RolloutUpdate(order, RolloutPhase.SAMPLING, deadline - now, 0, List.of()),
                     now);
             rollout.recorded(status, now);
-            told.clear();
-            lead = null;
+            evidenceByProcess.clear();
+            controller = null;
         }
     }
 
     /** Part of the requests that a bad version may get, and those on top; as a platform has it. */
     static final double SHARE = 0.1;
 
-    static final double SLACK = 50;
+    static final double ALLOWANCE = 50;
 
     /**
      * Within which a bad version must have been left after its 50th bad answer, in milliseconds.
      */
-    static final int LEFT_MILLIS = 5_000;
+    static final int MAX_EXPOSURE_AFTER_BAD_MILLIS = 5_000;
 
-    private static final int MANY_BAD = 50;
+    private static final int BAD_ANSWERS_LIMIT = 50;
 
     private final Version version;
     private final Faults faults;
@@ -163,12 +163,12 @@
     private int total;
     private int exposed;
     private int badAnswers;
-    private long manyBadMillis = -1;
+    private long badLimitMillis = -1;
     private long lastExposedMillis = -1;
-    private long finalMillis = -1;
-    private int allLostMillis = -1;
-    private int held;
-    private int cut;
+    private long resultMillis = -1;
+    private int restartAllMillis = -1;
+    private int delayedRequests;
+    private int interruptedRequests;
 
     SimulatedRollout(Version version, Faults faults, int count, int durationMillis, long seed) {
         this.version = version;
@@ -180,8 +180,8 @@
             processes.add(new Member());
         }
         processes.forEach(process -> process.rollout = process.newView());
-        if (faults.seenLateMillis() > 0) {
-            processes.forEach(process -> process.seeLate(random.nextInt(faults.seenLateMillis())));
+        if (faults.maxOrderDelayMillis() > 0) {
+            processes.forEach(process -> process.delayOrder(random.nextInt(faults.maxOrderDelayMillis())));
         }
         for (int i = 0; i < 12; i++) {
             serving.add(upstream("a" + i, OLD));
@@ -194,9 +194,9 @@
     }
 
     /** Plays the order's time and what is needed to see that nothing is sent after it. */
-    SimulatedRollout play(double perSecond) {
-        for (now = 0; now < deadline + LEFT_MILLIS; now += STEP_MILLIS) {
-            strike();
+    SimulatedRollout run(double perSecond) {
+        for (now = 0; now < deadline + MAX_EXPOSURE_AFTER_BAD_MILLIS; now += STEP_MILLIS) {
+            injectFaults();
             arrivals(perSecond);
             while (!due.isEmpty() && due.peek().at() < now + STEP_MILLIS) {
                 due.remove().task().run();
@@ -213,8 +213,8 @@
     }
 
     /** Tells when the result was recorded; below 0 if never. */
-    long finalMillis() {
-        return finalMillis;
+    long resultMillis() {
+        return resultMillis;
     }
 
     int exposed() {
@@ -222,33 +222,33 @@
     }
 
     double exposureBound() {
-        return SHARE * total + SLACK;
+        return SHARE * total + ALLOWANCE;
     }
 
     /** How many requests had to wait for the deadline. */
-    int held() {
-        return held;
+    int delayedRequests() {
+        return delayedRequests;
     }
 
     /** How many requests were under way at the old version when it stopped. */
-    int cut() {
-        return cut;
+    int interruptedRequests() {
+        return interruptedRequests;
     }
 
     /** How long after the 50th bad answer the new version still got a request; 0 if not at all. */
-    long lateMillis() {
-        return manyBadMillis < 0 ? 0 : Math.max(0, lastExposedMillis - manyBadMillis);
+    long exposureAfterBadMillis() {
+        return badLimitMillis < 0 ? 0 : Math.max(0, lastExposedMillis - badLimitMillis);
     }
 
     /** Has all processes start anew at the same moment. */
-    SimulatedRollout losingAllAt(int millis) {
-        allLostMillis = millis;
+    SimulatedRollout restartingAllAt(int millis) {
+        restartAllMillis = millis;
         return this;
     }
 
-    private void strike() {
-        if (now == allLostMillis) {
-            processes.forEach(Member::restartAlone);
+    private void injectFaults() {
+        if (now == restartAllMillis) {
+            processes.forEach(Member::restartWithoutPeers);
             leaderFromMillis = (int) now + 4_000;
         }
         if (now == faults.leaderLostMillis()) {
@@ -259,9 +259,9 @@
         if (faults.restartEveryMillis() > 0 && now % faults.restartEveryMillis() == 0 && now > 0) {
             processes.get(random.nextInt(processes.size())).restart();
         }
-        boolean cutNow = faults.cutFromMillis() >= 0 && now >= faults.cutFromMillis();
+        boolean cutNow = faults.partitionFromMillis() >= 0 && now >= faults.partitionFromMillis();
         for (int i = 0; i < processes.size(); i++) {
-            processes.get(i).cut = cutNow && i % 3 < faults.cutParts() && i != leader;
+            processes.get(i).isolated = cutNow && i % 3 < faults.partitionedThirds() && i != leader;
         }
     }
 
@@ -277,9 +277,9 @@
     private void send(Member process, int route, boolean first) {
         List<Upstream> candidates = process.rollout.admitted(serving, first, now);
         if (candidates.isEmpty()) {
-            long waits = process.rollout.heldMillis(now);
+            long waits = process.rollout.waitMillis(now);
             if (waits > 0) {
-                held++;
+                delayedRequests++;
                 due.add(new Due(now + waits + STEP_MILLIS, () -> send(process, route, first)));
             }
             return;
@@ -296,7 +296,7 @@
             total++;
             exposed += isTarget ? 1 : 0;
         }
-        if (isTarget && status.state() != State.COMPLETED && !process.cut) {
+        if (isTarget && status.state() != State.COMPLETED && !process.isolated) {
             lastExposedMillis = now;
         }
         int load = running.merge(upstream.id(), 1, Integer::sum);
@@ -304,7 +304,7 @@
         boolean fails = random.nextDouble() < (badNow ? version.fails() : OLD_FAILS);
         boolean slow = badNow && random.nextDouble() < version.slow();
         double usual = FIRST_MILLIS * Math.exp(0.4 * (random.nextDouble() - 0.5));
-        double took = slow ? usual * version.slowTimes() : usual;
+        double took = slow ? usual * version.slowFactor() : usual;
         due.add(
                 new Due(
                         now + took + RUN_MILLIS,
@@ -324,11 +324,11 @@
             boolean slow,
             double took) {
         running.merge(upstream.id(), -1, Integer::sum);
-        sentBy.answered(upstream, new AnswerSeen("r" + route, fails, took, FIRST_MILLIS, 0, true));
+        sentBy.answered(upstream, new AnswerObservation("r" + route, fails, took, FIRST_MILLIS, 0, true));
         if (upstream.version().equals(NEW) && (fails || slow) && isBadVersion()) {
             badAnswers++;
-            if (badAnswers == MANY_BAD) {
-                manyBadMillis = now;
+            if (badAnswers == BAD_ANSWERS_LIMIT) {
+                badLimitMillis = now;
             }
         }
     }
@@ -345,25 +345,25 @@
         }
         for (int i = 0; i < processes.size(); i++) {
             Member process = processes.get(i);
-            if (i == leader || process.cut || !leads) {
+            if (i == leader || process.isolated || !leads) {
                 continue;
             }
             int from = i;
             // what is on its way to a life that ends does not reach the next one
             Rollout told = process.rollout;
             Rollout teller = leading.rollout;
-            RolloutNews up = told.news(told.evidence(), now);
-            RolloutNews down = teller.news(List.of(), now);
+            RolloutUpdate up = told.update(told.evidence(), now);
+            RolloutUpdate down = teller.update(List.of(), now);
             due.add(
                     new Due(
                             now + 20 + random.nextInt(230),
                             () -> {
                                 if (leading.rollout.equals(teller)) {
-                                    teller.heard(up, now);
-                                    leading.told.put(from, up.evidence());
+                                    teller.received(up, now);
+                                    leading.evidenceByProcess.put(from, up.evidence());
                                 }
                             }));
-            due.add(new Due(now + 20 + random.nextInt(230), () -> told.heard(down, now)));
+            due.add(new Due(now + 20 + random.nextInt(230), () -> told.received(down, now)));
         }
     }
 
@@ -375,13 +375,13 @@
     }
 
     private void lead(Member leading) {
-        if (leading.lead == null) {
-            leading.lead = new RolloutLead(leading.rollout);
+        if (leading.controller == null) {
+            leading.controller = new RolloutController(leading.rollout);
         }
-        Stream<RouteEvidence> others = leading.told.values().stream().flatMap(List::stream);
+        Stream<RouteEvidence> others = leading.evidenceByProcess.values().stream().flatMap(List::stream);
         List<RouteEvidence> all =
                 RouteEvidence.sum(Stream.concat(leading.rollout.evidence().stream(), others));
-        Step step = leading.lead.next(all, status, new Fleet(12, 12, oldRunning()), now);
+        Step step = leading.controller.next(all, status, new Fleet(12, 12, oldRunning()), now);
         leading.rollout.lead(step.phase(), now);
         step.record().ifPresent(this::record);
         leading.rollout.recorded(status, now);
@@ -390,8 +390,8 @@
     private void record(State state) {
         status = new RolloutStatus(SERVICE, NEW, state, ++revision);
         if (state != State.IN_PROGRESS) {
-            finalMillis = now;
-            cut = state == State.COMPLETED ? oldRunning() : 0;
+            resultMillis = now;
+            interruptedRequests = state == State.COMPLETED ? oldRunning() : 0;
         }
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/rollout/RolloutJudgeTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/rollout/VersionEvaluatorTest.java
@@ -18,14 +18,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.trailladder.core.rollout.RolloutJudge.Verdict;
+import io.trailladder.core.rollout.VersionEvaluator.Verdict;
 import java.util.List;
 import java.util.SplittableRandom;
 import net.jqwik.api.Example;
 
-class RolloutJudgeTest {
-    private static Verdict judge(int targetBad, int target, int oldBad, int old) {
-        return RolloutJudge.judge(
+class VersionEvaluatorTest {
+    private static Verdict evaluate(int targetBad, int target, int oldBad, int old) {
+        return VersionEvaluator.evaluate(
                         List.of(
                                 new RouteEvidence(
                                         "r",
@@ -35,57 +35,57 @@
     }
 
     @Example
-    void cleanAnswersAreGoodOnceThereAreEnough() {
-        assertEquals(Verdict.OPEN, judge(0, 20, 0, 500));
-        assertEquals(Verdict.GOOD, judge(0, 60, 0, 500));
+    void versionIsGoodOnlyAfterEnoughAnswers() {
+        assertEquals(Verdict.UNDECIDED, evaluate(0, 20, 0, 500));
+        assertEquals(Verdict.GOOD, evaluate(0, 60, 0, 500));
     }
 
     @Example
-    void manyFailuresAreBadSoon() {
-        assertEquals(Verdict.OPEN, judge(3, 3, 0, 100));
-        assertEquals(Verdict.BAD, judge(4, 8, 1, 200));
+    void fourFailuresOfEightAreBadAndThreeAreUndecided() {
+        assertEquals(Verdict.UNDECIDED, evaluate(3, 3, 0, 100));
+        assertEquals(Verdict.BAD, evaluate(4, 8, 1, 200));
     }
 
     @Example
-    void whatStrikesBothVersionsSpeaksAgainstNeither() {
-        assertEquals(Verdict.OPEN, judge(20, 60, 180, 500));
-        assertEquals(Verdict.GOOD, judge(60, 200, 180, 600));
+    void failuresOfBothVersionsAreNotBad() {
+        assertEquals(Verdict.UNDECIDED, evaluate(20, 60, 180, 500));
+        assertEquals(Verdict.GOOD, evaluate(60, 200, 180, 600));
     }
 
-    private static Verdict slow(int targetSlow) {
+    private static Verdict evaluateSlow(int targetSlow) {
         AnswerCount old = new AnswerCount(3_000, 6, 240);
         AnswerCount target = new AnswerCount(250, 0, targetSlow);
-        return RolloutJudge.judge(List.of(new RouteEvidence("r", old, target))).verdict();
+        return VersionEvaluator.evaluate(List.of(new RouteEvidence("r", old, target))).verdict();
     }
 
     /** New upstreams have read no prompt before; much slower ones are bad all the same. */
     @Example
-    void someMoreSlowAnswersAreBorneAndManyAreNot() {
-        assertEquals(Verdict.GOOD, slow(40));
-        assertEquals(Verdict.BAD, slow(100));
+    void someMoreSlowAnswersAreToleratedAndManyAreBad() {
+        assertEquals(Verdict.GOOD, evaluateSlow(40));
+        assertEquals(Verdict.BAD, evaluateSlow(100));
     }
 
     @Example
-    void nothingIsGoodThatWasNotSeenOnALargeRoute() {
+    void versionIsUndecidedWithoutAnswersOnALargeRoute() {
         RouteEvidence seen =
                 new RouteEvidence("a", new AnswerCount(400, 1), new AnswerCount(100, 0));
         RouteEvidence unseen =
                 new RouteEvidence("b", new AnswerCount(300, 0), new AnswerCount(2, 0));
-        assertEquals(Verdict.OPEN, RolloutJudge.judge(List.of(seen, unseen)).verdict());
+        assertEquals(Verdict.UNDECIDED, VersionEvaluator.evaluate(List.of(seen, unseen)).verdict());
     }
 
     @Example
-    void faultOnOneRouteIsFound() {
+    void faultOnOneRouteIsBad() {
         RouteEvidence fine =
                 new RouteEvidence("a", new AnswerCount(900, 3), new AnswerCount(300, 1));
         RouteEvidence faulty =
                 new RouteEvidence("b", new AnswerCount(40, 0), new AnswerCount(9, 6));
-        assertEquals(Verdict.BAD, RolloutJudge.judge(List.of(fine, faulty)).verdict());
+        assertEquals(Verdict.BAD, VersionEvaluator.evaluate(List.of(fine, faulty)).verdict());
     }
 
     /** Asked of a good version: hardly ever found bad, though it is looked at after each answer. */
     @Example
-    void oneGoodVersionInAHundredAtMostIsFoundBad() {
+    void atMostOneGoodVersionInAHundredIsFoundBad() {
         int foundBad = 0;
         SplittableRandom random = new SplittableRandom(20261202);
         for (int version = 0; version < 1_000; version++) {
@@ -99,7 +99,7 @@
                 }
                 target = target.with(random.nextDouble() < rate);
                 bad =
-                        judge(target.bad(), target.answers(), old.bad(), old.answers())
+                        evaluate(target.bad(), target.answers(), old.bad(), old.answers())
                                 == Verdict.BAD;
             }
             foundBad += bad ? 1 : 0;
--- a/trailladder-core/src/test/java/io/trailladder/core/routing/RouterTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/routing/RouterTest.java
@@ -52,7 +52,7 @@
     void leavingUpstreamGetsNoNewWorkThoughTheListStillCallsItLive() {
         List<LocalUpstream> list = List.of(engine("a1", "baires-a"), engine("a2", "baires-a"));
         directory.listed(list, List.of());
-        directory.noticed("a1");
+        directory.leavingNoticed("a1");
         directory.listed(list, List.of());
         for (int i = 0; i < 50; i++) {
             assertEquals(Optional.of("a2"), router.choose(query(PROMPT + i), i).chosen());
@@ -74,10 +74,10 @@
     }
 
     @Example
-    void prefixesOfTwoOrganisationsNeverMeet() {
+    void prefixesOfTwoOrganisationsAreNeverShared() {
         PromptBlocks mine = PromptBlocks.of("banco-sur", "modelo-hipo", PROMPT);
         PromptBlocks other = PromptBlocks.of("banco-norte", "modelo-hipo", PROMPT);
-        PrefixMemory memory = new PrefixMemory(100);
+        PrefixLocations memory = new PrefixLocations(100);
         memory.sent(mine, "a1");
         assertTrue(memory.cachedTokens(mine, "a1") > 0);
         assertEquals(0, memory.cachedTokens(other, "a1"));
--- a/trailladder-core/src/test/java/io/trailladder/core/store/StoreEpochTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/store/StoreEpochTest.java
@@ -17,7 +17,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.trailladder.core.store.StoreEpoch.Named;
+import io.trailladder.core.store.StoreEpoch.Observation;
 import net.jqwik.api.Example;
 
 /** Which epochs that the store or a peer names are taken over. */
@@ -26,36 +26,36 @@
 
     @Example
     void storeThatNamesNoneHasOneHistory() {
-        assertEquals(Named.CURRENT, epoch.named(0));
+        assertEquals(Observation.CURRENT, epoch.observe(0));
         assertEquals(0, epoch.current());
     }
 
     @Example
     void firstIsNoChange() {
-        assertEquals(Named.CURRENT, epoch.named(7));
-        assertEquals(Named.NEW, epoch.named(8));
-        assertEquals(Named.CURRENT, epoch.named(8));
+        assertEquals(Observation.CURRENT, epoch.observe(7));
+        assertEquals(Observation.NEW, epoch.observe(8));
+        assertEquals(Observation.CURRENT, epoch.observe(8));
     }
 
     @Example
     void earlierOneChangesNothing() {
-        epoch.named(7);
-        assertEquals(Named.OLD, epoch.named(6));
+        epoch.observe(7);
+        assertEquals(Observation.OLD, epoch.observe(6));
         assertEquals(7, epoch.current());
     }
 
     @Example
-    void severalMayPassUnheard() {
-        epoch.named(7);
-        assertEquals(Named.NEW, epoch.named(7 + StoreEpoch.MOST_AHEAD));
+    void skippedEpochsAreAllowedUpToTheMaximum() {
+        epoch.observe(7);
+        assertEquals(Observation.NEW, epoch.observe(7 + StoreEpoch.MAX_AHEAD));
     }
 
     @Example
-    void whatCannotBeTrueChangesNothing() {
-        assertEquals(Named.UNSOUND, epoch.named(-1));
-        assertEquals(Named.UNSOUND, epoch.named(StoreEpoch.HIGHEST + 1));
-        epoch.named(7);
-        assertEquals(Named.UNSOUND, epoch.named(8 + StoreEpoch.MOST_AHEAD));
+    void invalidEpochChangesNothing() {
+        assertEquals(Observation.UNSOUND, epoch.observe(-1));
+        assertEquals(Observation.UNSOUND, epoch.observe(StoreEpoch.MAX_EPOCH + 1));
+        epoch.observe(7);
+        assertEquals(Observation.UNSOUND, epoch.observe(8 + StoreEpoch.MAX_AHEAD));
         assertEquals(7, epoch.current());
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/time/AgreedTimeProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/time/AgreedTimeProperties.java
@@ -31,35 +31,35 @@
     private static final long TRUE_OFFSET = 1_000_000;
     private static final long STEP = 3_000;
 
-    private static AgreedTime heard(int right, int wrong) {
+    private static AgreedTime timeWithReports(int right, int wrong) {
         AgreedTime time = new AgreedTime();
         for (int i = 0; i < right + wrong; i++) {
-            time.told("p" + i, new TimeVote(TRUE_OFFSET + (i < right ? 0 : STEP), 1));
+            time.reported("p" + i, new TimeVote(TRUE_OFFSET + (i < right ? 0 : STEP), 1));
         }
         return time;
     }
 
     @Example
-    void aProcessThatStartedAloneHasItsOwnClock() {
+    void processWithoutPeersUsesItsOwnClock() {
         assertEquals(TRUE_OFFSET + STEP, new AgreedTime().millis(0, TRUE_OFFSET + STEP));
-        assertEquals(TRUE_OFFSET + STEP, heard(1, 0).millis(0, TRUE_OFFSET + STEP));
+        assertEquals(TRUE_OFFSET + STEP, timeWithReports(1, 0).millis(0, TRUE_OFFSET + STEP));
     }
 
     /** Up to a third of the clocks are stepped, the own one among them, as a leader's may be. */
     @Property(tries = 200, seed = "20261203")
-    void aThirdOfSteppedClocksIsOutvoted(@ForAll @IntRange(min = 4, max = 80) int processes) {
+    void steppedClocksUpToAThirdAreOutvoted(@ForAll @IntRange(min = 4, max = 80) int processes) {
         int wrong = processes / 3;
-        AgreedTime time = heard(processes - wrong, wrong - 1);
+        AgreedTime time = timeWithReports(processes - wrong, wrong - 1);
         assertEquals(TRUE_OFFSET, time.millis(0, TRUE_OFFSET + STEP));
     }
 
     @Example
-    void aHubsVoteWeighsAsMuchAsTheProcessesBehindIt() {
+    void voteOfAHubIsWeightedByItsVoters() {
         AgreedTime leaf = new AgreedTime();
-        leaf.told("hub", new TimeVote(TRUE_OFFSET, 70));
+        leaf.reported("hub", new TimeVote(TRUE_OFFSET, 70));
         assertEquals(TRUE_OFFSET, leaf.millis(0, TRUE_OFFSET + STEP));
-        AgreedTime hub = heard(0, 2);
-        hub.told("other hub", new TimeVote(TRUE_OFFSET, 20));
+        AgreedTime hub = timeWithReports(0, 2);
+        hub.reported("other hub", new TimeVote(TRUE_OFFSET, 20));
         TimeVote vote = hub.vote(TRUE_OFFSET + STEP, List.of("p0", "p1", "other hub", "unknown"));
         assertEquals(new TimeVote(TRUE_OFFSET, 23), vote);
     }
@@ -71,7 +71,7 @@
         List<Long> seen = new ArrayList<>();
         long steady = 0;
         for (int step : steps) {
-            time.told("p" + step % 3, new TimeVote(TRUE_OFFSET + step, 2));
+            time.reported("p" + step % 3, new TimeVote(TRUE_OFFSET + step, 2));
             steady += 50;
             seen.add(time.millis(steady, TRUE_OFFSET));
         }
@@ -82,27 +82,27 @@
 
     /** Two sides with clocks 2 s apart: each keeps its own while cut, and one after healing. */
     @Example
-    void twoSidesAgreeOnceTheyHearEachOther() {
-        AgreedTime one = heard(5, 0);
+    void partitionedSidesAgreeOnceTheyExchangeVotes() {
+        AgreedTime one = timeWithReports(5, 0);
         assertEquals(TRUE_OFFSET, one.millis(0, TRUE_OFFSET));
-        one.told("side", new TimeVote(TRUE_OFFSET + 2_000, 9));
+        one.reported("side", new TimeVote(TRUE_OFFSET + 2_000, 9));
         assertEquals(TRUE_OFFSET + 2_000, one.millis(0, TRUE_OFFSET));
-        one.forget("side");
+        one.remove("side");
         assertEquals(TRUE_OFFSET + 2_000, one.millis(500, TRUE_OFFSET), "it stands still");
     }
 
     /** 200 parts in a million over a minute are 12 ms; counts of a 5 s window move by 0.24%. */
     @Example
-    void aClockThatDriftsStaysWithTheOthers() {
+    void driftingClockFollowsTheMedian() {
         long drifted = TRUE_OFFSET + 60_000 * 200 / 1_000_000;
-        assertEquals(TRUE_OFFSET, heard(3, 0).millis(0, drifted));
+        assertEquals(TRUE_OFFSET, timeWithReports(3, 0).millis(0, drifted));
     }
 
     @Example
-    void absurdVotesAreNotCounted() {
-        AgreedTime time = heard(3, 0);
-        time.told("nobody", new TimeVote(TRUE_OFFSET + STEP, 0));
-        time.told("crowd", new TimeVote(TRUE_OFFSET + STEP, Integer.MAX_VALUE));
+    void invalidVotesAreNotCounted() {
+        AgreedTime time = timeWithReports(3, 0);
+        time.reported("nobody", new TimeVote(TRUE_OFFSET + STEP, 0));
+        time.reported("crowd", new TimeVote(TRUE_OFFSET + STEP, Integer.MAX_VALUE));
         assertEquals(TRUE_OFFSET, time.millis(0, TRUE_OFFSET));
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/topology/TopologyTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/topology/TopologyTest.java
@@ -28,7 +28,7 @@
             Map.of("a1", "a", "a2", "a", "b1", "b", "c1", "c");
 
     @Example
-    void tellsDistances() {
+    void returnsDistances() {
         Topology topology = Topology.of("a1", TABLE);
         assertEquals(Distance.SAME_DATA_CENTRE, topology.distance("a1"));
         assertEquals(Distance.SAME_REGION, topology.distance("a2"));
--- a/trailladder-core/src/test/java/io/trailladder/core/upstream/TwoRegions.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/upstream/TwoRegions.java
@@ -265,7 +265,7 @@
 
     private double read(
             Engine engine, Upstream upstream, ServingRequest request, double slotFreeAt) {
-        String subject = request.prompt().subject();
+        String subject = request.prompt().sharedBlockId();
         int tokens = OWN_TOKENS;
         if (engine.cachedSubjects.add(subject)) {
             tokens += SHARED_TOKENS;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
@@ -278,7 +278,7 @@
                 relay.openCount(),
                 book.copies(),
                 claims.size(),
-                claims.owned(),
+                claims.ownedRanges(),
                 heard == 0 ? -1 : System.currentTimeMillis() - heard,
                 peers,
                 upstreams);
@@ -310,7 +310,7 @@
 
     private boolean busy(long sinceMillis) {
         boolean handsRangesOver =
-                claims.owned() > 0
+                claims.ownedRanges() > 0
                         && MonotonicClock.millis() - sinceMillis < RANGES_MILLIS
                         && links.live().stream().anyMatch(peer -> serves(peer));
         return book.openCount() > 0 || relay.openCount() > 0 || handsRangesOver;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/PeerRouter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/PeerRouter.java
@@ -110,7 +110,7 @@
 
     private boolean control(EntryInfo from, PeerMessage message) {
         if (message instanceof Heartbeat heartbeat) {
-            parts.chooser().heard(from.id(), heartbeat);
+            parts.chooser().heartbeatReceived(from.id(), heartbeat);
             parts.tables().heard(from, heartbeat);
             if (heartbeat.rangeMapVersion() < parts.claims().mapVersion()) {
                 parts.sender().sendRangeMap(from.id());
@@ -126,7 +126,7 @@
         } else if (message instanceof LeavingNotice notice) {
             parts.fleet().received(notice);
         } else if (message instanceof RangeMapNews news) {
-            parts.claims().mapHeard(news.map());
+            parts.claims().mapReceived(news.map());
         } else {
             return false;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AnswerRelay.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AnswerRelay.java
@@ -15,7 +15,7 @@
  */
 package io.trailladder.entry.gateway;
 
-import io.trailladder.core.memory.HeldKind;
+import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.pipeline.AttemptHistory;
 import io.trailladder.entry.gateway.EventSplitter.StreamEvent;
@@ -32,7 +32,7 @@
     private static final int MAX_SUCCESS_STATUS = 299;
 
     private final MemoryManager memory;
-    private final MemoryAccount.Holding reservation;
+    private final MemoryAccount.Reservation reservation;
     private final ServerExchange exchange;
     private final AttemptHistory history;
     private final boolean stream;
@@ -59,7 +59,7 @@
             boolean stream,
             Runnable onFirstByte) {
         this.memory = memory;
-        this.reservation = memory.account().open(HeldKind.ANSWERS_PARSED);
+        this.reservation = memory.account().open(ReservationKind.ANSWERS_PARSED);
         this.exchange = exchange;
         this.history = history;
         this.stream = stream;
@@ -105,7 +105,7 @@
             relayBytes(splitter.remainder());
             begin();
             exchange.end();
-        } else if (history.hasAnswerBegun()) {
+        } else if (history.hasAnswerStarted()) {
             exchange.abort();
         } else {
             respondBuffered();
@@ -142,7 +142,7 @@
         for (StreamEvent event : events) {
             relayBytes(event.bytes());
             if (!event.id().isEmpty()) {
-                history.eventPassed(event.id());
+                history.eventForwarded(event.id());
             }
         }
         return events.size();
@@ -156,8 +156,8 @@
     }
 
     private void begin() {
-        if (!history.hasAnswerBegun()) {
-            history.answerBegun();
+        if (!history.hasAnswerStarted()) {
+            history.answerStarted();
             exchange.begin(status, headers.endToEnd(), -1);
             onFirstByte.run();
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Attempt.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Attempt.java
@@ -17,7 +17,7 @@
 
 import io.trailladder.core.pipeline.AttemptFailure;
 import io.trailladder.core.pipeline.ServingRequest;
-import io.trailladder.core.rollout.AnswerSeen;
+import io.trailladder.core.rollout.AnswerObservation;
 import io.trailladder.core.upstream.AnswerNotice;
 import io.trailladder.core.upstream.Selection;
 import io.trailladder.core.upstream.SendSlot;
@@ -259,8 +259,8 @@
             return;
         }
         long firstAt = firstEventMillis < 0 ? context.loop().nowMillis() : firstEventMillis;
-        AnswerSeen seen =
-                new AnswerSeen(
+        AnswerObservation seen =
+                new AnswerObservation(
                         request.route().name(),
                         failed,
                         (double) (firstAt - createdMillis),
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AttemptCalls.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AttemptCalls.java
@@ -88,7 +88,7 @@
                 exchange.body(),
                 request.route().repeatable() ? MAX_IDLE_MILLIS : MAX_IDLE_UNREPEATABLE_MILLIS,
                 connectTimeoutMillis(remainingMillis),
-                connections.mostResting(request.service(), upstream));
+                connections.maxIdle(request.service(), upstream));
     }
 
     private static long connectTimeoutMillis(long remainingMillis) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
@@ -58,19 +58,19 @@
  */
 public final class ClusterView implements MeshListener {
     /** How often peers are told, in milliseconds. */
-    public static final long DIGEST_MILLIS = 200;
+    public static final long DIGEST_INTERVAL_MILLIS = 200;
 
-    private static final long FED_MILLIS = 800;
+    private static final long FED_MAX_AGE_MILLIS = 800;
 
     /**
      * Least time between two digests that are told out of turn, in milliseconds: many upstreams may
      * leave or end at once, and a digest takes a hub some processor time.
      */
-    private static final long SOON_MILLIS = 50;
+    private static final long MIN_EXTRA_DIGEST_INTERVAL_MILLIS = 50;
 
     private final LongSupplier nowMillis;
-    private final PolicyKeeper policies;
-    private final DirectoryKeeper directory;
+    private final PolicyManager policies;
+    private final DirectoryManager directory;
     private final StoreHealth store;
     private final LimitExchange limits;
     private final UpstreamLoads loads;
@@ -80,16 +80,16 @@
     private final DigestWriter writer;
     private final SnapshotExchange snapshots;
     private final RegionExchange regions;
-    private final LeavingNews leavingNews;
-    private final EpochNews epochNews;
+    private final LeavingUpdates leavingUpdates;
+    private final EpochUpdates epochUpdates;
     private final LinkedPeers peers;
     private Optional<RolloutExchange> rollouts = Optional.empty();
     private BooleanSupplier leads = () -> false;
     private Mesh mesh;
     private boolean draining;
-    private long soonToldMillis = -SOON_MILLIS;
-    private List<Peer> evidenceOf = List.of();
-    private boolean evidenceTold;
+    private long extraDigestMillis = -MIN_EXTRA_DIGEST_INTERVAL_MILLIS;
+    private List<Peer> evidencePeers = List.of();
+    private boolean evidenceReceived;
 
     /**
      * Creates a view without peers.
@@ -108,8 +108,8 @@
      */
     public ClusterView(
             LongSupplier nowMillis,
-            PolicyKeeper policies,
-            DirectoryKeeper directory,
+            PolicyManager policies,
+            DirectoryManager directory,
             StoreHealth store,
             Quotas quotas,
             UpstreamLoads loads,
@@ -131,10 +131,10 @@
         this.snapshots = new SnapshotExchange(nowMillis, policies, directory, store, metrics);
         this.regions = new RegionExchange(directory, limits, loads, usage, parts, writer);
         this.peers = new LinkedPeers(nowMillis, regions);
-        this.leavingNews = new LeavingNews(directory::listedLeaving);
-        this.epochNews = new EpochNews(store.history());
-        directory.onLeaving(upstream -> remember(upstream.id()));
-        directory.onNews(this::passOn);
+        this.leavingUpdates = new LeavingUpdates(directory::leavingIncarnation);
+        this.epochUpdates = new EpochUpdates(store.history());
+        directory.onLeaving(upstream -> recordLeaving(upstream.id()));
+        directory.onUpdate(this::forward);
         // before anything of the new history is passed on, so that nobody takes it for the old one
         store.history().onReplaced(this::historyReplaced);
     }
@@ -147,9 +147,9 @@
      */
     public void start(Mesh links, BooleanSupplier leading) {
         mesh = links;
-        peers.linkedBy(links);
+        peers.setMesh(links);
         leads = leading;
-        policies.onChange(policy -> tellPeers());
+        policies.onChange(policy -> sendDigests());
     }
 
     /**
@@ -176,8 +176,8 @@
      *
      * @return the news
      */
-    EpochNews epochNews() {
-        return epochNews;
+    EpochUpdates epochUpdates() {
+        return epochUpdates;
     }
 
     /**
@@ -201,7 +201,7 @@
     /** Has the peers told that this process stops. */
     public void draining() {
         draining = true;
-        tellPeers();
+        sendDigests();
     }
 
     /**
@@ -209,12 +209,12 @@
      *
      * @return a count of at least 1
      */
-    public int entries() {
+    public int sharingProcesses() {
         List<Peer> counted = peers.counted();
-        return entries(counted, peers.heard(counted));
+        return sharingProcesses(counted, peers.totalProcesses(counted));
     }
 
-    private int entries(List<Peer> counted, int heard) {
+    private int sharingProcesses(List<Peer> counted, int heard) {
         Reading own = new Reading(membersRead(), store.isReachable());
         List<Reading> read = new ArrayList<>(counted.size());
         for (Peer peer : counted) {
@@ -233,7 +233,7 @@
      *
      * @return a count
      */
-    public int heardPeers() {
+    public int respondingPeers() {
         return peers.size();
     }
 
@@ -251,8 +251,8 @@
      *
      * @return a count of at least 1
      */
-    public int heardProcesses() {
-        return peers.heard(peers.counted());
+    public int totalProcesses() {
+        return peers.totalProcesses(peers.counted());
     }
 
     /**
@@ -295,12 +295,12 @@
      *     reach the store
      */
     public boolean isFed(boolean before) {
-        long oldest = nowMillis.getAsLong() - FED_MILLIS;
+        long oldest = nowMillis.getAsLong() - FED_MAX_AGE_MILLIS;
         return peers.counted().stream()
                 .filter(peer -> !peer.isLeaf() && mesh.isFedBy(peer.hello()))
                 .filter(peer -> peer.isStoreReachable() && peer.digestMillis() >= oldest)
-                .filter(peer -> store.history().mayBeOf(peer.storeEpoch()))
-                .anyMatch(peer -> before || snapshots.isLevelWith(peer));
+                .filter(peer -> store.history().mayMatch(peer.storeEpoch()))
+                .anyMatch(peer -> before || snapshots.isAsRecentAs(peer));
     }
 
     @Override
@@ -314,9 +314,9 @@
                 new DecisionLog.Lifecycle("peer " + hello.name(), "linked", hello.address()));
         Peer peer = peers.linked(hello);
         parts.linked(peer.name(), nowMillis.getAsLong());
-        epochNews.tellNext();
-        tell(List.of(peer));
-        rollouts.ifPresent(exchange -> exchange.tell(mesh, List.of(peer)));
+        epochUpdates.sendWithNext();
+        sendDigestsTo(List.of(peer));
+        rollouts.ifPresent(exchange -> exchange.send(mesh, List.of(peer)));
         snapshots.linked(mesh, hello);
     }
 
@@ -329,11 +329,11 @@
         } else if (message instanceof UsageHistory history) {
             usage.merge(history.life(), history.usage(), peers.isLeaf(hello.name()));
         } else if (message instanceof SnapshotAsk ask) {
-            snapshots.asked(mesh, peers.of(hello), ask);
+            snapshots.requestReceived(mesh, peers.of(hello), ask);
         } else if (message instanceof UpstreamNews news && mesh.isFedBy(hello)) {
             upstreamNews(peers.of(hello), news);
         } else if (message instanceof Snapshot snapshot) {
-            snapshots.answered(mesh, peers.of(hello), snapshot);
+            snapshots.snapshotReceived(mesh, peers.of(hello), snapshot);
         } else if (message instanceof RolloutReport report) {
             rolloutReport(peers.of(hello), report);
         }
@@ -342,16 +342,16 @@
     private void rolloutReport(Peer from, RolloutReport report) {
         StoreHistory history = store.history();
         boolean sameHistory = from.storeEpoch() == history.epoch();
-        if (history.mayBeOf(from.storeEpoch())) {
-            rollouts.ifPresent(exchange -> exchange.heard(from.hello(), report, sameHistory));
+        if (history.mayMatch(from.storeEpoch())) {
+            rollouts.ifPresent(exchange -> exchange.receive(from.hello(), report, sameHistory));
         }
     }
 
     private void upstreamNews(Peer from, UpstreamNews news) {
-        if (store.history().mayBeOf(from.storeEpoch())) {
-            directory.fromPeer(news);
+        if (store.history().mayMatch(from.storeEpoch())) {
+            directory.applyFromPeer(news);
         } else {
-            store.history().newsPassedOver(news, directory.revision());
+            store.history().updateIgnored(news, directory.revision());
         }
     }
 
@@ -361,53 +361,53 @@
         }
         long now = nowMillis.getAsLong();
         Peer peer = peers.of(sender);
-        epochNews.told(peer, StoreEpochSection.of(digest.digest()));
+        epochUpdates.received(peer, StoreEpochSection.of(digest.digest()));
         if (view.isElsewhere(sender)) {
-            peer.heard(now);
+            peer.messageReceived(now);
             snapshots.digest(mesh, peer, digest.digest());
         }
-        evidenceTold |= !digest.digest().evidence().isEmpty();
+        evidenceReceived |= !digest.digest().evidence().isEmpty();
         regions.received(mesh, view, sender, digest, peers.ownHubs(), now);
     }
 
     private void digest(Peer peer, NodeDigest digest) {
-        boolean wasHub = peer.isHeard() && !peer.isLeaf();
+        boolean wasHub = peer.hasReported() && !peer.isLeaf();
         long now = nowMillis.getAsLong();
-        epochNews.told(peer, StoreEpochSection.of(digest));
-        peer.told(SoundFigures.of(peer.name(), digest), now);
-        evidenceTold |= !digest.evidence().isEmpty();
-        LeavingLives.of(digest).forEach(told -> directory.leavingSeenBy(told, peer.name()));
+        epochUpdates.received(peer, StoreEpochSection.of(digest));
+        peer.received(ValidFigures.of(peer.name(), digest), now);
+        evidenceReceived |= !digest.evidence().isEmpty();
+        LeavingIncarnations.of(digest).forEach(told -> directory.leavingReportedBy(told, peer.name()));
         boolean feeds = mesh.isFedBy(peer.hello());
-        if (peer.fellBack() && feeds) {
+        if (peer.revisionDecreased() && feeds) {
             directory.historyReplaced();
         }
-        if (feeds && peer.isStoreReachable() && snapshots.isLevelWith(peer)) {
-            directory.heard();
+        if (feeds && peer.isStoreReachable() && snapshots.isAsRecentAs(peer)) {
+            directory.confirmedCurrent();
         }
         snapshots.digest(mesh, peer, digest);
         if (!peers.counts(peer)) {
             loads.peerLost(peer.name());
             parts.forget(peer.name());
-            peer.passedOver();
+            peer.stopCounting();
             return;
         }
         boolean leaf = peer.isLeaf();
         digest.usage().forEach(news -> usage.merge(news.life(), news.usage(), leaf));
         loads.setPeerUses(peer.name(), digest.uses());
-        limits.told(peer, digest.quotas(), now);
-        parts.told(peer.name(), digest, now);
+        limits.received(peer, digest.quotas(), now);
+        parts.received(peer.name(), digest, now);
         if (!leaf && !wasHub) {
-            tellAllUsage(peer);
+            sendAllUsage(peer);
         }
     }
 
     private void historyReplaced() {
-        epochNews.changed(nowMillis.getAsLong());
-        tellPeers();
+        epochUpdates.changed(nowMillis.getAsLong());
+        sendDigests();
     }
 
     /** A hub passes changes on to its leaves, and a follower of the store to the other hubs too. */
-    private void passOn(UpstreamNews news) {
+    private void forward(UpstreamNews news) {
         if (mesh == null || !mesh.isHub()) {
             return;
         }
@@ -423,40 +423,40 @@
         mesh.send(fed, news);
     }
 
-    /** Tells the peers, and forgets silent ones. To be called every {@link #DIGEST_MILLIS}. */
+    /** Tells the peers, and forgets silent ones. To be called every {@link #DIGEST_INTERVAL_MILLIS}. */
     public void tick() {
-        forgetSilentPeers();
+        removeUnresponsivePeers();
         mesh.regions()
                 .ifPresent(
                         view -> regions.tick(mesh, view, peers.ownHubs(), nowMillis.getAsLong()));
         List<Peer> counted = peers.counted();
-        addEvidence(counted);
+        mergeEvidence(counted);
         boolean othersKnown = mesh.isPlanned() || !peers.isEmpty();
-        int heard = peers.heard(counted);
+        int heard = peers.totalProcesses(counted);
         limits.share(
-                othersKnown, !mesh.isHub(), heard, entries(counted, heard), nowMillis.getAsLong());
-        tellPeers();
-        tellRollouts();
+                othersKnown, !mesh.isHub(), heard, sharingProcesses(counted, heard), nowMillis.getAsLong());
+        sendDigests();
+        sendRolloutReports();
     }
 
     /** Tells the peers how far roll-outs have come. */
-    void tellRollouts() {
-        rollouts.ifPresent(exchange -> exchange.tell(mesh, peers.all()));
+    void sendRolloutReports() {
+        rollouts.ifPresent(exchange -> exchange.send(mesh, peers.all()));
     }
 
     /** Adds up what peers saw of upstreams, if any has told more or other peers count. */
-    private void addEvidence(List<Peer> counted) {
-        if (evidenceTold || !counted.equals(evidenceOf)) {
-            evidenceTold = false;
-            evidenceOf = counted;
+    private void mergeEvidence(List<Peer> counted) {
+        if (evidenceReceived || !counted.equals(evidencePeers)) {
+            evidenceReceived = false;
+            evidencePeers = counted;
             List<EngineEvidence> told = new ArrayList<>();
             counted.forEach(peer -> told.addAll(peer.evidence()));
-            engines.others(told);
+            engines.peerEvidence(told);
         }
     }
 
-    private void forgetSilentPeers() {
-        for (Peer peer : peers.removeSilent()) {
+    private void removeUnresponsivePeers() {
+        for (Peer peer : peers.removeUnresponsive()) {
             loads.peerLost(peer.name());
             parts.forget(peer.name());
             rollouts.ifPresent(exchange -> exchange.forget(peer.name()));
@@ -465,13 +465,13 @@
     }
 
     /** Tells the peers what this process knows now. */
-    public void tellPeers() {
+    public void sendDigests() {
         if (mesh != null) {
-            tell(peers.all());
+            sendDigestsTo(peers.all());
         }
     }
 
-    private void tell(Collection<Peer> told) {
+    private void sendDigestsTo(Collection<Peer> told) {
         long now = nowMillis.getAsLong();
         writer.beginRound(now);
         SenderState state =
@@ -479,52 +479,52 @@
                         store.isReachable(),
                         draining,
                         membersRead(),
-                        leavingNews.next(now),
-                        epochNews.next(now));
+                        leavingUpdates.next(now),
+                        epochUpdates.next(now));
         Map<Long, List<Peer>> byUsageTold = new HashMap<>();
         List<Peer> counted = peers.counted();
-        List<Peer> keepers = peers.keepers();
-        int heard = peers.heard(counted);
+        List<Peer> keepers = peers.usageReplicas();
+        int heard = peers.totalProcesses(counted);
         for (Peer peer : told) {
             if (peers.isElsewhere(peer)) {
                 continue;
             }
             if (mesh.isHub() && peer.isLeaf()) {
-                int others = heard - peers.justHeard(peer);
-                tellLeaf(peer, keepers.contains(peer), state, counted, others, now);
+                int others = heard - peers.recentProcesses(peer);
+                sendToLeaf(peer, keepers.contains(peer), state, counted, others, now);
             } else if (mesh.isHub() || mesh.isOwnHub(peer.hello())) {
                 byUsageTold
-                        .computeIfAbsent(peer.usageTold(), sequence -> new ArrayList<>())
+                        .computeIfAbsent(peer.usageSent(), sequence -> new ArrayList<>())
                         .add(peer);
             }
         }
-        byUsageTold.forEach((usageTold, same) -> tellAlike(same, digest(state, usageTold, now)));
-        mesh.regions().ifPresent(view -> tellRegions(view, state, told, now));
+        byUsageTold.forEach((usageTold, same) -> sendSame(same, digest(state, usageTold, now)));
+        mesh.regions().ifPresent(view -> sendToRegions(view, state, told, now));
     }
 
-    private void tellRegions(RegionView view, SenderState state, Collection<Peer> told, long now) {
+    private void sendToRegions(RegionView view, SenderState state, Collection<Peer> told, long now) {
         List<Peer> own = peers.countedHere();
-        int processes = 1 + own.stream().mapToInt(peers::justHeard).sum();
-        regions.tell(mesh, view, state, told, own, processes, now);
+        int processes = 1 + own.stream().mapToInt(peers::recentProcesses).sum();
+        regions.send(mesh, view, state, told, own, processes, now);
     }
 
-    private void tellLeaf(
+    private void sendToLeaf(
             Peer leaf,
             boolean keepsUsage,
             SenderState state,
             List<Peer> counted,
             int processes,
             long now) {
-        if (keepsUsage && leaf.usageTold() == 0) {
-            tellAllUsage(leaf);
-            leaf.usageTold(usage.sequence());
+        if (keepsUsage && leaf.usageSent() == 0) {
+            sendAllUsage(leaf);
+            leaf.usageSent(usage.sequence());
         }
         // told that the store is out of reach here, it reads the list itself
-        boolean isLeftBehind = epochNews.isLeftBehind(leaf, directory.revision(), now);
+        boolean isLeftBehind = epochUpdates.holdsLostHistory(leaf, directory.revision(), now);
         SenderState told = isLeftBehind ? state.withoutStore() : state;
         NodeDigest digest = writer.rest(told, leaf, counted, processes, keepsUsage, now);
         if (mesh.send(leaf.name(), digest) && keepsUsage) {
-            leaf.usageTold(usage.sequence());
+            leaf.usageSent(usage.sequence());
         }
     }
 
@@ -535,44 +535,44 @@
     }
 
     /** Peers that were told of the same changes of usage get the same digest, written once. */
-    private void tellAlike(List<Peer> same, NodeDigest digest) {
+    private void sendSame(List<Peer> same, NodeDigest digest) {
         Set<String> linked = mesh.send(Peer.names(same), digest);
         same.stream()
                 .filter(peer -> linked.contains(peer.name()))
-                .forEach(peer -> peer.usageTold(usage.sequence()));
+                .forEach(peer -> peer.usageSent(usage.sequence()));
     }
 
     /**
      * A hub that was not linked before may lack what other processes told long ago, also to a leaf.
      */
-    private void tellAllUsage(Peer peer) {
+    private void sendAllUsage(Peer peer) {
         for (String life : usage.entries()) {
             mesh.send(peer.name(), new UsageHistory(life, usage.countsOf(life)));
         }
     }
 
     /** An upstream whose entry is only gone may come back, so peers are not told that it leaves. */
-    private void remember(String upstream) {
+    private void recordLeaving(String upstream) {
         if (!directory.isLeaving(upstream)) {
             return;
         }
-        leavingNews.began(upstream, nowMillis.getAsLong());
-        tellOfLeaving();
+        leavingUpdates.began(upstream, nowMillis.getAsLong());
+        sendLeavingUpdate();
     }
 
     /** The way between regions is longer by two processes, so news of leaving does not wait. */
-    private void tellOfLeaving() {
+    private void sendLeavingUpdate() {
         if (mesh != null && mesh.regions().isPresent()) {
-            tellSoon();
+            sendDigestsSoon();
         }
     }
 
     /** Has the peers told at once, unless they were told so a moment ago. */
-    void tellSoon() {
+    void sendDigestsSoon() {
         long now = nowMillis.getAsLong();
-        if (mesh != null && now - soonToldMillis >= SOON_MILLIS) {
-            soonToldMillis = now;
-            tellPeers();
+        if (mesh != null && now - extraDigestMillis >= MIN_EXTRA_DIGEST_INTERVAL_MILLIS) {
+            extraDigestMillis = now;
+            sendDigests();
         }
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ConnectionShares.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ConnectionShares.java
@@ -26,7 +26,7 @@
  * an upstream resets connections, also those of processes that have none yet.
  */
 final class ConnectionShares {
-    private final PolicyKeeper policies;
+    private final PolicyManager policies;
     private final IntSupplier processes;
 
     /**
@@ -35,7 +35,7 @@
      * @param policies tells what services accept
      * @param processes how many processes there are, this one included
      */
-    ConnectionShares(PolicyKeeper policies, IntSupplier processes) {
+    ConnectionShares(PolicyManager policies, IntSupplier processes) {
         this.policies = policies;
         this.processes = processes;
     }
@@ -47,7 +47,7 @@
      * @param upstream one of its upstreams
      * @return at least 1
      */
-    int mostResting(String service, Upstream upstream) {
+    int maxIdle(String service, Upstream upstream) {
         int accepted =
                 policies.policy()
                         .flatMap(policy -> policy.service(service))
@@ -55,10 +55,10 @@
                         .orElse(0);
         return accepted <= 0
                 ? OutgoingCall.MOST_RESTING
-                : part(accepted - upstream.slots(), processes.getAsInt());
+                : share(accepted - upstream.slots(), processes.getAsInt());
     }
 
-    static int part(int connections, int processes) {
+    static int share(int connections, int processes) {
         int even = connections / Math.max(1, processes);
         return Math.max(1, Math.min(OutgoingCall.MOST_RESTING, even));
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPart.java
@@ -39,21 +39,21 @@
  */
 final class CrashPart implements DigestPart {
     /** How long news is told, in milliseconds: in five digests. */
-    private static final long NEWS_MILLIS = 5 * ClusterView.DIGEST_MILLIS;
+    private static final long REPEAT_MILLIS = 5 * ClusterView.DIGEST_INTERVAL_MILLIS;
 
     /**
      * How long a process tells its life at its start though it has nothing else to tell, in
      * milliseconds: its links come about meanwhile. At rest the section is left out, since it is
      * half of a digest.
      */
-    private static final long LIFE_TOLD_MILLIS = 3_000;
+    private static final long INCARNATION_SENT_MILLIS = 3_000;
 
     private final CrashWatch crashes;
-    private final long life;
-    private final Map<String, Long> lives = new HashMap<>();
+    private final long incarnation;
+    private final Map<String, Long> peerIncarnations = new HashMap<>();
     private final Map<DigestScope, Written> written = new EnumMap<>(DigestScope.class);
-    private long allUntilMillis = Long.MIN_VALUE;
-    private long lifeToldUntilMillis = Long.MIN_VALUE;
+    private long sendAllUntilMillis = Long.MIN_VALUE;
+    private long incarnationSentUntilMillis = Long.MIN_VALUE;
 
     /** A section that serves all peers of a round who are told the same. */
     private record Written(List<String> peers, long millis, Optional<DigestSection> section) {}
@@ -66,7 +66,7 @@
      */
     CrashPart(CrashWatch crashes, long life) {
         this.crashes = crashes;
-        this.life = life;
+        this.incarnation = life;
     }
 
     @Override
@@ -94,57 +94,57 @@
         Map<RequestFingerprint, CrashReport> told = new LinkedHashMap<>();
         if (!crashes.ledger().isEmpty()) {
             crashes.ledger()
-                    .news(nowMillis - NEWS_MILLIS, source -> isTold(scope, peers, source))
+                    .changedSince(nowMillis - REPEAT_MILLIS, source -> isIncluded(scope, peers, source))
                     .forEach(report -> told.put(report.request(), report));
             List<CrashReport> suspected = crashes.ledger().suspected();
-            if (nowMillis < allUntilMillis) {
+            if (nowMillis < sendAllUntilMillis) {
                 suspected.forEach(report -> told.put(report.request(), report));
             } else if (!suspected.isEmpty()) {
-                int turn = (int) (nowMillis / ClusterView.DIGEST_MILLIS % suspected.size());
+                int turn = (int) (nowMillis / ClusterView.DIGEST_INTERVAL_MILLIS % suspected.size());
                 told.put(suspected.get(turn).request(), suspected.get(turn));
             }
         }
-        if (lifeToldUntilMillis == Long.MIN_VALUE) {
-            lifeToldUntilMillis = nowMillis + LIFE_TOLD_MILLIS;
+        if (incarnationSentUntilMillis == Long.MIN_VALUE) {
+            incarnationSentUntilMillis = nowMillis + INCARNATION_SENT_MILLIS;
         }
-        if (told.isEmpty() && nowMillis >= lifeToldUntilMillis) {
+        if (told.isEmpty() && nowMillis >= incarnationSentUntilMillis) {
             return Optional.empty();
         }
         byte[] reports =
-                CrashReports.write(
+                CrashReportCodec.write(
                         new ArrayList<>(told.values()),
                         DigestSection.MOST_BYTES - Long.BYTES,
                         nowMillis);
         byte[] body =
-                ByteBuffer.allocate(Long.BYTES + reports.length).putLong(life).put(reports).array();
+                ByteBuffer.allocate(Long.BYTES + reports.length).putLong(incarnation).put(reports).array();
         return Optional.of(new DigestSection(name(), version(), 0, body));
     }
 
-    private static boolean isTold(DigestScope scope, List<String> peers, String source) {
+    private static boolean isIncluded(DigestScope scope, List<String> peers, String source) {
         return switch (scope) {
-            case OWN -> source.equals(CrashHistory.OWN);
-            case GROUP -> source.equals(CrashHistory.OWN) || peers.contains(source);
+            case OWN -> source.equals(CrashHistory.OWN_SOURCE);
+            case GROUP -> source.equals(CrashHistory.OWN_SOURCE) || peers.contains(source);
             case REST -> true;
         };
     }
 
     @Override
-    public void told(String peer, DigestSection section, long nowMillis) throws IOException {
+    public void received(String peer, DigestSection section, long nowMillis) throws IOException {
         ByteBuffer body = ByteBuffer.wrap(section.body());
         if (body.remaining() < Long.BYTES) {
             throw new IOException(body.remaining() + " bytes, expected " + Long.BYTES);
         }
         long peerLife = body.getLong();
-        List<CrashReport> reports = CrashReports.read(body, nowMillis - section.ageMillis());
-        Long before = lives.put(peer, peerLife);
+        List<CrashReport> reports = CrashReportCodec.read(body, nowMillis - section.ageMillis());
+        Long before = peerIncarnations.put(peer, peerLife);
         if (before == null || before != peerLife) {
-            allUntilMillis = nowMillis + NEWS_MILLIS;
+            sendAllUntilMillis = nowMillis + REPEAT_MILLIS;
         }
-        reports.forEach(report -> crashes.told(peer, report));
+        reports.forEach(report -> crashes.receiveReport(peer, report));
     }
 
     @Override
     public void forget(String peer) {
-        lives.remove(peer);
+        peerIncarnations.remove(peer);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestPart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestPart.java
@@ -47,7 +47,7 @@
      * @param nowMillis the time, in milliseconds
      * @throws IOException if the body cannot be read; nothing is taken over then
      */
-    void told(String peer, DigestSection section, long nowMillis) throws IOException;
+    void received(String peer, DigestSection section, long nowMillis) throws IOException;
 
     /**
      * Tells that a peer has been linked, which may lack what was told before.
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestParts.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestParts.java
@@ -31,10 +31,10 @@
  */
 final class DigestParts {
     /** Oldest figures that are taken, in milliseconds: a cut that is longer ends what they tell. */
-    private static final long OLDEST_MILLIS = 60_000;
+    private static final long MAX_AGE_MILLIS = 60_000;
 
     /** How often a peer's unsound sections are logged, in milliseconds: one line in 50 digests. */
-    private static final long LOG_MILLIS = 10_000;
+    private static final long LOG_INTERVAL_MILLIS = 10_000;
 
     private final List<DigestPart> parts = new ArrayList<>();
     private final Map<String, Long> loggedMillis = new HashMap<>();
@@ -58,15 +58,15 @@
     /**
      * Gives each part its section of a digest; sections of other parts and forms are passed over.
      */
-    void told(String peer, NodeDigest digest, long nowMillis) {
+    void received(String peer, NodeDigest digest, long nowMillis) {
         if (digest.sections().size() > DigestSection.MOST_SECTIONS) {
-            dropped(peer, digest.sections().size() + " sections", nowMillis);
+            logDropped(peer, digest.sections().size() + " sections", nowMillis);
             return;
         }
         for (DigestSection section : digest.sections()) {
             for (DigestPart part : parts) {
                 if (part.name().equals(section.name()) && part.version() == section.version()) {
-                    tell(part, peer, section, nowMillis);
+                    deliver(part, peer, section, nowMillis);
                 }
             }
         }
@@ -80,23 +80,23 @@
         parts.forEach(part -> part.forget(peer));
     }
 
-    private void tell(DigestPart part, String peer, DigestSection section, long nowMillis) {
+    private void deliver(DigestPart part, String peer, DigestSection section, long nowMillis) {
         if (section.body().length > DigestSection.MOST_BYTES) {
-            dropped(peer, section.name() + " of " + section.body().length + " bytes", nowMillis);
-        } else if (section.ageMillis() < 0 || section.ageMillis() > OLDEST_MILLIS) {
-            dropped(peer, section.name() + " of age " + section.ageMillis() + " ms", nowMillis);
+            logDropped(peer, section.name() + " of " + section.body().length + " bytes", nowMillis);
+        } else if (section.ageMillis() < 0 || section.ageMillis() > MAX_AGE_MILLIS) {
+            logDropped(peer, section.name() + " of age " + section.ageMillis() + " ms", nowMillis);
         } else {
             try {
-                part.told(peer, section, nowMillis);
+                part.received(peer, section, nowMillis);
             } catch (IOException e) {
-                dropped(peer, section.name() + ": " + e.getMessage(), nowMillis);
+                logDropped(peer, section.name() + ": " + e.getMessage(), nowMillis);
             }
         }
     }
 
-    private void dropped(String peer, String what, long nowMillis) {
+    private void logDropped(String peer, String what, long nowMillis) {
         Long logged = loggedMillis.get(peer);
-        if (logged == null || nowMillis - logged >= LOG_MILLIS) {
+        if (logged == null || nowMillis - logged >= LOG_INTERVAL_MILLIS) {
             loggedMillis.put(peer, nowMillis);
             DecisionLog.write(new Lifecycle("peer " + peer, "section dropped", what));
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestWriter.java
@@ -43,18 +43,18 @@
      * How often peers are told of the speed of upstreams, in milliseconds: it changes slowly, and
      * its sums are the largest part of a digest.
      */
-    private static final long EVIDENCE_MILLIS = 1_000;
+    private static final long EVIDENCE_INTERVAL_MILLIS = 1_000;
 
-    private final PolicyKeeper policies;
-    private final DirectoryKeeper directory;
+    private final PolicyManager policies;
+    private final DirectoryManager directory;
     private final Quotas quotas;
     private final UpstreamLoads loads;
     private final UsageLedger usage;
     private final DemandMeter demand;
     private final EngineModel engines;
     private final DigestParts parts;
-    private long toldEvidenceMillis;
-    private boolean tellsEvidence;
+    private long evidenceSentMillis;
+    private boolean sendsEvidence;
 
     /**
      * What a digest says of its sender.
@@ -78,8 +78,8 @@
     }
 
     DigestWriter(
-            PolicyKeeper policies,
-            DirectoryKeeper directory,
+            PolicyManager policies,
+            DirectoryManager directory,
             Quotas quotas,
             UpstreamLoads loads,
             UsageLedger usage,
@@ -98,9 +98,9 @@
 
     /** Begins a round of digests; some rounds tell evidence too. */
     void beginRound(long nowMillis) {
-        tellsEvidence = nowMillis - toldEvidenceMillis >= EVIDENCE_MILLIS;
-        if (tellsEvidence) {
-            toldEvidenceMillis = nowMillis;
+        sendsEvidence = nowMillis - evidenceSentMillis >= EVIDENCE_INTERVAL_MILLIS;
+        if (sendsEvidence) {
+            evidenceSentMillis = nowMillis;
         }
     }
 
@@ -110,7 +110,7 @@
                 state,
                 DigestScope.OWN,
                 1,
-                news(usageTold),
+                usageChanges(usageTold),
                 quotas.ownUses(nowMillis),
                 loads.ownUses(),
                 demand.demands(nowMillis),
@@ -124,7 +124,7 @@
                 state,
                 DigestScope.GROUP,
                 1 + leaves.size(),
-                news(usageTold),
+                usageChanges(usageTold),
                 quotas.groupUses(nowMillis),
                 loads.groupUses(Peer.names(leaves)),
                 sum(leaves, nowMillis),
@@ -189,8 +189,8 @@
                 state,
                 DigestScope.REST,
                 processes,
-                keepsUsage ? histories(usage.allChangesAfter(leaf.usageTold())) : List.of(),
-                quotas.usesWithoutLeaf(leaf.life(), nowMillis),
+                keepsUsage ? histories(usage.allChangesAfter(leaf.usageSent())) : List.of(),
+                quotas.usesWithoutLeaf(leaf.incarnationName(), nowMillis),
                 loads.usesExcept(leaf.name()),
                 sum(others, nowMillis),
                 evidence(others, nowMillis),
@@ -207,7 +207,7 @@
     }
 
     private List<EngineEvidence> evidence(Collection<Peer> peers, long nowMillis) {
-        if (!tellsEvidence) {
+        if (!sendsEvidence) {
             return List.of();
         }
         List<EngineEvidence> told = new ArrayList<>(engines.evidence(nowMillis));
@@ -227,12 +227,12 @@
         return List.copyOf(sum.values());
     }
 
-    private List<UsageHistory> news(long usageTold) {
+    private List<UsageHistory> usageChanges(long usageTold) {
         return usageTold >= usage.sequence() ? List.of() : histories(usage.changesAfter(usageTold));
     }
 
     /** Returns the changes of usage of the own region that another one was not told of. */
-    List<UsageHistory> regionNews(long usageTold) {
+    List<UsageHistory> regionUsageChanges(long usageTold) {
         return histories(usage.regionChangesAfter(usageTold));
     }
 
@@ -242,9 +242,9 @@
         return histories;
     }
 
-    private static List<DigestSection> with(List<DigestSection> sections, SenderState state) {
+    private static List<DigestSection> withStateSections(List<DigestSection> sections, SenderState state) {
         List<DigestSection> all = new ArrayList<>(sections);
-        LeavingLives.section(state.leaving()).ifPresent(all::add);
+        LeavingIncarnations.section(state.leaving()).ifPresent(all::add);
         state.history().write().ifPresent(all::add);
         return all;
     }
@@ -272,7 +272,7 @@
                 uses,
                 demands,
                 evidence,
-                LeavingLives.ids(state.leaving()),
-                with(sections, state));
+                LeavingIncarnations.ids(state.leaving()),
+                withStateSections(sections, state));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/EpochNews.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/EpochUpdates.java
@@ -19,23 +19,23 @@
 import java.util.function.LongSupplier;
 
 /** What peers tell each other of the store's epoch and of leaders' tokens, and when. */
-final class EpochNews {
+final class EpochUpdates {
     /** How often digests tell the epoch, in milliseconds: it hardly ever changes. */
-    private static final long TOLD_MILLIS = 1_000;
+    private static final long SEND_INTERVAL_MILLIS = 1_000;
 
     /** For how long each digest tells an epoch that has changed, in milliseconds. */
-    private static final long NEWS_MILLIS = 5_000;
+    private static final long CHANGE_REPEAT_MILLIS = 5_000;
 
     /** For how long after a change leaves may have been left behind, in milliseconds. */
-    private static final long LEFT_BEHIND_MILLIS = 30_000;
+    private static final long OUTDATED_LEAF_MILLIS = 30_000;
 
     private final StoreHistory history;
     private LongSupplier highestToken = () -> 0;
-    private LongConsumer tokenTold = token -> {};
+    private LongConsumer tokenReceived = token -> {};
     private long changedMillis = Long.MIN_VALUE / 2;
-    private long toldMillis = Long.MIN_VALUE / 2;
+    private long sentMillis = Long.MIN_VALUE / 2;
 
-    EpochNews(StoreHistory history) {
+    EpochUpdates(StoreHistory history) {
         this.history = history;
     }
 
@@ -47,7 +47,7 @@
      */
     void tokens(LongSupplier highest, LongConsumer told) {
         highestToken = highest;
-        tokenTold = told;
+        tokenReceived = told;
     }
 
     /** Records that the history was replaced just now. */
@@ -56,25 +56,25 @@
     }
 
     /** Has the next digest tell, since its receiver has heard nothing yet. */
-    void tellNext() {
-        toldMillis = Long.MIN_VALUE / 2;
+    void sendWithNext() {
+        sentMillis = Long.MIN_VALUE / 2;
     }
 
     /** Returns what digests tell now; nothing most of the time. */
     StoreEpochSection next(long nowMillis) {
-        boolean isNews = nowMillis - changedMillis < NEWS_MILLIS;
-        if (!isNews && nowMillis - toldMillis < TOLD_MILLIS) {
+        boolean isNews = nowMillis - changedMillis < CHANGE_REPEAT_MILLIS;
+        if (!isNews && nowMillis - sentMillis < SEND_INTERVAL_MILLIS) {
             return StoreEpochSection.NONE;
         }
-        toldMillis = nowMillis;
+        sentMillis = nowMillis;
         return new StoreEpochSection(history.epoch(), highestToken.getAsLong());
     }
 
     /** Takes over what a peer's digest tells. */
-    void told(Peer peer, StoreEpochSection section) {
+    void received(Peer peer, StoreEpochSection section) {
         peer.storeEpoch(section.epoch());
-        history.told(peer.name(), section.epoch());
-        tokenTold.accept(section.token());
+        history.epochReported(peer.name(), section.epoch());
+        tokenReceived.accept(section.token());
     }
 
     /**
@@ -85,10 +85,10 @@
      * @param ownRevision revision of the list here; 0 if none of the current history is known
      * @param nowMillis the time
      */
-    boolean isLeftBehind(Peer leaf, long ownRevision, long nowMillis) {
+    boolean holdsLostHistory(Peer leaf, long ownRevision, long nowMillis) {
         return leaf.storeEpoch() == 0
                 && history.epoch() != 0
-                && nowMillis - changedMillis < LEFT_BEHIND_MILLIS
+                && nowMillis - changedMillis < OUTDATED_LEAF_MILLIS
                 && ownRevision > 0
                 && leaf.directoryRevision() > ownRevision;
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
@@ -17,7 +17,7 @@
 
 import io.prometheus.metrics.expositionformats.PrometheusTextFormatWriter;
 import io.trailladder.core.duty.LeaderElection;
-import io.trailladder.core.duty.StorePatience;
+import io.trailladder.core.duty.ElectionDelay;
 import io.trailladder.core.duty.UsageLedger;
 import io.trailladder.core.engine.EngineModel;
 import io.trailladder.core.membership.GatewayMember;
@@ -111,10 +111,10 @@
     private final EngineModel engines = new EngineModel();
     private final Topology topology;
     private final Optional<RegionMetrics> regionMetrics;
-    private final StorePatience storeDelay = new StorePatience();
+    private final ElectionDelay storeDelay = new ElectionDelay();
     private final StoreHealth storeHealth = new StoreHealth(metrics);
-    private final PolicyKeeper policyManager;
-    private final DirectoryKeeper directoryManager;
+    private final PolicyManager policyManager;
+    private final DirectoryManager directoryManager;
     private final Quotas quotas;
     private final ClusterView view;
     private final PeerMesh mesh;
@@ -160,19 +160,19 @@
         TimePart clock = new TimePart(steadyClock, loop::nowMillis);
         UsageLedger usage = new UsageLedger(incarnationId, settings.timing().usageWindowMillis());
         DemandMeter demand = new DemandMeter();
-        policyManager = new PolicyKeeper(platform.format());
+        policyManager = new PolicyManager(platform.format());
         directoryManager =
-                new DirectoryKeeper(
+                new DirectoryManager(
                         platform.format(),
                         directory,
                         loop::nowMillis,
-                        task -> loop.schedule(DirectoryKeeper.RETURN_MILLIS, task));
+                        task -> loop.schedule(DirectoryManager.REAPPEARANCE_MILLIS, task));
         storeHealth.onRegained(directoryManager::storeRegained);
         StoreHistory history = storeHealth.history();
         platform.store().onEpoch(history);
         history.onReplaced(directoryManager::historyReplaced);
-        directoryManager.onPassedOver(
-                change -> history.newsPassedOver(change, directoryManager.revision()));
+        directoryManager.onIgnoredUpdate(
+                change -> history.updateIgnored(change, directoryManager.revision()));
         quotas = new Quotas(settings.node().firstStart(), settings.tolerance());
         view =
                 new ClusterView(
@@ -190,11 +190,11 @@
         topology = Topology.of(settings.self().dataCentre(), settings.regions().byDataCentre());
         limits = new UpstreamLimits(clock::millis, turnOrders(name)::of);
         availability = new UpstreamAvailability(directory, backoffs, limits);
-        view.add(LimitPart.of(limits, loop::nowMillis, () -> loop.execute(view::tellSoon)));
+        view.add(LimitPart.of(limits, loop::nowMillis, () -> loop.execute(view::sendDigestsSoon)));
         view.add(clock);
         view.add(new CrashPart(crashes, random.nextLong()));
-        crashes.onOwnNews(() -> loop.execute(view::tellSoon));
-        quotas.onMuchUnreported(() -> loop.execute(view::tellSoon));
+        crashes.onNewEnd(() -> loop.execute(view::sendDigestsSoon));
+        quotas.onMuchUnreported(() -> loop.execute(view::sendDigestsSoon));
         GatewayMember self = settings.self();
         regionMetrics =
                 topology.isOneRegion()
@@ -230,7 +230,7 @@
                         settings.timing(),
                         random.split(),
                         metrics);
-        view.epochNews().tokens(duties::highestToken, duties::tokenTold);
+        view.epochUpdates().tokens(duties::highestToken, duties::tokenReported);
         crashRecords =
                 new CrashRecords(
                         loop,
@@ -265,7 +265,7 @@
                         limits,
                         engines,
                         metrics,
-                        rollouts.keeper()::isMoving,
+                        rollouts.manager()::isMoving,
                         mesh::isHub,
                         !settings.node().firstStart());
         memoryManager = memoryManager(settings.limits());
@@ -292,11 +292,11 @@
                                 mesh::regionSize,
                                 List.of(limits.cost())),
                         quotas,
-                        new RetryBudgets(settings.retries(), view::entries),
+                        new RetryBudgets(settings.retries(), view::sharingProcesses),
                         usage,
                         demand,
                         engines,
-                        rollouts.keeper(),
+                        rollouts.manager(),
                         new RetryAfterEstimator(
                                 policyManager, availability, loads, engines, random.split()),
                         metrics,
@@ -329,7 +329,7 @@
                         format.upstreamPrefix(),
                         DIRECTORY_WATCH_PAUSE_MILLIS,
                         directoryManager);
-        view.onMissedChange(directoryWatcher::watchAnew);
+        view.onMissedChange(directoryWatcher::relist);
         leaderWatcher =
                 watcher(
                         countedStore(platform, Purpose.LEADERSHIP),
@@ -352,12 +352,12 @@
         metricsServer.start(settings.listen().metrics());
         mesh.start(settings.listen().peers());
         view.start(mesh, duties::leads);
-        loop.repeat(ClusterView.DIGEST_MILLIS, view::tick);
+        loop.repeat(ClusterView.DIGEST_INTERVAL_MILLIS, view::tick);
         loop.repeat(PRUNE_INTERVAL_MILLIS, this::pruneRemovedUpstreams);
         loop.repeat(ROLE_CHECK_INTERVAL_MILLIS, this::updateStoreWatches);
         loop.repeat(STORE_USE_LOG_INTERVAL_MILLIS, this::logStoreUse);
         loop.repeat(MemoryManager.CHECK_INTERVAL_MILLIS, memoryManager::tick);
-        loop.repeat(CrashWatch.LOOK_MILLIS, this::checkForCrashes);
+        loop.repeat(CrashWatch.CHECK_INTERVAL_MILLIS, this::checkForCrashes);
         loop.execute(
                 () -> {
                     policyWatcher.restart();
@@ -400,9 +400,9 @@
                 });
     }
 
-    private TurnOrders turnOrders(String name) {
-        return new TurnOrders(
-                name, topology, () -> mesh.members(), () -> view.entries(), loop::nowMillis);
+    private SendSlotOrders turnOrders(String name) {
+        return new SendSlotOrders(
+                name, topology, () -> mesh.members(), () -> view.sharingProcesses(), loop::nowMillis);
     }
 
     private MemoryManager memoryManager(GatewaySettings.Limits limits) {
@@ -492,7 +492,7 @@
         if (!upstream.draining()) {
             intake.upstreamLost(upstream, LOST_UNRESPONSIVE_MILLIS);
             if (!directory.isLeaving(upstream.id())) {
-                crashes.isGone(upstream);
+                crashes.upstreamLost(upstream);
             }
         } else if (upstream.leavesInMillis() > 0) {
             long delayMillis = Math.max(0, upstream.leavesInMillis() - END_MARGIN_MILLIS);
@@ -501,7 +501,7 @@
     }
 
     private boolean isStateKnown() {
-        boolean recordsKnown = (rollouts.isKnown() && crashRecords.isKnown()) || isStoreGraceOver();
+        boolean recordsKnown = (rollouts.isKnown() && crashRecords.isLoaded()) || isStoreGraceOver();
         return policyManager.version() > 0 && directoryManager.isKnown() && recordsKnown;
     }
 
@@ -521,12 +521,12 @@
     }
 
     private void checkForCrashes() {
-        boolean reliable = storeHealth.isReachable() && !directoryManager.awaitsReturns();
-        crashes.look(directory.all(), reliable);
+        boolean reliable = storeHealth.isReachable() && !directoryManager.awaitsReappearance();
+        crashes.check(directory.all(), reliable);
     }
 
     private void serveMetrics(ServerExchange exchange) {
-        if (crashPages.answers(exchange)) {
+        if (crashPages.handle(exchange)) {
             return;
         }
         updateMetrics();
@@ -575,11 +575,11 @@
     private void updateMetrics() {
         regionMetrics.ifPresent(
                 regional ->
-                        regional.state(
+                        regional.update(
                                 mesh::sentBytes,
                                 view.regions().ages(loop.nowMillis()),
                                 topology.otherRegions(),
-                                view.regions().isSpeaking()));
+                                view.regions().isRepresentative()));
         memoryManager.recordState(callerServer.refused());
         metrics.upstreamList(
                 storeHealth.history().epoch(),
@@ -597,15 +597,15 @@
         metrics.state(
                 policyManager.version(),
                 directory.all().size(),
-                view.heardPeers(),
-                view.entries(),
+                view.respondingPeers(),
+                view.sharingProcesses(),
                 intake.open(),
                 duties.leads(),
                 connector.opened());
     }
 
     private void logStoreUse() {
-        List<StoreCalls.Count> counts = storeCalls.takeUntold();
+        List<StoreCalls.Count> counts = storeCalls.takeUnreported();
         if (!counts.isEmpty()) {
             DecisionLog.write(new StoreUse(counts));
         }
@@ -639,7 +639,7 @@
         boolean timedOut = elapsedMillis >= settings.timing().graceMillis() - END_MARGIN_MILLIS;
         if (idle || timedOut) {
             intake.stopAll();
-            view.tellPeers();
+            view.sendDigests();
             membership.stop();
             logStoreUse();
             DecisionLog.write(
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/GatewayMetrics.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/GatewayMetrics.java
@@ -20,7 +20,7 @@
 import io.prometheus.metrics.core.metrics.Histogram;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import io.trailladder.core.engine.EngineEstimate;
-import io.trailladder.core.rollout.AnswerSort;
+import io.trailladder.core.rollout.AnswerRating;
 import java.util.Locale;
 
 /**
@@ -218,7 +218,7 @@
      * @param version the version of the upstream that gave it
      * @param sort how the answer counts for the version
      */
-    public void versionAnswered(String service, String version, AnswerSort sort) {
+    public void versionAnswered(String service, String version, AnswerRating sort) {
         versionAnswers.labelValues(service, version, sort.name().toLowerCase(Locale.ROOT)).inc();
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeavingLives.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeavingIncarnations.java
@@ -28,11 +28,11 @@
  * all builds read; their lives stand in a section of their own, in the same order, which builds
  * without it pass over.
  */
-final class LeavingLives {
+final class LeavingIncarnations {
     private static final String NAME = "leaving-lives";
     private static final int VERSION = 1;
 
-    private LeavingLives() {}
+    private LeavingIncarnations() {}
 
     /** Returns the names, for the field. */
     static List<String> ids(List<LeavingUpstream> leaving) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeavingNews.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeavingUpdates.java
@@ -16,7 +16,7 @@
 package io.trailladder.entry.gateway;
 
 import io.trailladder.core.upstream.LeavingUpstream;
-import io.trailladder.entry.gateway.NewsInTurn.Pace;
+import io.trailladder.entry.gateway.UpdateRotation.Pace;
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Function;
@@ -25,20 +25,20 @@
  * Chooses which leaving upstreams a digest names. A wave of leavers is spread over some digests, so
  * that all of them are told and none is told only because it was the last to be seen.
  */
-final class LeavingNews {
+final class LeavingUpdates {
     /**
      * Most that one digest names: 1.8 KB at 14 bytes each. The loss of all reclaimable upstreams of
      * a data centre of 825 is told in three digests.
      */
-    static final int MOST_TOLD = 128;
+    static final int MAX_PER_DIGEST = 128;
 
     /**
      * Most of the older ones that one digest names beside the news, for processes that came later.
      */
-    static final int MOST_REPEATED = 8;
+    static final int MAX_REPEATED = 8;
 
     private final Function<String, Optional<LeavingUpstream>> listed;
-    private final NewsInTurn news;
+    private final UpdateRotation rotation;
 
     /**
      * Creates news of nobody.
@@ -46,22 +46,22 @@
      * @param listed tells which life of an upstream leaves; none of one that is gone or has started
      *     anew, which needs no telling
      */
-    LeavingNews(Function<String, Optional<LeavingUpstream>> listed) {
+    LeavingUpdates(Function<String, Optional<LeavingUpstream>> listed) {
         this.listed = listed;
-        this.news =
-                new NewsInTurn(
+        this.rotation =
+                new UpdateRotation(
                         upstream -> listed.apply(upstream).isPresent(),
-                        new Pace(MOST_TOLD, 0, MOST_REPEATED, 0));
+                        new Pace(MAX_PER_DIGEST, 0, MAX_REPEATED, 0));
     }
 
     /** Records that an upstream has begun to leave. */
     void began(String upstream, long nowMillis) {
-        news.began(upstream, nowMillis);
+        rotation.began(upstream, nowMillis);
     }
 
     /** Returns those that the next digests name. */
     List<LeavingUpstream> next(long nowMillis) {
-        return news.next(nowMillis).stream()
+        return rotation.next(nowMillis).stream()
                 .flatMap(upstream -> listed.apply(upstream).stream())
                 .toList();
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitExchange.java
@@ -27,7 +27,7 @@
      * Part of a limit that a restarted process uses which knows of no other: any of the others may
      * use the rest.
      */
-    private static final double ALONE_PART = 0.1;
+    private static final double UNKNOWN_OTHERS_SHARE = 0.1;
 
     /**
      * How long a leaf that hears nobody any more takes the others to go on as they did, in
@@ -37,12 +37,12 @@
     static final long HUB_CHANGE_MILLIS = 3_000;
 
     /** How long others must have been heard before, in milliseconds: until their use is known. */
-    static final long KNOWN_MILLIS = 4_000;
+    static final long MIN_KNOWN_MILLIS = 4_000;
 
     private final Quotas quotas;
     private final boolean restarted;
-    private long heardSinceMillis = Long.MAX_VALUE;
-    private long heardMillis;
+    private long othersKnownSinceMillis = Long.MAX_VALUE;
+    private long othersKnownMillis;
 
     /**
      * Creates an exchange.
@@ -62,14 +62,14 @@
      * @param uses its use
      * @param nowMillis the time
      */
-    void told(Peer peer, List<OrganisationUse> uses, long nowMillis) {
-        if (peer.followed()) {
-            quotas.resetIncarnation(peer.life());
+    void received(Peer peer, List<OrganisationUse> uses, long nowMillis) {
+        if (peer.startCounting()) {
+            quotas.resetIncarnation(peer.incarnationName());
         }
         if (peer.isLeaf()) {
-            quotas.recordLeafUse(peer.life(), uses, nowMillis);
+            quotas.recordLeafUse(peer.incarnationName(), uses, nowMillis);
         } else {
-            quotas.recordPeerUse(peer.life(), uses, nowMillis);
+            quotas.recordPeerUse(peer.incarnationName(), uses, nowMillis);
         }
     }
 
@@ -80,11 +80,11 @@
      * @param uses the region's use
      * @param nowMillis the time
      */
-    void toldByRegion(Peer peer, List<OrganisationUse> uses, long nowMillis) {
-        if (peer.followed()) {
-            quotas.resetIncarnation(peer.life());
+    void receivedFromRegion(Peer peer, List<OrganisationUse> uses, long nowMillis) {
+        if (peer.startCounting()) {
+            quotas.resetIncarnation(peer.incarnationName());
         }
-        quotas.recordRegionUse(peer.life(), uses, nowMillis);
+        quotas.recordRegionUse(peer.incarnationName(), uses, nowMillis);
     }
 
     /**
@@ -99,7 +99,7 @@
     void share(boolean othersKnown, boolean leaf, int heard, int sharing, long nowMillis) {
         double part = Math.min(1.0, heard / (double) sharing);
         if (restarted && !othersKnown) {
-            quotas.sharedPart(ALONE_PART, nowMillis);
+            quotas.sharedPart(UNKNOWN_OTHERS_SHARE, nowMillis);
         } else if (leaf && heard == 1 && sharing > 1 && changesHub(nowMillis)) {
             quotas.assumeOthersContinue(part, nowMillis);
         } else {
@@ -107,21 +107,21 @@
                 quotas.othersReceivedAgain(nowMillis);
             }
             quotas.sharedPart(part, nowMillis);
-            remember(heard, nowMillis);
+            recordOthers(heard, nowMillis);
         }
     }
 
     private boolean changesHub(long nowMillis) {
-        boolean known = heardMillis - heardSinceMillis >= KNOWN_MILLIS;
-        return known && nowMillis - heardMillis < HUB_CHANGE_MILLIS;
+        boolean known = othersKnownMillis - othersKnownSinceMillis >= MIN_KNOWN_MILLIS;
+        return known && nowMillis - othersKnownMillis < HUB_CHANGE_MILLIS;
     }
 
-    private void remember(int heard, long nowMillis) {
+    private void recordOthers(int heard, long nowMillis) {
         if (heard == 1) {
-            heardSinceMillis = Long.MAX_VALUE;
+            othersKnownSinceMillis = Long.MAX_VALUE;
             return;
         }
-        heardSinceMillis = Math.min(heardSinceMillis, nowMillis);
-        heardMillis = nowMillis;
+        othersKnownSinceMillis = Math.min(othersKnownSinceMillis, nowMillis);
+        othersKnownMillis = nowMillis;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitPart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitPart.java
@@ -17,7 +17,7 @@
 
 import io.trailladder.core.upstream.LimitReport;
 import io.trailladder.core.upstream.UpstreamLimits;
-import io.trailladder.entry.gateway.NewsInTurn.Pace;
+import io.trailladder.entry.gateway.UpdateRotation.Pace;
 import io.trailladder.wire.NodeMessage.DigestScope;
 import io.trailladder.wire.NodeMessage.DigestSection;
 import java.io.IOException;
@@ -32,18 +32,18 @@
  */
 final class LimitPart implements DigestPart {
     /** Most that one digest tells: so many fit with names of up to 16 bytes. */
-    static final int MOST_TOLD = 80;
+    static final int MAX_PER_DIGEST = 80;
 
-    private static final int LEAST_TIMES = 5;
+    private static final int MIN_SENDS = 5;
 
     /** Of the older ones, for processes that came later or were cut off. */
-    private static final int MOST_REPEATED = 4;
+    private static final int MAX_REPEATED = 4;
 
     /** How often older ones are told, in milliseconds: most processes were told when it was new. */
-    private static final long REPEAT_MILLIS = 1_000;
+    private static final long REPEAT_INTERVAL_MILLIS = 1_000;
 
     private final UpstreamLimits limits;
-    private final NewsInTurn news;
+    private final UpdateRotation rotation;
     private long writtenMillis = Long.MIN_VALUE;
     private Optional<DigestSection> written = Optional.empty();
 
@@ -66,14 +66,14 @@
 
     private LimitPart(UpstreamLimits limits) {
         this.limits = limits;
-        this.news =
-                new NewsInTurn(
+        this.rotation =
+                new UpdateRotation(
                         upstream -> limits.report(upstream).isPresent(),
-                        new Pace(MOST_TOLD, LEAST_TIMES, MOST_REPEATED, REPEAT_MILLIS));
+                        new Pace(MAX_PER_DIGEST, MIN_SENDS, MAX_REPEATED, REPEAT_INTERVAL_MILLIS));
     }
 
     private void learned(String upstream, long nowMillis) {
-        news.began(upstream, nowMillis);
+        rotation.began(upstream, nowMillis);
         writtenMillis = Long.MIN_VALUE;
     }
 
@@ -99,7 +99,7 @@
 
     private Optional<DigestSection> section(long nowMillis) {
         List<LimitReport> reports =
-                news.next(nowMillis).stream()
+                rotation.next(nowMillis).stream()
                         .flatMap(upstream -> limits.report(upstream).stream())
                         .toList();
         if (reports.isEmpty()) {
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public void told(String peer, DigestSection section, long nowMillis) throws IOException {
+    public void received(String peer, DigestSection section, long nowMillis) throws IOException {
         List<LimitReport> reports =
                 LimitReports.read(section.body(), nowMillis - section.ageMillis());
         reports.forEach(limits::reportReceived);
@@ -118,7 +118,7 @@
 
     @Override
     public void linked(String peer, long nowMillis) {
-        news.beginAgain(nowMillis);
+        rotation.restartAll(nowMillis);
         writtenMillis = Long.MIN_VALUE;
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LinkedPeers.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LinkedPeers.java
@@ -36,13 +36,13 @@
      * How old figures may be for their processes to share limits with this one, in milliseconds:
      * three digests. Until then both sides of a cut use whole limits.
      */
-    private static final long FRESH_MILLIS = 600;
+    private static final long FRESH_MAX_AGE_MILLIS = 600;
 
     /**
      * Leaves of each hub that keep the usage of all, beside the hubs: with 12 hubs of 80 processes,
      * 36 keep it, and six that outlive all others hold it in 98 of 100 cases (counted out).
      */
-    private static final int KEEPERS = 2;
+    private static final int USAGE_REPLICAS_PER_HUB = 2;
 
     private final LongSupplier nowMillis;
     private final RegionExchange regions;
@@ -55,7 +55,7 @@
     }
 
     /** Sets the links that tell who is a hub of whom. */
-    void linkedBy(Mesh links) {
+    void setMesh(Mesh links) {
         mesh = links;
     }
 
@@ -72,11 +72,11 @@
      */
     Peer of(NodeHello hello) {
         long now = nowMillis.getAsLong();
-        return peers.compute(hello.name(), (name, known) -> Peer.ofLife(known, hello, now));
+        return peers.compute(hello.name(), (name, known) -> Peer.ofIncarnation(known, hello, now));
     }
 
     /** Forgets the peers that have told nothing for too long, and returns them. */
-    List<Peer> removeSilent() {
+    List<Peer> removeUnresponsive() {
         long oldest = nowMillis.getAsLong() - PeerMesh.HEARD_MILLIS;
         List<Peer> silent = new ArrayList<>();
         for (Peer peer : peers.values()) {
@@ -126,7 +126,7 @@
 
     /** To a leaf only its hub's figures count, and those of peers that take it for a hub. */
     boolean counts(Peer peer) {
-        return peer.isHeard()
+        return peer.hasReported()
                 && !isElsewhere(peer)
                 && (peer.isLeaf() || mesh.isHub() || mesh.isOwnHub(peer.hello()));
     }
@@ -142,8 +142,8 @@
     }
 
     /** Returns the leaves that keep the usage of all: the same ones as long as they are linked. */
-    List<Peer> keepers() {
-        return leaves().stream().sorted(Comparator.comparing(Peer::name)).limit(KEEPERS).toList();
+    List<Peer> usageReplicas() {
+        return leaves().stream().sorted(Comparator.comparing(Peer::name)).limit(USAGE_REPLICAS_PER_HUB).toList();
     }
 
     /** Returns the other hubs of the own region. */
@@ -160,17 +160,17 @@
     }
 
     /** Returns how many processes some peers spoke for just now, this one included. */
-    int heard(List<Peer> counted) {
+    int totalProcesses(List<Peer> counted) {
         int heard = 1;
         for (Peer peer : counted) {
-            heard += justHeard(peer);
+            heard += recentProcesses(peer);
         }
         return heard;
     }
 
     /** Returns how many processes a peer spoke for just now. */
-    int justHeard(Peer peer) {
-        boolean fresh = peer.digestMillis() >= nowMillis.getAsLong() - FRESH_MILLIS;
+    int recentProcesses(Peer peer) {
+        boolean fresh = peer.digestMillis() >= nowMillis.getAsLong() - FRESH_MAX_AGE_MILLIS;
         return fresh ? peer.processes() : 0;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Membership.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Membership.java
@@ -50,37 +50,37 @@
     /** Prefix of the keys of all processes; their names follow it. */
     public static final String PREFIX = "trailladder/live/node/";
 
-    private static final long FIRST_LIST_MILLIS = 400;
-    private static final long SETTLING_LIST_MILLIS = 1_000;
-    private static final long LIST_MILLIS = 3_000;
+    private static final long FIRST_LIST_DELAY_MILLIS = 400;
+    private static final long SETTLING_LIST_INTERVAL_MILLIS = 1_000;
+    private static final long HUB_LIST_INTERVAL_MILLIS = 3_000;
 
     /**
      * How often a leaf with a hub lists, in milliseconds: it is told what its hub reads, and needs
      * the list itself only to find another hub. Reading the list of 70 processes every 3 s was an
      * eighth of the processor time of a leaf at rest, and a quarter of all calls.
      */
-    private static final long LEAF_LIST_MILLIS = 6_000;
+    private static final long LEAF_LIST_INTERVAL_MILLIS = 6_000;
 
-    private static final int SETTLING_LISTS = 3;
+    private static final int SETTLING_LIST_COUNT = 3;
 
     /** Time to live of the entry, in milliseconds: it outlives an outage of 6 s. */
     private static final long TTL_MILLIS = 10_000;
 
-    private static final long RENEW_MILLIS = 3_000;
-    private static final long HUB_RENEW_MILLIS = 900;
-    private static final long RETRY_MILLIS = 700;
+    private static final long RENEW_INTERVAL_MILLIS = 3_000;
+    private static final long HUB_RENEW_INTERVAL_MILLIS = 900;
+    private static final long RETRY_DELAY_MILLIS = 700;
 
     /**
      * Over how long processes look after their entries once the store's history was replaced, in
      * milliseconds for each process: 340 make 600 calls a second.
      */
-    private static final long SPREAD_MILLIS = 5;
+    private static final long SPREAD_PER_PROCESS_MILLIS = 5;
 
     /**
      * How long after that a process counts as listed that was listed before, in milliseconds: it
      * hears of the change within 2 s and writes itself again.
      */
-    private static final long RETURN_MILLIS = 4_000;
+    private static final long REWRITE_GRACE_MILLIS = 4_000;
 
     /** An entry as it was read. */
     private record Known(long revision, GatewayMember member) {}
@@ -98,9 +98,9 @@
 
     private final byte[] value;
     private final SplittableRandom random;
-    private int lists;
-    private int round;
-    private long returnsUntilMillis = Long.MIN_VALUE;
+    private int listCount;
+    private int historyRound;
+    private long rewriteGraceUntilMillis = Long.MIN_VALUE;
     private long ownRevision;
     private long lease;
     private long writtenLease;
@@ -138,9 +138,9 @@
 
     /** Writes the entry and keeps it, and reads those of the others. */
     public void start() {
-        grant(round);
+        grant(historyRound);
         if (firstStart) {
-            loop.schedule(FIRST_LIST_MILLIS, this::list);
+            loop.schedule(FIRST_LIST_DELAY_MILLIS, this::list);
         } else {
             list();
         }
@@ -162,29 +162,29 @@
     }
 
     private void listAfter(String afterKey) {
-        Freshness freshness = lists < SETTLING_LISTS ? Freshness.LATEST : Freshness.RECENT;
-        store.list(PREFIX, afterKey, freshness, this::page);
+        Freshness freshness = listCount < SETTLING_LIST_COUNT ? Freshness.LATEST : Freshness.RECENT;
+        store.list(PREFIX, afterKey, freshness, this::pageReceived);
     }
 
-    private void page(Either<StoreFailure, StoreBatch> result) {
+    private void pageReceived(Either<StoreFailure, StoreBatch> result) {
         if (result.isLeft()) {
             health.failed(result.getLeft());
-            loop.schedule(SETTLING_LIST_MILLIS, this::list);
+            loop.schedule(SETTLING_LIST_INTERVAL_MILLIS, this::list);
             return;
         }
         health.answered();
         List<StoreItem> items = result.get().items();
-        items.forEach(this::take);
+        items.forEach(this::add);
         if (result.get().more() && !items.isEmpty()) {
             listAfter(items.get(items.size() - 1).key());
             return;
         }
-        lists++;
+        listCount++;
         if (known.size() > listed.size()) {
             Set<GatewayMember> present = new HashSet<>(listed);
             known.values().removeIf(entry -> !present.contains(entry.member()));
         }
-        mesh.members(loop.nowMillis() < returnsUntilMillis ? withMissing() : List.copyOf(listed));
+        mesh.members(loop.nowMillis() < rewriteGraceUntilMillis ? withMissing() : List.copyOf(listed));
         loop.schedule(listMillis(), this::list);
     }
 
@@ -199,24 +199,24 @@
     /** Neither the entry nor its lease need be there any more, nor be this process's. */
     private void historyReplaced() {
         known.clear();
-        returnsUntilMillis = loop.nowMillis() + RETURN_MILLIS;
+        rewriteGraceUntilMillis = loop.nowMillis() + REWRITE_GRACE_MILLIS;
         if (lease != 0 && !stopped) {
             lease = 0;
-            round++;
-            int current = round;
-            long spread = 1 + SPREAD_MILLIS * mesh.size();
+            historyRound++;
+            int current = historyRound;
+            long spread = 1 + SPREAD_PER_PROCESS_MILLIS * mesh.size();
             loop.schedule(random.nextLong(spread), () -> readOwn(current));
         }
     }
 
     private long listMillis() {
-        if (lists < SETTLING_LISTS || mesh.lacksHub()) {
-            return SETTLING_LIST_MILLIS;
+        if (listCount < SETTLING_LIST_COUNT || mesh.lacksHub()) {
+            return SETTLING_LIST_INTERVAL_MILLIS;
         }
-        return mesh.isHub() ? LIST_MILLIS : LEAF_LIST_MILLIS;
+        return mesh.isHub() ? HUB_LIST_INTERVAL_MILLIS : LEAF_LIST_INTERVAL_MILLIS;
     }
 
-    private void take(StoreItem item) {
+    private void add(StoreItem item) {
         if (item.key().equals(key)) {
             ownRevision = item.revision();
         }
@@ -226,11 +226,11 @@
             return;
         }
         MemberFormat.read(item.value())
-                .peek(member -> take(item, member))
+                .peek(member -> add(item, member))
                 .peekLeft(fault -> Logger.warn("entry {} cannot be read: {}", item.key(), fault));
     }
 
-    private void take(StoreItem item, GatewayMember member) {
+    private void add(StoreItem item, GatewayMember member) {
         listed.add(member);
         known.put(item.key(), new Known(item.revision(), member));
     }
@@ -260,7 +260,7 @@
         ownRevision = result.get();
         writtenLease = lease;
         log("written");
-        renewAfter(RENEW_MILLIS, current);
+        renewAfter(RENEW_INTERVAL_MILLIS, current);
     }
 
     private void renewAfter(long millis, int current) {
@@ -279,7 +279,7 @@
         }
         if (result.isLeft()) {
             health.failed(result.getLeft());
-            renewAfter(RETRY_MILLIS, current);
+            renewAfter(RETRY_DELAY_MILLIS, current);
             return;
         }
         health.answered();
@@ -288,20 +288,20 @@
 
     /** Does what a call or a pause was for, unless that was in an earlier history of the store. */
     private void ifCurrent(int current, Runnable task) {
-        if (current == round && !stopped) {
+        if (current == historyRound && !stopped) {
             task.run();
         }
     }
 
     /** A hub must know soon that the store is lost, because its leaves rely on it. */
     private long renewMillis() {
-        boolean feeds = mesh.isHub() && mesh.size() > HubTopology.FULL_MESH_MOST;
-        return feeds ? HUB_RENEW_MILLIS : RENEW_MILLIS;
+        boolean feeds = mesh.isHub() && mesh.size() > HubTopology.FULL_MESH_MAX_PROCESSES;
+        return feeds ? HUB_RENEW_INTERVAL_MILLIS : RENEW_INTERVAL_MILLIS;
     }
 
     private void retryLater(int current, StoreFailure failure) {
         health.failed(failure);
-        loop.schedule(RETRY_MILLIS, () -> readOwn(current));
+        loop.schedule(RETRY_DELAY_MILLIS, () -> readOwn(current));
     }
 
     /**
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Peer.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Peer.java
@@ -29,18 +29,18 @@
 final class Peer {
     private final NodeHello hello;
     private DigestScope scope;
-    private DigestScope followedScope;
+    private DigestScope countedScope;
     private long digestMillis;
     private int processes;
     private int members;
     private List<ServiceDemand> demands = List.of();
     private List<EngineEvidence> evidence = List.of();
-    private long usageTold;
+    private long usageSent;
     private boolean storeReachable;
     private long policyVersion;
     private long directoryRevision;
     private long storeEpoch;
-    private boolean fellBack;
+    private boolean revisionDecreased;
 
     Peer(NodeHello hello, long nowMillis) {
         this.hello = hello;
@@ -48,7 +48,7 @@
     }
 
     /** Returns a known peer if it is the same life of it, else one that has told nothing yet. */
-    static Peer ofLife(Peer known, NodeHello hello, long nowMillis) {
+    static Peer ofIncarnation(Peer known, NodeHello hello, long nowMillis) {
         boolean same = known != null && known.hello.incarnation().equals(hello.incarnation());
         return same ? known : new Peer(hello, nowMillis);
     }
@@ -71,11 +71,11 @@
     }
 
     /** Returns the name of this life of the peer. */
-    String life() {
+    String incarnationName() {
         return hello.name() + '/' + hello.incarnation();
     }
 
-    void told(NodeDigest digest, long nowMillis) {
+    void received(NodeDigest digest, long nowMillis) {
         scope = digest.scope();
         digestMillis = nowMillis;
         processes = digest.processes();
@@ -86,7 +86,7 @@
         }
         storeReachable = digest.storeReachable();
         policyVersion = digest.policyVersion();
-        fellBack = storeEpoch == 0 && digest.directoryRevision() < directoryRevision;
+        revisionDecreased = storeEpoch == 0 && digest.directoryRevision() < directoryRevision;
         directoryRevision = digest.directoryRevision();
     }
 
@@ -94,8 +94,8 @@
      * Tells whether the revision of a peer that names no epoch was lower in its last digest than
      * before: the store's history was replaced, and the peer has read the new one.
      */
-    boolean fellBack() {
-        return fellBack;
+    boolean revisionDecreased() {
+        return revisionDecreased;
     }
 
     /** Records of which epoch of the store the peer's revisions are; not each digest tells it. */
@@ -106,7 +106,7 @@
     }
 
     /** Records that the peer told something that is no digest of its own. */
-    void heard(long nowMillis) {
+    void messageReceived(long nowMillis) {
         digestMillis = nowMillis;
     }
 
@@ -115,15 +115,15 @@
      *
      * @return true if those of the digest before did not, or were of other processes
      */
-    boolean followed() {
-        boolean anew = followedScope != scope;
-        followedScope = scope;
+    boolean startCounting() {
+        boolean anew = countedScope != scope;
+        countedScope = scope;
         return anew;
     }
 
     /** Records that the figures of its last digest do not count. */
-    void passedOver() {
-        followedScope = null;
+    void stopCounting() {
+        countedScope = null;
     }
 
     /** Tells whether the peer relies on this process as its hub. */
@@ -132,7 +132,7 @@
     }
 
     /** Tells whether the peer has told anything yet. */
-    boolean isHeard() {
+    boolean hasReported() {
         return scope != null;
     }
 
@@ -180,11 +180,11 @@
     }
 
     /** Returns the latest change of usage that the peer was told of. */
-    long usageTold() {
-        return usageTold;
+    long usageSent() {
+        return usageSent;
     }
 
-    void usageTold(long sequence) {
-        usageTold = sequence;
+    void usageSent(long sequence) {
+        usageSent = sequence;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Quotas.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Quotas.java
@@ -133,7 +133,7 @@
         }
         long waitMillis = bucket.tryTake(units, nowMillis);
         if (waitMillis == 0
-                && bucket.isMuch(unreported(organisation, bucket), EARLY_REPORT_RATIO)) {
+                && bucket.isLargePart(unreported(organisation, bucket), EARLY_REPORT_RATIO)) {
             onMuchUnreported.run();
         }
         return waitMillis;
@@ -161,7 +161,7 @@
     public void returnUnits(String organisation, double units) {
         QuotaBucket bucket = buckets.get(organisation);
         if (bucket != null) {
-            bucket.giveBack(units);
+            bucket.returnUnits(units);
         }
     }
 
@@ -217,7 +217,7 @@
             if (isFirstUse(incarnation, use, bucket)) {
                 lastReported.put(key(incarnation, use), 0.0);
             } else {
-                bucket.atMost(use.level(), nowMillis);
+                bucket.capLevel(use.level(), nowMillis);
             }
         }
         double units = increase(incarnation, use);
@@ -231,7 +231,7 @@
      */
     private boolean isFirstUse(String incarnation, OrganisationUse use, QuotaBucket bucket) {
         return knownIncarnations.contains(incarnation)
-                && !bucket.isMuch(use.used(), MAX_BURSTS_PER_DIGEST);
+                && !bucket.isLargePart(use.used(), MAX_BURSTS_PER_DIGEST);
     }
 
     /**
@@ -270,7 +270,7 @@
      * @param nowMillis the current time, in milliseconds
      */
     public void assumeOthersContinue(double part, long nowMillis) {
-        buckets.values().forEach(bucket -> bucket.othersGoOn(part, nowMillis));
+        buckets.values().forEach(bucket -> bucket.assumeOthersActive(part, nowMillis));
     }
 
     /**
@@ -279,7 +279,7 @@
      * @param nowMillis the current time, in milliseconds
      */
     public void othersReceivedAgain(long nowMillis) {
-        buckets.values().forEach(bucket -> bucket.othersWentOn(nowMillis));
+        buckets.values().forEach(bucket -> bucket.othersWereActive(nowMillis));
     }
 
     /**
@@ -378,7 +378,7 @@
                                     name,
                                     reported.used(),
                                     reported.reportedBefore(),
-                                    bucket.levelOfAll(nowMillis)));
+                                    bucket.totalLevel(nowMillis)));
                 });
         return uses;
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RefusedAsCrashing.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RefusedAsCrashing.java
@@ -32,16 +32,16 @@
  * @param nowMillis the time at which their ages are computed, in milliseconds
  */
 record RefusedAsCrashing(
-        String id, RequestFingerprint request, List<CrashHistory.Known> ends, long nowMillis)
+        String id, RequestFingerprint request, List<CrashHistory.CountedEnd> ends, long nowMillis)
         implements Decision {
     @Override
     public void write(JsonGenerator json) throws IOException {
         json.writeStringField("id", id);
         json.writeStringField("request", request.toString());
         json.writeArrayFieldStart("ends");
-        for (CrashHistory.Known known : ends) {
+        for (CrashHistory.CountedEnd known : ends) {
             json.writeStartObject();
-            json.writeStringField("life", HexFormat.of().toHexDigits(known.end().upstream()));
+            json.writeStringField("life", HexFormat.of().toHexDigits(known.end().incarnation()));
             json.writeNumberField("ageMs", nowMillis - known.end().atMillis());
             json.writeNumberField("ranMs", known.end().ranMillis());
             json.writeStringField("toldBy", known.source());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
@@ -46,15 +46,15 @@
      * How old the last message of a hub may be for it to count as there, in milliseconds: three
      * digests. With the next digest of the one that steps in, a region is heard again within 1.2 s.
      */
-    static final long FRESH_MILLIS = 700;
+    static final long FRESH_MAX_AGE_MILLIS = 700;
 
     /**
      * How often hubs that do not speak tell other regions which versions they know, in
      * milliseconds: often enough that their links are not taken for dead.
      */
-    private static final long STANDBY_MILLIS = 600;
+    private static final long STANDBY_INTERVAL_MILLIS = 600;
 
-    private final DirectoryKeeper directory;
+    private final DirectoryManager directory;
     private final LimitExchange limits;
     private final UpstreamLoads loads;
     private final UsageLedger usage;
@@ -62,25 +62,25 @@
     private final DigestWriter writer;
 
     /** Those who told for other regions, by name. */
-    private final Map<String, Peer> speakers = new HashMap<>();
+    private final Map<String, Peer> representatives = new HashMap<>();
 
     /** Who counts for each region; a region that is lost has none. */
-    private final Map<String, Peer> heard = new HashMap<>();
+    private final Map<String, Peer> countedByRegion = new HashMap<>();
 
     /** When a hub of the own region that goes first passed a region's message on. */
-    private final Map<String, Long> passedOnMillis = new HashMap<>();
+    private final Map<String, Long> forwardedMillis = new HashMap<>();
 
     /** Whom the hubs of other regions that are linked hear for the own one, and when they said. */
-    private final Map<String, HeardThere> heardThere = new HashMap<>();
+    private final Map<String, RemoteView> remoteViews = new HashMap<>();
 
-    private boolean speaking;
+    private boolean representative;
     private long standbyMillis;
 
     /** Whom a hub of another region hears for the own one. */
-    private record HeardThere(String speaker, long atMillis) {}
+    private record RemoteView(String representative, long atMillis) {}
 
     RegionExchange(
-            DirectoryKeeper directory,
+            DirectoryManager directory,
             LimitExchange limits,
             UpstreamLoads loads,
             UsageLedger usage,
@@ -96,7 +96,7 @@
 
     /** Returns those who tell for other regions and whose figures count here. */
     Collection<Peer> counted() {
-        return heard.values();
+        return countedByRegion.values();
     }
 
     /**
@@ -110,35 +110,35 @@
     /** Returns how old what each heard region told is, in milliseconds. */
     Map<String, Long> ages(long nowMillis) {
         Map<String, Long> ages = new HashMap<>();
-        heard.forEach((region, peer) -> ages.put(region, nowMillis - peer.digestMillis()));
+        countedByRegion.forEach((region, peer) -> ages.put(region, nowMillis - peer.digestMillis()));
         return ages;
     }
 
     /** Tells whether this process tells the other regions of its own one. */
-    boolean isSpeaking() {
-        return speaking;
+    boolean isRepresentative() {
+        return representative;
     }
 
     /** Forgets regions that are silent, and finds out who speaks for the own one. */
     void tick(Mesh mesh, RegionView view, Collection<Peer> own, long nowMillis) {
-        for (Peer peer : List.copyOf(speakers.values())) {
-            if (nowMillis - peer.digestMillis() > FRESH_MILLIS) {
-                speakers.remove(peer.name());
-                passOver(peer);
-                if (heard.remove(view.region(peer.hello()), peer)) {
+        for (Peer peer : List.copyOf(representatives.values())) {
+            if (nowMillis - peer.digestMillis() > FRESH_MAX_AGE_MILLIS) {
+                representatives.remove(peer.name());
+                stopCounting(peer);
+                if (countedByRegion.remove(view.region(peer.hello()), peer)) {
                     log(view.region(peer.hello()), "lost", peer.name());
                 }
             }
         }
         boolean first = mesh.isHub() && isFirst(view, own, nowMillis);
-        if (first != speaking) {
-            speaking = first;
+        if (first != representative) {
+            representative = first;
             log(view.region(view.self()), first ? "spoken for" : "not spoken for", "by this");
         }
     }
 
     /** Tells other regions of the own one. */
-    void tell(
+    void send(
             Mesh mesh,
             RegionView view,
             SenderState state,
@@ -155,8 +155,8 @@
         if (elsewhere.isEmpty()) {
             return;
         }
-        if (!speaking) {
-            standBy(mesh, view, state, elsewhere, nowMillis);
+        if (!representative) {
+            sendStandby(mesh, view, state, elsewhere, nowMillis);
             return;
         }
         List<UpstreamUse> uses =
@@ -166,17 +166,17 @@
                         view.region(view.self()),
                         view::isOwnRegion);
         NodeDigest sums = writer.region(state, own, processes, uses, nowMillis);
-        Map<String, Peer> first = firstOfEach(view, elsewhere, nowMillis);
+        Map<String, Peer> first = usageReceivers(view, elsewhere, nowMillis);
         for (Peer peer : elsewhere) {
             boolean hearsUsage = first.containsValue(peer);
             NodeDigest digest =
-                    hearsUsage ? sums.withUsage(writer.regionNews(peer.usageTold())) : sums;
+                    hearsUsage ? sums.withUsage(writer.regionUsageChanges(peer.usageSent())) : sums;
             boolean sent =
                     mesh.send(
                             peer.name(),
-                            new RegionDigest(true, hears(view, peer), view.self(), digest));
+                            new RegionDigest(true, countedRepresentative(view, peer), view.self(), digest));
             if (sent && hearsUsage) {
-                peer.usageTold(usage.sequence());
+                peer.usageSent(usage.sequence());
             }
         }
     }
@@ -196,7 +196,7 @@
             long nowMillis) {
         NodeHello origin = message.origin();
         if (origin.name().equals(sender.name())) {
-            heardThere.put(sender.name(), new HeardThere(message.hears(), nowMillis));
+            remoteViews.put(sender.name(), new RemoteView(message.hears(), nowMillis));
         }
         if (!view.isElsewhere(origin) || !message.speaks()) {
             return;
@@ -204,108 +204,108 @@
         boolean direct = origin.name().equals(sender.name());
         String region = view.region(origin);
         if (!direct && view.rank(sender) < view.rank(view.self())) {
-            passedOnMillis.put(region, nowMillis);
+            forwardedMillis.put(region, nowMillis);
         }
         Peer peer =
-                speakers.compute(
-                        origin.name(), (name, known) -> Peer.ofLife(known, origin, nowMillis));
-        peer.told(SoundFigures.of(peer.name(), message.digest()), nowMillis);
+                representatives.compute(
+                        origin.name(), (name, known) -> Peer.ofIncarnation(known, origin, nowMillis));
+        peer.received(ValidFigures.of(peer.name(), message.digest()), nowMillis);
         if (!counts(view, peer, region, nowMillis)) {
-            passOver(peer);
+            stopCounting(peer);
             return;
         }
-        take(view, region, peer, message.digest(), nowMillis);
+        apply(view, region, peer, message.digest(), nowMillis);
         if (direct
-                && nowMillis - passedOnMillis.getOrDefault(region, -FRESH_MILLIS) >= FRESH_MILLIS) {
+                && nowMillis - forwardedMillis.getOrDefault(region, -FRESH_MAX_AGE_MILLIS) >= FRESH_MAX_AGE_MILLIS) {
             mesh.send(Peer.names(hubs), message);
         }
     }
 
     /** Of those who tell for a region the first in rank counts that is still heard. */
     private boolean counts(RegionView view, Peer peer, String region, long nowMillis) {
-        Peer before = heard.get(region);
+        Peer before = countedByRegion.get(region);
         if (before == peer) {
             return true;
         }
         if (before != null && before.name().equals(peer.name())) {
-            heard.put(region, peer);
+            countedByRegion.put(region, peer);
             return true;
         }
         boolean better = before == null || view.rank(peer.hello()) < view.rank(before.hello());
-        if (!better && nowMillis - before.digestMillis() <= FRESH_MILLIS) {
+        if (!better && nowMillis - before.digestMillis() <= FRESH_MAX_AGE_MILLIS) {
             return false;
         }
         if (before != null) {
-            passOver(before);
+            stopCounting(before);
         }
-        heard.put(region, peer);
+        countedByRegion.put(region, peer);
         log(region, before == null ? "heard" : "told by another", peer.name());
         return true;
     }
 
-    private void take(
+    private void apply(
             RegionView view, String region, Peer peer, NodeDigest digest, long nowMillis) {
-        LeavingLives.of(digest).forEach(told -> directory.leavingSeenBy(told, peer.name()));
-        digest.usage().forEach(news -> usage.mergeElsewhere(news.life(), news.usage()));
+        LeavingIncarnations.of(digest).forEach(told -> directory.leavingReportedBy(told, peer.name()));
+        digest.usage().forEach(news -> usage.mergeFromOtherRegion(news.life(), news.usage()));
         loads.setPeerUses(
                 peer.name(),
                 RegionUse.spread(digest.uses(), region, directory.all(), view::regionOf));
-        limits.toldByRegion(peer, digest.quotas(), nowMillis);
-        parts.told(peer.name(), digest, nowMillis);
+        limits.receivedFromRegion(peer, digest.quotas(), nowMillis);
+        parts.received(peer.name(), digest, nowMillis);
     }
 
-    private void passOver(Peer peer) {
+    private void stopCounting(Peer peer) {
         loads.peerLost(peer.name());
         parts.forget(peer.name());
-        peer.passedOver();
+        peer.stopCounting();
     }
 
     private boolean isFirst(RegionView view, Collection<Peer> own, long nowMillis) {
         int rank = view.rank(view.self());
         for (Peer peer : own) {
-            boolean fresh = nowMillis - peer.digestMillis() <= FRESH_MILLIS;
-            if (fresh && peer.isHeard() && view.rank(peer.hello()) < rank) {
-                return isMissedElsewhere(view, nowMillis);
+            boolean fresh = nowMillis - peer.digestMillis() <= FRESH_MAX_AGE_MILLIS;
+            if (fresh && peer.hasReported() && view.rank(peer.hello()) < rank) {
+                return isMissingElsewhere(view, nowMillis);
             }
         }
         return true;
     }
 
     /** A hub that goes first may not reach other regions: then the next one speaks as well. */
-    private boolean isMissedElsewhere(RegionView view, long nowMillis) {
-        heardThere.values().removeIf(there -> nowMillis - there.atMillis() > FRESH_MILLIS);
-        for (HeardThere there : heardThere.values()) {
-            if (there.speaker().isEmpty() || there.speaker().equals(view.self().name())) {
+    private boolean isMissingElsewhere(RegionView view, long nowMillis) {
+        remoteViews.values().removeIf(there -> nowMillis - there.atMillis() > FRESH_MAX_AGE_MILLIS);
+        for (RemoteView there : remoteViews.values()) {
+            if (there.representative().isEmpty() || there.representative().equals(view.self().name())) {
                 return true;
             }
         }
         return false;
     }
 
-    private String hears(RegionView view, Peer there) {
-        Peer speaker = heard.get(view.region(there.hello()));
+    private String countedRepresentative(RegionView view, Peer there) {
+        Peer speaker = countedByRegion.get(view.region(there.hello()));
         return speaker == null ? "" : speaker.name();
     }
 
-    private void standBy(
+    private void sendStandby(
             Mesh mesh, RegionView view, SenderState state, List<Peer> elsewhere, long nowMillis) {
-        if (nowMillis - standbyMillis >= STANDBY_MILLIS) {
+        if (nowMillis - standbyMillis >= STANDBY_INTERVAL_MILLIS) {
             standbyMillis = nowMillis;
             NodeDigest versions = writer.versions(state);
             for (Peer peer : elsewhere) {
                 mesh.send(
                         peer.name(),
-                        new RegionDigest(false, hears(view, peer), view.self(), versions));
+                        new RegionDigest(false, countedRepresentative(view, peer), view.self(), versions));
             }
         }
     }
 
     /** Usage is told to one process of each region, the first in rank that is there. */
-    private static Map<String, Peer> firstOfEach(
+    private static Map<String, Peer> usageReceivers(
             RegionView view, List<Peer> elsewhere, long nowMillis) {
         Map<String, Peer> first = new HashMap<>();
         for (Peer peer : elsewhere) {
-            if (nowMillis - peer.digestMillis() <= FRESH_MILLIS) {
+            if (nowMillis - peer.digestMillis() <= FRESH_MAX_AGE_MILLIS) {
                 first.merge(
                         view.region(peer.hello()),
                         peer,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionMetrics.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionMetrics.java
@@ -29,11 +29,11 @@
  */
 public final class RegionMetrics {
     /** Told as the age of a region that is not heard. */
-    private static final double LOST = -1;
+    private static final double NOT_RECEIVED = -1;
 
     private final Gauge sent;
     private final Gauge age;
-    private final Gauge speaks;
+    private final Gauge represents;
 
     /**
      * Creates the figures.
@@ -53,7 +53,7 @@
                         .help("Age of what another region told; -1 if it is not heard")
                         .labelNames("region")
                         .register(registry);
-        speaks =
+        represents =
                 Gauge.builder()
                         .name("trailladder_region_speaks")
                         .help("1 if this process tells other regions of its own one")
@@ -69,7 +69,7 @@
      * @param regions all other regions
      * @param speaking true if this process speaks for its own
      */
-    public void state(
+    public void update(
             ToLongFunction<Distance> sentBytes,
             Map<String, Long> ages,
             Iterable<String> regions,
@@ -80,8 +80,8 @@
         }
         for (String region : regions) {
             Long known = ages.get(region);
-            age.labelValues(region).set(known == null ? LOST : known.doubleValue());
+            age.labelValues(region).set(known == null ? NOT_RECEIVED : known.doubleValue());
         }
-        speaks.set(speaking ? 1 : 0);
+        represents.set(speaking ? 1 : 0);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/GoneEntries.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RemovedEntries.java
@@ -24,37 +24,37 @@
  * Entries of upstreams that went. A store that comes back from a copy may list them again as they
  * were; such an entry is believed only once its upstream has written it anew.
  */
-final class GoneEntries {
+final class RemovedEntries {
     /** Most that are remembered: several times the upstreams that are lost with a data centre. */
-    private static final int MOST = 4_000;
+    private static final int MAX_ENTRIES = 4_000;
 
-    private final Map<String, byte[]> gone = new RecentMap<>(MOST);
-    private final Map<String, byte[]> doubted = new HashMap<>();
+    private final Map<String, byte[]> removed = new RecentMap<>(MAX_ENTRIES);
+    private final Map<String, byte[]> suspect = new HashMap<>();
 
     /** Records that an entry went. */
-    void went(String id, byte[] lastValue) {
-        gone.put(id, lastValue);
+    void recordRemoved(String id, byte[] lastValue) {
+        removed.put(id, lastValue);
     }
 
     /** Records that an entry was written. */
-    void written(String id) {
-        gone.remove(id);
-        doubted.remove(id);
+    void recordWritten(String id) {
+        removed.remove(id);
+        suspect.remove(id);
     }
 
     /** Doubts all that went in the history before: a copy of it may hold them. */
     void historyReplaced() {
-        doubted.putAll(gone);
+        suspect.putAll(removed);
     }
 
     /** Tells whether an entry may only be one that a copy still holds. */
-    boolean isDoubted(String id, byte[] value) {
-        byte[] last = doubted.get(id);
+    boolean isSuspect(String id, byte[] value) {
+        byte[] last = suspect.get(id);
         return last != null && Arrays.equals(last, value);
     }
 
     /** Believes the store in all from now on. */
-    void endDoubt() {
-        doubted.clear();
+    void clearSuspects() {
+        suspect.clear();
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
@@ -79,7 +79,7 @@
         this.units = units;
         this.onEnd = onEnd;
         if (!lastEventId.isEmpty()) {
-            history.eventPassed(lastEventId);
+            history.eventForwarded(lastEventId);
         }
         this.calls = new AttemptCalls(context, exchange, request);
         this.answer =
@@ -150,7 +150,7 @@
      * @param found the fingerprint of the request that makes upstreams end
      */
     void stopIfMatches(RequestFingerprint found) {
-        if (!finished && crashes.stops(found)) {
+        if (!finished && crashes.stopIfSame(found)) {
             stop();
         }
     }
@@ -179,14 +179,14 @@
 
     @Override
     public void ended(Attempt sender) {
-        if (answer.status() >= MIN_SERVER_ERROR_STATUS && !history.hasAnswerBegun()) {
+        if (answer.status() >= MIN_SERVER_ERROR_STATUS && !history.hasAnswerStarted()) {
             attemptFailed(sender, AttemptFailure.SERVER_ERROR);
             return;
         }
         attempt = null;
         context.metrics().attempt(request.service(), "whole");
         if (answer.status() < MIN_FAILURE_STATUS) {
-            crashes.ranWhole();
+            crashes.ranToCompletion();
         }
         answer.end();
         end("whole", answer.status(), sender);
@@ -208,7 +208,7 @@
             context.loop().schedule(waitMillis, this::continueAfterRollout);
         } else if (choice.isEmpty()) {
             turnAwayWithoutChoice(now);
-        } else if (!history.hasAnswerBegun()
+        } else if (!history.hasAnswerStarted()
                 && choice.get().slotWaitMillis() > request.deadlineMillis() - now) {
             turnAway(TurnedAway.NO_PLACE_IN_TIME, choice.get().slotWaitMillis());
         } else {
@@ -236,7 +236,7 @@
         if (finished) {
             return;
         }
-        if (crashes.refusesFurther()) {
+        if (crashes.refusesRetry()) {
             giveUp(RecoveryPolicy.endingOf(history, false));
         } else {
             nextAttempt();
@@ -303,7 +303,7 @@
         context.metrics().attempt(request.service(), failure.name());
         long now = context.loop().nowMillis();
         Recovery recovery = RecoveryPolicy.after(request, history, failure, true, now);
-        if (!(recovery instanceof GiveUp) && crashes.refusesFurther()) {
+        if (!(recovery instanceof GiveUp) && crashes.refusesRetry()) {
             recovery = RecoveryPolicy.after(request, history, failure, false, now);
         }
         boolean notReceived =
@@ -361,7 +361,7 @@
         if (finished) {
             return;
         }
-        Ending ending = RecoveryPolicy.endingInTime(history, isUnderWay());
+        Ending ending = RecoveryPolicy.endingAtDeadline(history, isUnderWay());
         Attempt last = attempt;
         if (isUnderWay()) {
             context.loads().failed(attempt.upstream().id(), context.loop().nowMillis());
@@ -385,7 +385,7 @@
 
     private void cancelAttempt() {
         if (attempt != null) {
-            crashes.tookBack(attempt);
+            crashes.attemptAbandoned(attempt);
             attempt.cancel();
             attempt = null;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ResponseTimeoutWatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ResponseTimeoutWatch.java
@@ -80,7 +80,7 @@
         if (attempt != watched) {
             return;
         }
-        long timeoutMillis = history.hasAnswerBegun() ? MAX_BODY_GAP_MILLIS : firstTimeoutMillis;
+        long timeoutMillis = history.hasAnswerStarted() ? MAX_BODY_GAP_MILLIS : firstTimeoutMillis;
         long now = context.loop().nowMillis();
         if (attempt.unresponsiveMillis() >= timeoutMillis
                 && RecoveryPolicy.allowsAnother(request, history, now)
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TurnOrders.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SendSlotOrders.java
@@ -34,9 +34,9 @@
  * each process takes a turn out of so many by its own name. All together then take as many turns as
  * there are, though not one each.
  */
-final class TurnOrders {
+final class SendSlotOrders {
     /** How many processes there are taken to be until the store has told which there are. */
-    private static final int LEAST_UNKNOWN = 10;
+    private static final int MIN_ASSUMED_PROCESSES = 10;
 
     private final String self;
     private final Topology topology;
@@ -55,7 +55,7 @@
      * @param processes how many there are, as far as is known
      * @param nowMillis the time
      */
-    TurnOrders(
+    SendSlotOrders(
             String self,
             Topology topology,
             Supplier<List<GatewayMember>> members,
@@ -76,7 +76,7 @@
      */
     SendSlotOrder of(Upstream upstream) {
         long now = nowMillis.getAsLong();
-        if (now - readMillis >= ClusterView.DIGEST_MILLIS) {
+        if (now - readMillis >= ClusterView.DIGEST_INTERVAL_MILLIS) {
             readMillis = now;
             byRegion.clear();
         }
@@ -88,7 +88,7 @@
         boolean lists = listed.stream().anyMatch(member -> member.name().equals(self));
         int known = listed.size() + (lists ? 0 : 1);
         if (listed.isEmpty() || known < processes.getAsInt()) {
-            int least = listed.isEmpty() ? LEAST_UNKNOWN : known;
+            int least = listed.isEmpty() ? MIN_ASSUMED_PROCESSES : known;
             int count = Math.max(least, processes.getAsInt());
             return new SendSlotOrder(Math.floorMod(self.hashCode(), count), count);
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SnapshotExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SnapshotExchange.java
@@ -27,34 +27,34 @@
 
 /** Takes the policy and the list of upstreams over from peers that have newer ones. */
 final class SnapshotExchange {
-    private static final long ASK_MILLIS = 300;
+    private static final long REQUEST_INTERVAL_MILLIS = 300;
 
     /**
      * How long a peer's list may be newer before it is asked for although the store answers, in
      * milliseconds: three digests. By then the store has told the change here too, unless the wait
      * for changes hears nothing.
      */
-    private static final long LAG_MILLIS = 600;
+    private static final long MAX_LAG_MILLIS = 600;
 
     /** Most peers of which it is remembered what they were asked: those of the largest hub. */
-    private static final int MOST_ASKED = 1_000;
+    private static final int MAX_TRACKED_PEERS = 1_000;
 
     private static final byte[] NO_BYTES = {};
 
     private final LongSupplier nowMillis;
-    private final PolicyKeeper policies;
-    private final DirectoryKeeper directory;
+    private final PolicyManager policies;
+    private final DirectoryManager directory;
     private final StoreHealth store;
     private final GatewayMetrics metrics;
-    private final Map<String, Long> askedAfter = new RecentMap<>(MOST_ASKED);
-    private final Map<String, Long> newerSinceMillis = new RecentMap<>(MOST_ASKED);
+    private final Map<String, Long> requestedAfterRevision = new RecentMap<>(MAX_TRACKED_PEERS);
+    private final Map<String, Long> newerSinceMillis = new RecentMap<>(MAX_TRACKED_PEERS);
     private Runnable onMissed = () -> {};
-    private long askedMillis;
+    private long requestedMillis;
 
     SnapshotExchange(
             LongSupplier nowMillis,
-            PolicyKeeper policies,
-            DirectoryKeeper directory,
+            PolicyManager policies,
+            DirectoryManager directory,
             StoreHealth store,
             GatewayMetrics metrics) {
         this.nowMillis = nowMillis;
@@ -72,7 +72,7 @@
     /** Asks a peer that has just been linked if the store does not tell, or has not told yet. */
     void linked(Mesh mesh, NodeHello peer) {
         if (!store.isReachable() || policies.version() == 0) {
-            ask(mesh, peer);
+            request(mesh, peer);
         }
     }
 
@@ -84,15 +84,15 @@
         boolean newerList =
                 isNewer(from, digest)
                         && (!store.isReachable() || mesh.isFedBy(peer) || isMissed(peer, now));
-        if ((newerPolicy || newerList) && now - askedMillis >= ASK_MILLIS) {
-            askedMillis = now;
-            ask(mesh, peer);
+        if ((newerPolicy || newerList) && now - requestedMillis >= REQUEST_INTERVAL_MILLIS) {
+            requestedMillis = now;
+            request(mesh, peer);
         }
     }
 
     private boolean isNewer(Peer from, NodeDigest digest) {
         boolean newer =
-                store.history().mayBeOf(from.storeEpoch())
+                store.history().mayMatch(from.storeEpoch())
                         && digest.directoryRevision() > directory.revision();
         if (!newer) {
             newerSinceMillis.remove(from.name());
@@ -102,13 +102,13 @@
 
     private boolean isMissed(NodeHello peer, long now) {
         Long since = newerSinceMillis.putIfAbsent(peer.name(), now);
-        return since != null && now - since >= LAG_MILLIS;
+        return since != null && now - since >= MAX_LAG_MILLIS;
     }
 
     /** Answers a peer with what is newer here; any list is newer than one of another history. */
-    void asked(Mesh mesh, Peer peer, SnapshotAsk ask) {
+    void requestReceived(Mesh mesh, Peer peer, SnapshotAsk ask) {
         boolean newerPolicy = policies.version() > ask.policyVersion();
-        boolean sameHistory = store.history().mayBeOf(peer.storeEpoch());
+        boolean sameHistory = store.history().mayMatch(peer.storeEpoch());
         long peerRevision = sameHistory ? ask.directoryRevision() : 0;
         boolean newerList = directory.revision() > peerRevision;
         Snapshot snapshot =
@@ -121,7 +121,7 @@
     }
 
     /** Takes a peer's answer over where it is newer; its list only if it is of this history. */
-    void answered(Mesh mesh, Peer from, Snapshot snapshot) {
+    void snapshotReceived(Mesh mesh, Peer from, Snapshot snapshot) {
         NodeHello peer = from.hello();
         if (snapshot.policyVersion() > policies.version()
                 && policies.offer(snapshot.policy(), peer.name())) {
@@ -130,9 +130,9 @@
         boolean missed = newerSinceMillis.remove(peer.name()) != null;
         boolean fed = !store.isReachable() || directory.revision() == 0 || mesh.isFedBy(peer);
         boolean wanted = (fed || missed) && hasList(peer, snapshot);
-        if (wanted && store.history().mayBeOf(from.storeEpoch())) {
+        if (wanted && store.history().mayMatch(from.storeEpoch())) {
             boolean changed =
-                    directory.fromPeer(
+                    directory.applyFromPeer(
                             snapshot.upstreams(), snapshot.directoryRevision(), peer.name());
             if (changed && missed && !fed) {
                 onMissed.run();
@@ -142,19 +142,19 @@
 
     /** A peer whose list is not newer than the one it was asked about sends an empty one. */
     private boolean hasList(NodeHello peer, Snapshot snapshot) {
-        Long after = askedAfter.remove(peer.name());
+        Long after = requestedAfterRevision.remove(peer.name());
         boolean isNewer = after != null && after < snapshot.directoryRevision();
         return isNewer || !snapshot.upstreams().isEmpty();
     }
 
     /** Tells whether the policy and list here are at least those of a peer. */
-    boolean isLevelWith(Peer peer) {
+    boolean isAsRecentAs(Peer peer) {
         return policies.version() >= peer.policyVersion()
                 && directory.revision() >= peer.directoryRevision();
     }
 
-    private void ask(Mesh mesh, NodeHello peer) {
-        askedAfter.put(peer.name(), directory.revision());
+    private void request(Mesh mesh, NodeHello peer) {
+        requestedAfterRevision.put(peer.name(), directory.revision());
         mesh.send(peer.name(), new SnapshotAsk(policies.version(), directory.revision()));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TimePart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/TimePart.java
@@ -37,7 +37,7 @@
     private static final int BYTES = Long.BYTES + Integer.BYTES;
 
     /** From which difference on the log tells that the own clock is not followed, in ms. */
-    private static final long LOGGED_MILLIS = 200;
+    private static final long LOGGED_DIFFERENCE_MILLIS = 200;
 
     private final Clock own;
     private final LongSupplier steadyMillis;
@@ -77,29 +77,29 @@
     }
 
     @Override
-    public void told(String peer, DigestSection section, long nowMillis) throws IOException {
+    public void received(String peer, DigestSection section, long nowMillis) throws IOException {
         if (section.body().length != BYTES) {
             throw new IOException(section.body().length + " bytes, expected " + BYTES);
         }
         ByteBuffer body = ByteBuffer.wrap(section.body());
         long offset = body.getLong() - steadyMillis.getAsLong();
         TimeVote vote = new TimeVote(offset, body.getInt());
-        if (!vote.isSound()) {
+        if (!vote.isValid()) {
             throw new IOException("time of " + vote.voters() + " processes");
         }
-        agreed.told(peer, vote);
+        agreed.reported(peer, vote);
     }
 
     @Override
     public void forget(String peer) {
-        agreed.forget(peer);
+        agreed.remove(peer);
     }
 
     @Override
     public long millis() {
         long ownMillis = own.millis();
         long millis = agreed.millis(steadyMillis.getAsLong(), ownOffset());
-        boolean now = Math.abs(millis - ownMillis) > LOGGED_MILLIS;
+        boolean now = Math.abs(millis - ownMillis) > LOGGED_DIFFERENCE_MILLIS;
         if (now != differs) {
             differs = now;
             String what = now ? "is not followed" : "is followed again";
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UnusableEntries.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UnusableEntries.java
@@ -25,10 +25,10 @@
  * becomes known, within a bound, since another writer may spoil many at once.
  */
 final class UnusableEntries {
-    /** Most lines in {@link #LOGGED_MILLIS}. */
-    private static final int MOST_LOGGED = 20;
+    /** Most lines in {@link #LOG_INTERVAL_MILLIS}. */
+    private static final int MAX_LOGGED_PER_INTERVAL = 20;
 
-    private static final long LOGGED_MILLIS = 10_000;
+    private static final long LOG_INTERVAL_MILLIS = 10_000;
 
     private final Map<String, String> faults = new HashMap<>();
     private long loggedSinceMillis;
@@ -39,11 +39,11 @@
         if (fault.equals(faults.put(id, fault))) {
             return;
         }
-        if (nowMillis - loggedSinceMillis >= LOGGED_MILLIS) {
+        if (nowMillis - loggedSinceMillis >= LOG_INTERVAL_MILLIS) {
             loggedSinceMillis = nowMillis;
             logged = 0;
         }
-        if (logged++ < MOST_LOGGED) {
+        if (logged++ < MAX_LOGGED_PER_INTERVAL) {
             Logger.warn("entry {} at revision {} names no upstream: {}", id, revision, fault);
         }
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/NewsInTurn.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpdateRotation.java
@@ -25,15 +25,15 @@
  * Chooses what a digest tells of many things: those that are news, in turn if they are many, so
  * that all are told and none only because it was the last to be seen, and some of the older ones.
  */
-final class NewsInTurn {
+final class UpdateRotation {
     /** How long news is told first, in milliseconds: in five digests, in case some are lost. */
-    static final long NEWS_MILLIS = 5 * ClusterView.DIGEST_MILLIS;
+    static final long FRESH_MILLIS = 5 * ClusterView.DIGEST_INTERVAL_MILLIS;
 
-    private final Predicate<String> known;
+    private final Predicate<String> stillCurrent;
     private final Pace pace;
-    private final Map<String, News> all = new LinkedHashMap<>();
-    private int freshTurn;
-    private int olderTurn;
+    private final Map<String, Update> all = new LinkedHashMap<>();
+    private int freshOffset;
+    private int olderOffset;
     private long repeatedMillis = Long.MIN_VALUE / 2;
 
     /**
@@ -44,19 +44,19 @@
      * @param mostRepeated most of the older ones that one digest tells
      * @param repeatMillis least time between two digests that tell older ones, in milliseconds
      */
-    record Pace(int mostTold, int leastTimes, int mostRepeated, long repeatMillis) {}
+    record Pace(int maxPerDigest, int minSends, int maxRepeated, long repeatIntervalMillis) {}
 
     /** One thing that is told, and in how many digests it was since it was news. */
-    private static final class News {
-        private final long begunMillis;
-        private int told;
+    private static final class Update {
+        private final long startedMillis;
+        private int sends;
 
-        News(long begunMillis) {
-            this.begunMillis = begunMillis;
+        Update(long begunMillis) {
+            this.startedMillis = begunMillis;
         }
 
         boolean isFresh(int leastTimes, long nowMillis) {
-            return nowMillis - begunMillis < NEWS_MILLIS || told < leastTimes;
+            return nowMillis - startedMillis < FRESH_MILLIS || sends < leastTimes;
         }
     }
 
@@ -66,19 +66,19 @@
      * @param known tells whether what a name stands for is still to be told
      * @param pace how much is told
      */
-    NewsInTurn(Predicate<String> known, Pace pace) {
-        this.known = known;
+    UpdateRotation(Predicate<String> known, Pace pace) {
+        this.stillCurrent = known;
         this.pace = pace;
     }
 
     /** Records that something is news now. */
     void began(String name, long nowMillis) {
-        all.put(name, new News(nowMillis));
+        all.put(name, new Update(nowMillis));
     }
 
     /** Records that all is news now, to somebody who came later. */
-    void beginAgain(long nowMillis) {
-        all.replaceAll((name, news) -> new News(nowMillis));
+    void restartAll(long nowMillis) {
+        all.replaceAll((name, news) -> new Update(nowMillis));
     }
 
     /** Returns the names that the next digests tell of. */
@@ -86,26 +86,26 @@
         if (all.isEmpty()) {
             return List.of();
         }
-        all.keySet().removeIf(name -> !known.test(name));
+        all.keySet().removeIf(name -> !stillCurrent.test(name));
         List<String> fresh = new ArrayList<>();
         List<String> older = new ArrayList<>();
         all.forEach(
                 (name, news) ->
-                        (news.isFresh(pace.leastTimes(), nowMillis) ? fresh : older).add(name));
-        List<String> told = new ArrayList<>(inTurn(fresh, freshTurn, pace.mostTold()));
-        freshTurn += told.size();
-        told.forEach(name -> all.get(name).told++);
-        if (nowMillis - repeatedMillis >= pace.repeatMillis()) {
+                        (news.isFresh(pace.minSends(), nowMillis) ? fresh : older).add(name));
+        List<String> told = new ArrayList<>(rotate(fresh, freshOffset, pace.maxPerDigest()));
+        freshOffset += told.size();
+        told.forEach(name -> all.get(name).sends++);
+        if (nowMillis - repeatedMillis >= pace.repeatIntervalMillis()) {
             repeatedMillis = nowMillis;
-            int repeated = Math.min(pace.mostRepeated(), pace.mostTold() - told.size());
-            told.addAll(inTurn(older, olderTurn, repeated));
-            olderTurn += repeated;
+            int repeated = Math.min(pace.maxRepeated(), pace.maxPerDigest() - told.size());
+            told.addAll(rotate(older, olderOffset, repeated));
+            olderOffset += repeated;
         }
         return told;
     }
 
     /** Returns some of a list, going on where the last ones ended. */
-    private static List<String> inTurn(List<String> all, int turn, int most) {
+    private static List<String> rotate(List<String> all, int turn, int most) {
         if (all.size() <= most) {
             return all;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SoundFigures.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ValidFigures.java
@@ -22,8 +22,8 @@
 import java.util.List;
 
 /** Leaves figures of peers out that cannot be true, so that they spoil nobody's model. */
-final class SoundFigures {
-    private SoundFigures() {}
+final class ValidFigures {
+    private ValidFigures() {}
 
     /**
      * Returns a digest with the figures that can be true; one line tells of those that cannot.
@@ -39,7 +39,7 @@
         List<ServiceDemand> demands =
                 digest.demands().stream().filter(ServiceDemand::isValid).toList();
         List<EngineEvidence> evidence =
-                digest.evidence().stream().filter(EngineEvidence::isSound).toList();
+                digest.evidence().stream().filter(EngineEvidence::isValid).toList();
         int told = digest.demands().size() + digest.evidence().size();
         int refused = told - demands.size() - evidence.size();
         if (refused == 0) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/mesh/PeerMesh.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/mesh/PeerMesh.java
@@ -262,7 +262,7 @@
 
     /** Links that were opened before the processes were known are not needed by a leaf or hub. */
     private void closeUnwanted() {
-        boolean all = planner.size() <= HubTopology.FULL_MESH_MOST && regions.isEmpty();
+        boolean all = planner.size() <= HubTopology.FULL_MESH_MAX_PROCESSES && regions.isEmpty();
         if (all || !planned) {
             return;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/mesh/RegionView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/mesh/RegionView.java
@@ -88,7 +88,7 @@
      * @return 0 for the first; more than any hub's for a process that is none
      */
     public int rank(NodeHello peer) {
-        return planner.carrierRank(peer.name(), peer.dataCentre());
+        return planner.bridgeRank(peer.name(), peer.dataCentre());
     }
 
     /**
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CopySender.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CopySender.java
@@ -67,7 +67,7 @@
     }
 
     private static boolean needsCopy(LocalRequest local) {
-        return !local.copyFinished && !local.runner.isMovedAway() && local.runner.mayRunAgain();
+        return !local.copyFinished && !local.runner.isMovedAway() && local.runner.isRepeatable();
     }
 
     /** Queries the entry that a request was resumed from whether it still works on it. */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/LocalRequests.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/LocalRequests.java
@@ -103,7 +103,7 @@
         RequestRecord record = local.runner.suspend();
         requests.remove(local.requestId(), local);
         copySender.drop(local.copyHolder, local.requestId());
-        local.runner.moved();
+        local.runner.redirectReceivers();
         return record;
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerRelay.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerRelay.java
@@ -133,7 +133,7 @@
             openExchanges.remove(number);
             return false;
         }
-        sink.whenGone(
+        sink.whenDisconnected(
                 () -> {
                     if (openExchanges.remove(number) != null) {
                         links.send(peer, new AnswerCancel(number));
@@ -256,7 +256,7 @@
             }
             Failure failure =
                     new Failure(Outcome.UNKNOWN, Failure.Kind.UPSTREAM_BROKEN, RETRY_AFTER_MILLIS);
-            Answers.failure(exchange.sink, "", failure);
+            Answers.sendFailure(exchange.sink, "", failure);
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerSink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerSink.java
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public synchronized void whenGone(Runnable action) {
+    public synchronized void whenDisconnected(Runnable action) {
         onCancel = action;
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestDispatcher.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestDispatcher.java
@@ -46,7 +46,7 @@
     private final PeerRelay relay;
     private final Admission admission;
     private final RequestRecovery recovery;
-    private final CallBook callResults;
+    private final CallResults callResults;
     private volatile boolean draining;
 
     /**
@@ -70,7 +70,7 @@
         this.registry = registry;
         this.claims = claims;
         this.relay = relay;
-        this.callResults = new CallBook(context.self().dataCentre());
+        this.callResults = new CallResults(context.self().dataCentre());
         this.admission = new Admission(context, registry, relay, chooser);
         this.recovery = new RequestRecovery(context.timer(), registry, relay, finder);
     }
@@ -100,9 +100,9 @@
         if (path.startsWith(REQUESTS_PATH)) {
             recovery.find(request, sink);
         } else if (request.relayed() && path.startsWith(CALLS_PATH)) {
-            callResults.answer(path.substring(CALLS_PATH.length()), request.organisation(), sink);
+            callResults.sendResult(path.substring(CALLS_PATH.length()), request.organisation(), sink);
         } else if (draining) {
-            Answers.failure(
+            Answers.sendFailure(
                     sink, "", Admission.refusal(request, Kind.STOPPING, RETRY_AFTER_MILLIS));
         } else if (request.service().isPresent()) {
             serveService(request, request.service().get(), sink);
@@ -242,7 +242,7 @@
                                 callClaimed(request, row, key, callId, sink);
                                 return;
                             }
-                            callResults.forget(callId);
+                            callResults.remove(callId);
                             if (reply.verdict() == ClaimReply.Verdict.DUPLICATE) {
                                 sendFirstAnswer(CALLS_PATH, request, reply, sink);
                             }
@@ -251,7 +251,7 @@
 
     private void callClaimed(
             IncomingRequest request, Row row, ClaimKey key, String callId, CallerSink sink) {
-        callResults.answer(callId, request.organisation(), sink);
+        callResults.sendResult(callId, request.organisation(), sink);
         new ServiceRunner(
                         context,
                         request,
@@ -284,7 +284,7 @@
             case DUPLICATE -> false;
             case MISMATCH -> refuse(sink, requestId, Failure.notRun(Kind.CLAIM_MISMATCH, 0));
             case UNKNOWN -> {
-                CallBook.unknown().send(sink, requestId, context.self().dataCentre());
+                CallResults.unknownResult().send(sink, requestId, context.self().dataCentre());
                 yield false;
             }
             case UNAVAILABLE ->
@@ -297,7 +297,7 @@
     }
 
     private static boolean refuse(CallerSink sink, String requestId, Failure failure) {
-        Answers.failure(sink, requestId, failure);
+        Answers.sendFailure(sink, requestId, failure);
         return false;
     }
 
@@ -317,7 +317,7 @@
         if (reply.holder().equals(context.self().id())) {
             serve(lookup, sink);
         } else if (!relay.forward(reply.holder(), "", lookup, sink, false)) {
-            CallBook.unknown().send(sink, reply.requestId(), context.self().dataCentre());
+            CallResults.unknownResult().send(sink, reply.requestId(), context.self().dataCentre());
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRecovery.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRecovery.java
@@ -96,7 +96,7 @@
          * there is one.
          */
         boolean attach(Optional<GenerationRunner> runner, Found found) {
-            CallerSink rest = answerStarted ? new BegunSink(sink) : sink;
+            CallerSink rest = answerStarted ? new ResumedAnswerSink(sink) : sink;
             runner.ifPresent(
                     present -> {
                         log(found, "");
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRegistry.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRegistry.java
@@ -236,7 +236,7 @@
             }
             long left = Math.max(0, noticeMillis - delay);
             context.timer()
-                    .schedule(() -> runner.leaving(upstream, left), delay, TimeUnit.MILLISECONDS);
+                    .schedule(() -> runner.upstreamLeaving(upstream, left), delay, TimeUnit.MILLISECONDS);
             delay = Math.min(delay + MOVE_INTERVAL_MILLIS, noticeMillis / 2);
         }
     }
@@ -250,10 +250,10 @@
         for (LocalRequest local : localRequests.close()) {
             GenerationRunner runner = local.runner;
             boolean mayMove =
-                    runner.mayRunAgain() && peerSelector.choose(runner.request()).isPresent();
+                    runner.isRepeatable() && peerSelector.choose(runner.request()).isPresent();
             if (mayMove) {
                 RequestRecord record = runner.suspend();
-                handOvers.offer(record, local.copyHolder, runner.lastEvent(), runner::moved);
+                handOvers.offer(record, local.copyHolder, runner.lastEvent(), runner::redirectReceivers);
             }
         }
     }
@@ -272,7 +272,7 @@
                 local.runner.endUnfinished();
             } else {
                 local.runner.suspend();
-                local.runner.moved();
+                local.runner.redirectReceivers();
             }
         }
     }
@@ -392,7 +392,7 @@
         if (hasSameContent(existing.runner.request(), request)) {
             existing.runner.attach(sink, 0);
         } else {
-            Answers.failure(sink, "", Failure.notRun(Failure.Kind.CLAIM_MISMATCH, 0));
+            Answers.sendFailure(sink, "", Failure.notRun(Failure.Kind.CLAIM_MISMATCH, 0));
         }
     }
 
@@ -400,7 +400,7 @@
         Optional<AddResult> result = localRequests.add(request, row, copyHolder, existing -> true);
         if (result.isEmpty()) {
             copySender.drop(copyHolder, request.requestId());
-            Answers.failure(sink, request.requestId(), stoppingFailure(request));
+            Answers.sendFailure(sink, request.requestId(), stoppingFailure(request));
         } else if (result.get().added()) {
             GenerationRunner runner = result.get().request().runner;
             runner.attach(sink, 0);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestResumer.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestResumer.java
@@ -187,7 +187,7 @@
         if (!copyHolder.isEmpty()) {
             context.links().send(copyHolder, new RecordPut(request));
         }
-        local.runner.goOn();
+        local.runner.resume();
         boolean goesOn = mayRun || request.complete();
         log(copy, cause, goesOn ? Result.GOES_ON : Result.MAY_HAVE_RUN);
         return Optional.of(local.runner);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntry.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntry.java
@@ -61,7 +61,7 @@
         this.info = info;
         this.timer = timer;
         Placements placements = new Placements(info.dataCentre(), 1, timer);
-        placements.listed(
+        placements.applyList(
                 List.of(new LocalUpstream("e-1", info.dataCentre(), "127.0.0.1:1", MODEL)),
                 List.of());
         ServingContext context =
@@ -154,7 +154,7 @@
 
     void received(EntryInfo from, PeerMessage message) {
         if (message instanceof Heartbeat heartbeat) {
-            chooser.heard(from.id(), heartbeat);
+            chooser.heartbeatReceived(from.id(), heartbeat);
         } else {
             router.received(from, message);
         }
