--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashPartTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashPartTest.java
@@ -31,7 +31,7 @@
 
 /** What processes tell each other of requests that end upstreams. */
 class CrashPartTest {
-    private static final long LONG_AGO_MILLIS = 60_000;
+    private static final long NO_LONGER_RECENT_MILLIS = 60_000;
 
     private long now = 1_000_000;
     private final CrashWatch own = watch();
@@ -51,9 +51,9 @@
         return new Upstream(id, "s", "dc", "h:1", 8, false, false, 0);
     }
 
-    private void end(CrashWatch watch, long request, int times) {
+    private void recordEnds(CrashWatch watch, long request, int times) {
         for (int i = 0; i < times; i++) {
-            watch.ended("t", request(request), upstream(request + "-" + i), 100);
+            watch.recordEnd("t", request(request), upstream(request + "-" + i), 100);
         }
     }
 
@@ -63,98 +63,98 @@
     }
 
     @Example
-    void endsSeenByTwoAddUp() throws IOException {
-        end(own, 1, 2);
-        other.ended("t", request(1), upstream("elsewhere"), 100);
-        otherPart.told("own", section(ownPart), now);
+    void endsSeenByTwoProcessesAddUp() throws IOException {
+        recordEnds(own, 1, 2);
+        other.recordEnd("t", request(1), upstream("elsewhere"), 100);
+        otherPart.received("own", section(ownPart), now);
         assertTrue(other.refuses("t", request(1)));
         assertFalse(own.refuses("t", request(1)));
-        ownPart.told("other", section(otherPart), now);
+        ownPart.received("other", section(otherPart), now);
         assertTrue(own.refuses("t", request(1)));
     }
 
     @Example
-    void peersNewLifeIsToldOfAllSuspects() throws IOException {
+    void newIncarnationOfAPeerReceivesAllSuspects() throws IOException {
         for (int request = 1; request <= 20; request++) {
-            end(own, request, 3);
+            recordEnds(own, request, 3);
         }
-        now += LONG_AGO_MILLIS;
+        now += NO_LONGER_RECENT_MILLIS;
         int atRest = section(ownPart).body().length;
-        ownPart.told("other", section(otherPart), now);
+        ownPart.received("other", section(otherPart), now);
         DigestSection all = section(ownPart);
         assertTrue(all.body().length > 10 * atRest, all.body().length + " bytes");
-        otherPart.told("own", all, now);
+        otherPart.received("own", all, now);
         for (int request = 1; request <= 20; request++) {
             assertTrue(other.refuses("t", request(request)));
         }
     }
 
     @Example
-    void atRestSuspectsAreToldInTurn() throws IOException {
-        end(own, 1, 3);
-        end(own, 2, 3);
-        now += LONG_AGO_MILLIS;
+    void suspectsWithoutRecentEndsAreReportedInRotation() throws IOException {
+        recordEnds(own, 1, 3);
+        recordEnds(own, 2, 3);
+        now += NO_LONGER_RECENT_MILLIS;
         for (int round = 0; round < 2; round++) {
-            otherPart.told("own", section(ownPart), now);
-            now += ClusterView.DIGEST_MILLIS;
+            otherPart.received("own", section(ownPart), now);
+            now += ClusterView.DIGEST_INTERVAL_MILLIS;
         }
         assertTrue(other.refuses("t", request(1)));
         assertTrue(other.refuses("t", request(2)));
     }
 
     @Example
-    void sectionIsBoundedHoweverManyThereAre() {
+    void sectionSizeIsBoundedForAnyNumberOfSuspects() {
         for (int request = 1; request <= 1_000; request++) {
-            end(own, request, 1);
+            recordEnds(own, request, 1);
         }
         assertTrue(section(ownPart).body().length <= DigestSection.MOST_BYTES);
     }
 
     @Example
-    void unsoundSectionIsRefusedWhole() {
+    void invalidSectionIsRefusedAsAWhole() {
         DigestSection shortOne = new DigestSection("crashes", 1, 0, new byte[3]);
-        assertThrows(IOException.class, () -> ownPart.told("p", shortOne, now));
+        assertThrows(IOException.class, () -> ownPart.received("p", shortOne, now));
         byte[] tooManyEnds = new byte[8 + 13];
         tooManyEnds[8 + 12] = 100;
         DigestSection unsound = new DigestSection("crashes", 1, 0, tooManyEnds);
-        assertThrows(IOException.class, () -> ownPart.told("p", unsound, now));
+        assertThrows(IOException.class, () -> ownPart.received("p", unsound, now));
         assertEquals(0, own.ledger().size());
     }
 
     @Example
-    void operatorsWordIsToldToo() throws IOException {
-        end(own, 1, 3);
-        otherPart.told("own", section(ownPart), now);
+    void liftByAnOperatorIsReportedToPeers() throws IOException {
+        recordEnds(own, 1, 3);
+        otherPart.received("own", section(ownPart), now);
         now += 1_000;
         assertTrue(other.lift(new RequestFingerprint(1)));
-        ownPart.told("other", section(otherPart), now);
+        ownPart.received("other", section(otherPart), now);
         assertFalse(own.refuses("t", request(1)));
     }
 
     @Example
-    void foundRequestIsToldOnce() throws IOException {
+    void newlyRefusedRequestIsReportedOnce() throws IOException {
         List<RequestFingerprint> found = new ArrayList<>();
         other.onRefused(found::add);
-        end(own, 1, 3);
-        otherPart.told("own", section(ownPart), now);
-        otherPart.told("own", section(ownPart), now);
+        recordEnds(own, 1, 3);
+        otherPart.received("own", section(ownPart), now);
+        otherPart.received("own", section(ownPart), now);
         assertEquals(List.of(new RequestFingerprint(1)), found);
     }
 
     /** Each saw one end and the request run whole after it, before it was told of the others. */
     @Example
-    void wholeRunsBetweenEndsKeepARequestServed() throws IOException {
+    void completeRunsBetweenEndsKeepARequestServed() throws IOException {
         List<CrashPart> tellers = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             CrashWatch watch = watch();
-            watch.ended("t", request(1), upstream("w" + i), 50);
+            watch.recordEnd("t", request(1), upstream("w" + i), 50);
             now += 20;
-            watch.ranWhole(request(1));
+            watch.ranToCompletion(request(1));
             now += 20;
             tellers.add(new CrashPart(watch, 10 + i));
         }
         for (CrashPart teller : tellers) {
-            otherPart.told("teller" + tellers.indexOf(teller), section(teller), now);
+            otherPart.received("teller" + tellers.indexOf(teller), section(teller), now);
         }
         assertFalse(other.refuses("t", request(1)));
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/TimePartTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/TimePartTest.java
@@ -41,40 +41,40 @@
     }
 
     @Example
-    void aSteppedProcessFollowsTheOthers() throws IOException {
+    void processWithASteppedClockFollowsTheOthers() throws IOException {
         TimePart stepped = part(-3_000);
-        stepped.told("a", own(part(0)), 0);
-        stepped.told("b", own(part(1)), 0);
+        stepped.received("a", own(part(0)), 0);
+        stepped.received("b", own(part(1)), 0);
         assertEquals(TRUE_MILLIS, stepped.millis());
     }
 
     @Example
-    void aHubTellsTheMedianOfItsLeavesWithTheirNumber() throws IOException {
+    void hubReportsTheMedianOfItsLeavesWithTheirNumber() throws IOException {
         TimePart hub = part(2_400);
-        hub.told("a", own(part(0)), 0);
-        hub.told("b", own(part(0)), 0);
+        hub.received("a", own(part(0)), 0);
+        hub.received("b", own(part(0)), 0);
         TimePart leaf = part(-9_000);
-        leaf.told("hub", hub.write(DigestScope.REST, List.of("a", "b"), 0).orElseThrow(), 0);
+        leaf.received("hub", hub.write(DigestScope.REST, List.of("a", "b"), 0).orElseThrow(), 0);
         assertEquals(TRUE_MILLIS, leaf.millis());
     }
 
     @Example
-    void whatASilentPeerToldIsForgotten() throws IOException {
+    void reportsOfAForgottenPeerAreDropped() throws IOException {
         TimePart part = part(3_000);
-        part.told("a", own(part(0)), 0);
-        part.told("b", own(part(0)), 0);
+        part.received("a", own(part(0)), 0);
+        part.received("b", own(part(0)), 0);
         part.forget("a");
         part.forget("b");
         assertEquals(TRUE_MILLIS + 3_000, part.millis());
     }
 
     @Example
-    void bodiesThatCannotBeReadAreRefused() {
+    void malformedBodiesAreRefused() {
         TimePart part = part(0);
         DigestSection shorter = new DigestSection("time", 1, 0, new byte[3]);
-        assertThrows(IOException.class, () -> part.told("a", shorter, 0));
+        assertThrows(IOException.class, () -> part.received("a", shorter, 0));
         DigestSection ofNobody = new DigestSection("time", 1, 0, new byte[12]);
-        assertThrows(IOException.class, () -> part.told("a", ofNobody, 0));
+        assertThrows(IOException.class, () -> part.received("a", ofNobody, 0));
         assertEquals(TRUE_MILLIS, part.millis());
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/serve/HttpEngineApiTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/serve/HttpEngineApiTest.java
@@ -84,7 +84,7 @@
                             0);
             Recorder stopping = new Recorder();
             Recorder successor = new Recorder();
-            EngineApi.Running handedOver =
+            EngineApi.RunningAttempt handedOver =
                     new HttpEngineApi(client, IDLE_TIMEOUT_MILLIS)
                             .generate(upstream, attempt, stopping);
             stopping.awaitFirstToken();
--- a/trailladder-wire/src/main/java/io/trailladder/wire/NodeMessage.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/NodeMessage.java
@@ -17,7 +17,7 @@
 
 import io.trailladder.core.duty.UsageCount;
 import io.trailladder.core.engine.EngineEvidence;
-import io.trailladder.core.rollout.RolloutNews;
+import io.trailladder.core.rollout.RolloutUpdate;
 import io.trailladder.core.upstream.ServiceDemand;
 import io.trailladder.core.upstream.UpstreamUse;
 import java.util.List;
@@ -203,7 +203,7 @@
      *
      * @param rollouts one entry a service
      */
-    record RolloutReport(List<RolloutNews> rollouts) implements NodeMessage {
+    record RolloutReport(List<RolloutUpdate> rollouts) implements NodeMessage {
         /** Copies the entries. */
         public RolloutReport {
             rollouts = List.copyOf(rollouts);
--- a/trailladder-wire/src/main/java/io/trailladder/wire/NodePacker.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/NodePacker.java
@@ -19,7 +19,7 @@
 import io.trailladder.core.engine.EngineEvidence;
 import io.trailladder.core.engine.FitSums;
 import io.trailladder.core.rollout.AnswerCount;
-import io.trailladder.core.rollout.RolloutNews;
+import io.trailladder.core.rollout.RolloutUpdate;
 import io.trailladder.core.rollout.RolloutOrder;
 import io.trailladder.core.rollout.RouteEvidence;
 import io.trailladder.core.upstream.ServiceDemand;
@@ -175,7 +175,7 @@
                 .fraction(sums.xy());
     }
 
-    private void rollout(RolloutNews news) throws IOException {
+    private void rollout(RolloutUpdate news) throws IOException {
         RolloutOrder order = news.order();
         fields(8)
                 .text(order.service())
@@ -183,7 +183,7 @@
                 .number(order.durationMillis())
                 .number(order.revision())
                 .text(news.phase().name())
-                .number(news.leftMillis())
+                .number(news.remainingMillis())
                 .number(news.round())
                 .list(news.evidence(), this::routeEvidence);
     }
--- a/trailladder-wire/src/main/java/io/trailladder/wire/NodeUnpacker.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/NodeUnpacker.java
@@ -19,7 +19,7 @@
 import io.trailladder.core.engine.EngineEvidence;
 import io.trailladder.core.engine.FitSums;
 import io.trailladder.core.rollout.AnswerCount;
-import io.trailladder.core.rollout.RolloutNews;
+import io.trailladder.core.rollout.RolloutUpdate;
 import io.trailladder.core.rollout.RolloutOrder;
 import io.trailladder.core.rollout.RolloutPhase;
 import io.trailladder.core.rollout.RouteEvidence;
@@ -209,10 +209,10 @@
         return new RolloutReport(list(this::rollout));
     }
 
-    private RolloutNews rollout() throws IOException {
+    private RolloutUpdate rollout() throws IOException {
         fields(8);
         RolloutOrder order = new RolloutOrder(text(), text(), number(), number());
-        return new RolloutNews(order, phase(), number(), number(), list(this::routeEvidence));
+        return new RolloutUpdate(order, phase(), number(), number(), list(this::routeEvidence));
     }
 
     private RolloutPhase phase() throws IOException {
--- a/trailladder-wire/src/test/java/io/trailladder/wire/NodeMessageProperties.java
+++ b/trailladder-wire/src/test/java/io/trailladder/wire/NodeMessageProperties.java
@@ -25,7 +25,7 @@
 import io.trailladder.core.engine.EngineEvidence;
 import io.trailladder.core.engine.FitSums;
 import io.trailladder.core.rollout.AnswerCount;
-import io.trailladder.core.rollout.RolloutNews;
+import io.trailladder.core.rollout.RolloutUpdate;
 import io.trailladder.core.rollout.RolloutOrder;
 import io.trailladder.core.rollout.RolloutPhase;
 import io.trailladder.core.rollout.RouteEvidence;
@@ -165,7 +165,7 @@
         RouteEvidence evidence =
                 new RouteEvidence(name, new AnswerCount(9, 3, 5), new AnswerCount(8, 1, 2));
         RolloutOrder order = new RolloutOrder(name, "v2", 12_000, number);
-        RolloutNews news = new RolloutNews(order, phase, -number, 7, List.of(evidence));
+        RolloutUpdate news = new RolloutUpdate(order, phase, -number, 7, List.of(evidence));
         RolloutReport report = new RolloutReport(List.of(news));
         assertEquals(report, roundTrip(report));
     }
