--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
@@ -32,15 +32,15 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** Watches for requests that end the upstreams that run them, and has them refused. */
+/** Detects requests that end the upstreams that run them, and has them refused. */
 public final class CrashWatch {
-    /** How often the watch looks through what it remembers, in milliseconds. */
+    /** How often {@link #check} is to be called, in milliseconds. */
     static final long CHECK_INTERVAL_MILLIS = 1_000;
 
-    /** How often a refused request's ends are logged, in milliseconds; its tries may be many. */
+    /** Min. time between two log lines about one refused request, in milliseconds. */
     private static final long LOG_INTERVAL_MILLIS = 10_000;
 
-    /** Most requests of which it is known when their ends were last logged. */
+    /** Max. number of requests whose last log line is remembered. */
     private static final int MAX_LOGGED_REQUESTS = 256;
 
     private final CrashLedger ledger = new CrashLedger();
@@ -57,12 +57,12 @@
         this.metrics = metrics;
     }
 
-    /** Has a task run when an end was seen here that was not known. */
+    /** Sets the task that runs when this process observes an end that was not known. */
     void onNewEnd(Runnable task) {
         onNewEnd = task;
     }
 
-    /** Has a listener told of each request that is refused from now on. */
+    /** Sets the listener that is called with each request that is refused from then on. */
     void onRefused(Consumer<RequestFingerprint> listener) {
         onRefused = listener;
     }
@@ -71,7 +71,7 @@
         return ledger;
     }
 
-    /** Tells whether a request that has just come is refused. */
+    /** Returns whether a request that has just arrived is refused; counts and logs the refusal. */
     boolean refuses(String tryId, RequestIdentity identity) {
         CrashVerdict verdict = verdict(identity);
         if (verdict == CrashVerdict.TRIED_AGAIN) {
@@ -83,7 +83,10 @@
         return verdict == CrashVerdict.REFUSED && recordRefusal(tryId, identity);
     }
 
-    /** Tells whether a request whose attempt has failed is not to be sent again. */
+    /**
+     * Returns whether a request whose attempt has failed must not be sent again; counts and logs
+     * the refusal.
+     */
     boolean refusesRetry(String tryId, RequestIdentity identity) {
         return verdict(identity) != CrashVerdict.SERVED && recordRefusal(tryId, identity);
     }
@@ -94,6 +97,7 @@
                 : CrashVerdict.SERVED;
     }
 
+    /** Counts and logs a refusal; always returns true. */
     private boolean recordRefusal(String tryId, RequestIdentity identity) {
         metrics.count(GatewayMetrics.Event.REFUSED_AS_CRASHING);
         RequestFingerprint request = identity.fingerprint();
@@ -107,60 +111,66 @@
         return true;
     }
 
-    /** Records that an upstream ended, or its connection did, while it had a request. */
+    /** Records that an upstream ended, or its connection did, while it ran a request. */
     void recordEnd(String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
         recordEnd(abandoned(tryId, identity, upstream, ranMillis));
         upstreamLost(upstream);
     }
 
-    /** Records that a request was taken back from an upstream, which may end under it yet. */
-    void attemptAbandoned(String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
+    /**
+     * Records that an attempt was abandoned. Its upstream may still end because of the request, see
+     * {@link #upstreamLost}.
+     */
+    void attemptAbandoned(
+            String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
         abandoned.add(abandoned(tryId, identity, upstream, ranMillis));
     }
 
     private CancelledRequest abandoned(
             String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
         long now = nowMillis.getAsLong();
-        long life = incarnationOf(upstream);
+        long incarnation = incarnationOf(upstream);
         return new CancelledRequest(
-                tryId, identity.fingerprint(), upstream.id(), life, now - ranMillis, now);
+                tryId, identity.fingerprint(), upstream.id(), incarnation, now - ranMillis, now);
     }
 
     /**
-     * Records that an upstream has ended, or seems to: requests that were taken back from it lately
-     * had it too.
+     * Records that an upstream has ended or appears to have ended. The end counts against requests
+     * that were abandoned at that upstream shortly before.
      */
     void upstreamLost(Upstream upstream) {
-        for (CancelledRequest one : abandoned.takeFrom(upstream.id(), nowMillis.getAsLong())) {
-            recordEnd(one);
+        for (CancelledRequest abandoned :
+                abandoned.takeFrom(upstream.id(), nowMillis.getAsLong())) {
+            recordEnd(abandoned);
         }
     }
 
-    private void recordEnd(CancelledRequest one) {
-        RequestFingerprint request = one.request();
-        boolean news =
+    private void recordEnd(CancelledRequest attempt) {
+        RequestFingerprint request = attempt.request();
+        boolean isNew =
                 ledger.ended(
                         request,
-                        one.incarnation(),
-                        one.sentMillis(),
-                        one.cancelledMillis(),
+                        attempt.incarnation(),
+                        attempt.sentMillis(),
+                        attempt.cancelledMillis(),
                         nowMillis.getAsLong());
         DecisionLog.write(
                 new UpstreamEnded(
-                        one.attemptId(),
+                        attempt.attemptId(),
                         request,
-                        one.upstream(),
-                        one.cancelledMillis() - one.sentMillis(),
+                        attempt.upstream(),
+                        attempt.cancelledMillis() - attempt.sentMillis(),
                         ledger.countedEnds(request).size()));
-        if (news) {
+        if (isNew) {
             onNewEnd.run();
             notifyIfRefused(request);
         }
     }
 
     /**
-     * Records that an upstream has answered a request, so that it lived when that was sent. An
-     * upstream that does not tell when it started may be a later life under the same name.
+     * Records that an upstream has answered a request, so that it was running when the request was
+     * sent. An upstream that does not report its start time is ignored, since it may be a later
+     * incarnation under the same name.
      */
     void answered(Upstream upstream, long sentMillis) {
         if (ledger.hasSuspects() && upstream.startedMillis() > 0) {
@@ -169,9 +179,9 @@
     }
 
     /**
-     * Records that an upstream has announced that it leaves, which one that has ended cannot. Three
-     * connections that broke to upstreams that left soon after would have a harmless request
-     * refused otherwise.
+     * Records that an upstream has announced that it leaves, which shows that it had not ended.
+     * Without this, three connections that broke to upstreams that left soon after would have a
+     * harmless request refused.
      */
     void announcedLeaving(Upstream upstream) {
         if (!ledger.isEmpty()) {
@@ -184,17 +194,20 @@
     }
 
     /**
-     * Records that a request ran whole, which clears it of a single end too: those of several
-     * processes would add up otherwise, although it ran whole between them.
+     * Records that a request ran to completion, which clears even a single end. Otherwise single
+     * ends seen by several processes would add up, although the request completed in between.
      */
     void ranToCompletion(RequestIdentity identity) {
         if (!ledger.isEmpty() && ledger.cleared(identity.fingerprint(), nowMillis.getAsLong())) {
             DecisionLog.write(
-                    new Lifecycle("request " + identity.fingerprint(), "cleared", "it ran whole"));
+                    new Lifecycle(
+                            "request " + identity.fingerprint(),
+                            "cleared",
+                            "it ran to completion"));
         }
     }
 
-    /** Clears a request because an operator says so; returns false if nothing was known of it. */
+    /** Clears a request on an operator's request; returns false if no end of it was known. */
     boolean lift(RequestFingerprint request) {
         boolean lifted = ledger.cleared(request, nowMillis.getAsLong());
         if (lifted) {
@@ -203,14 +216,14 @@
         return lifted;
     }
 
-    /** Takes over what a peer, or the store, tells. */
+    /** Applies a report from a peer or from the store. */
     void receiveReport(String source, CrashReport report) {
         if (ledger.received(source, report, nowMillis.getAsLong())) {
             DecisionLog.write(
                     new Lifecycle(
                             "request " + report.request(),
                             "refused from now",
-                            report.ends().size() + " ends, told by " + source));
+                            report.ends().size() + " ends, reported by " + source));
             notifyIfRefused(report.request());
         }
     }
@@ -222,21 +235,22 @@
     }
 
     /**
-     * Looks through what is remembered. To be called every {@link #CHECK_INTERVAL_MILLIS}.
+     * Dismisses ends of upstreams that are still listed, drops old ends, and updates the metrics.
+     * To be called every {@link #CHECK_INTERVAL_MILLIS} milliseconds.
      *
-     * @param listed the upstreams that are listed
-     * @param sound true if the list is sound: the store answers, and no entries are missing that
-     *     may come back
+     * @param listed the listed upstreams
+     * @param listValid true if the list is valid: the store answers, and no entries are missing
+     *     that may reappear
      */
-    void check(Collection<Upstream> listed, boolean sound) {
+    void check(Collection<Upstream> listed, boolean listValid) {
         long now = nowMillis.getAsLong();
-        listValidSinceMillis = sound ? Math.min(listValidSinceMillis, now) : Long.MAX_VALUE;
+        listValidSinceMillis = listValid ? Math.min(listValidSinceMillis, now) : Long.MAX_VALUE;
         if (ledger.isEmpty()) {
             return;
         }
-        Set<Long> living = new HashSet<>();
-        listed.forEach(one -> living.add(incarnationOf(one)));
-        ledger.cleanUp(living, Math.min(listValidSinceMillis, now), now);
+        Set<Long> listedIncarnations = new HashSet<>();
+        listed.forEach(upstream -> listedIncarnations.add(incarnationOf(upstream)));
+        ledger.cleanUp(listedIncarnations, Math.min(listValidSinceMillis, now), now);
         metrics.crashing(ledger.refused().size(), ledger.size());
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryManager.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryManager.java
@@ -34,7 +34,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * The list of upstreams as the store tells it, or as a peer does while the store cannot be reached.
+ * Maintains the list of upstreams from the store, or from peers while the store cannot be reached.
  *
  * @since 0.2
  */
@@ -42,8 +42,8 @@
     private static final byte[] NO_BYTES = {};
 
     /**
-     * How long entries that lapsed while the store was away may take to come back, in milliseconds:
-     * about two seconds by the platform's contract, and a message's way.
+     * How long entries that expired while the store was unreachable may take to reappear, in
+     * milliseconds: about two seconds by the platform's contract, plus a message's latency.
      */
     static final long REAPPEARANCE_MILLIS = 2_200;
 
@@ -55,35 +55,36 @@
     private final Map<String, byte[]> entries = new HashMap<>();
     private final UnusableEntries unusable = new UnusableEntries();
     private final RemovedEntries removedEntries = new RemovedEntries();
-    private Consumer<UpstreamNews> onUpdate = news -> {};
-    private Consumer<UpstreamNews> onIgnoredUpdate = news -> {};
+    private Consumer<UpstreamNews> onUpdate = update -> {};
+    private Consumer<UpstreamNews> onIgnoredUpdate = update -> {};
     private long revision;
     private boolean known;
     private long confirmedMillis;
     private long reappearUntilMillis = Long.MIN_VALUE;
 
     /**
-     * Creates a keeper.
+     * Creates a manager without a list.
      *
-     * @param format how entries are written
-     * @param directory the directory to keep
-     * @param nowMillis tells the time
-     * @param afterReturn runs a task {@value #RETURN_MILLIS} milliseconds later
+     * @param format decodes entries
+     * @param directory the directory to update
+     * @param nowMillis supplies the time, in milliseconds
+     * @param afterReappearance runs a task {@value #REAPPEARANCE_MILLIS} milliseconds later
      */
     public DirectoryManager(
             PlatformFormat format,
             UpstreamDirectory directory,
             LongSupplier nowMillis,
-            Consumer<Runnable> afterReturn) {
+            Consumer<Runnable> afterReappearance) {
         this.format = format;
         this.directory = directory;
         this.nowMillis = nowMillis;
-        this.afterReappearance = afterReturn;
+        this.afterReappearance = afterReappearance;
     }
 
     /**
-     * Has entries that are missing from now on taken for gone only if they do not come back soon:
-     * the store was away, and entries lapse meanwhile though their upstreams live.
+     * Begins a period of {@value #REAPPEARANCE_MILLIS} milliseconds in which missing entries do not
+     * yet count as removed: entries expire while the store is unreachable, though their upstreams
+     * run.
      */
     public void storeRegained() {
         reappearUntilMillis = nowMillis.getAsLong() + REAPPEARANCE_MILLIS;
@@ -91,8 +92,9 @@
     }
 
     /**
-     * Has the next list, from the store or a peer, count as newer than the one here, whatever its
-     * revision: the store's history is another one. Entries that are missing there may come back.
+     * Makes the next list from the store or a peer count as newer than the current one, whatever
+     * its revision, since the store's history was replaced. Entries that are missing there may
+     * reappear.
      */
     public void historyReplaced() {
         revision = 0;
@@ -102,26 +104,26 @@
     }
 
     /**
-     * Tells whether a list was ever read.
+     * Returns whether a list was ever received.
      *
-     * @return true if upstreams are known
+     * @return true if a list is known
      */
     public boolean isKnown() {
         return known;
     }
 
     /**
-     * Tells whether the list holds upstreams that may be gone: the store was away, and it is not
-     * yet clear which of them come back.
+     * Returns whether the list may contain upstreams that have ended: the store was unreachable,
+     * and their entries may still reappear.
      *
-     * @return false if the list is what the store has
+     * @return false if the list is the same as in the store
      */
     public boolean awaitsReappearance() {
         return nowMillis.getAsLong() < reappearUntilMillis;
     }
 
     /**
-     * Has a listener told of every upstream that begins to leave or is gone.
+     * Adds a listener that is called with every upstream that begins to leave or is removed.
      *
      * @param listener the listener
      */
@@ -130,7 +132,7 @@
     }
 
     /**
-     * Has a listener told of every change that the store or a peer tells.
+     * Sets the listener that is called with every change from the store or a peer.
      *
      * @param listener the listener
      */
@@ -139,8 +141,8 @@
     }
 
     /**
-     * Has a listener told of every change that a peer tells and that is not taken over, though the
-     * list here differs from it, because the list counts as newer.
+     * Sets the listener that is called with every change from a peer that differs from the list but
+     * is ignored, because the list counts as newer.
      *
      * @param listener the listener
      */
@@ -154,10 +156,10 @@
     }
 
     /**
-     * Returns how long ago the store, or a peer that passes its changes on, last showed that the
+     * Returns how long ago the store, or a peer that forwards its changes, last showed that the
      * list is current.
      *
-     * @return a time, in milliseconds
+     * @return the age, in milliseconds
      */
     public long ageMillis() {
         return nowMillis.getAsLong() - confirmedMillis;
@@ -181,23 +183,23 @@
     }
 
     /**
-     * Takes over a change that a peer tells, if nothing between it and the list here is missing.
+     * Applies a change from a peer if no earlier change is missing in the list.
      *
-     * @param news the change
+     * @param update the change
      */
-    public void applyFromPeer(UpstreamNews news) {
-        if (news.after() <= revision && news.revision() > revision) {
-            revision = news.revision();
+    public void applyFromPeer(UpstreamNews update) {
+        if (update.after() <= revision && update.revision() > revision) {
+            revision = update.revision();
             confirmedCurrent();
-            apply(news.upstream().id(), news.upstream().value());
-            onUpdate.accept(news);
-        } else if (news.revision() <= revision && differs(news.upstream())) {
-            onIgnoredUpdate.accept(news);
+            apply(update.upstream().id(), update.upstream().value());
+            onUpdate.accept(update);
+        } else if (update.revision() <= revision && differs(update.upstream())) {
+            onIgnoredUpdate.accept(update);
         }
     }
 
-    private boolean differs(UpstreamEntry told) {
-        return !Arrays.equals(entries.getOrDefault(told.id(), NO_BYTES), told.value());
+    private boolean differs(UpstreamEntry entry) {
+        return !Arrays.equals(entries.getOrDefault(entry.id(), NO_BYTES), entry.value());
     }
 
     private void apply(String id, byte[] value) {
@@ -205,7 +207,7 @@
             rememberRemoved(id, entries.remove(id));
             unusable.remove(id);
             if (!mayReappear(id)) {
-                directory.removed(id).ifPresent(upstream -> notifyLeaving(upstream, "gone"));
+                directory.removed(id).ifPresent(upstream -> notifyLeaving(upstream, "removed"));
             }
             return;
         }
@@ -224,12 +226,12 @@
     }
 
     /**
-     * Takes a peer's list over if it is newer.
+     * Applies a peer's list if it is newer.
      *
      * @param upstreams the entries
      * @param peerRevision the revision of the peer's list
      * @param peer the peer's name
-     * @return true if it says something else than the list here did
+     * @return true if the peer's list is newer and its entries differ from the current ones
      */
     public boolean applyFromPeer(List<UpstreamEntry> upstreams, long peerRevision, String peer) {
         if (peerRevision <= revision) {
@@ -248,51 +250,53 @@
     }
 
     /**
-     * Records that a peer knows of an upstream that leaves.
+     * Records that a peer reports an upstream as leaving.
      *
-     * @param told the life that leaves
+     * @param reported the incarnation that leaves
      * @param peer the peer's name
      */
-    public void leavingReportedBy(LeavingUpstream told, String peer) {
-        directory.leaving(told).ifPresent(upstream -> notifyLeaving(upstream, "draining, told by " + peer));
+    public void leavingReportedBy(LeavingUpstream reported, String peer) {
+        directory
+                .leaving(reported)
+                .ifPresent(upstream -> notifyLeaving(upstream, "draining, reported by " + peer));
     }
 
     /**
-     * Records that an upstream has said in an answer that it leaves.
+     * Records that an upstream has announced in an answer that it leaves.
      *
      * @param upstream the upstream
-     * @return true if that is news
+     * @return true if it was not known to leave before
      */
     public boolean leavingAnnouncedBy(Upstream upstream) {
         boolean knownBefore = directory.isLeaving(upstream.id());
         directory
                 .leaving(new LeavingUpstream(upstream.id(), upstream.startedMillis()))
-                .ifPresent(known -> notifyLeaving(known, "draining, said by itself"));
+                .ifPresent(known -> notifyLeaving(known, "draining, announced in an answer"));
         return !knownBefore && directory.isLeaving(upstream.id());
     }
 
     /**
-     * Tells which life of an upstream leaves.
+     * Returns which incarnation of a listed upstream leaves.
      *
      * @param id the upstream's name
-     * @return the life; empty if the upstream is not listed, or does not leave
+     * @return the incarnation; empty if the upstream is not listed or does not leave
      */
     public Optional<LeavingUpstream> leavingIncarnation(String id) {
         return directory.find(id).isEmpty() ? Optional.empty() : directory.leavingIncarnation(id);
     }
 
     /**
-     * Finds an upstream, leaving or not.
+     * Returns a listed upstream, whether it leaves or not.
      *
      * @param id its name
-     * @return the upstream
+     * @return the upstream; empty if it is not listed
      */
     public Optional<Upstream> find(String id) {
         return directory.find(id);
     }
 
     /**
-     * Returns all listed upstreams, leaving ones too.
+     * Returns all listed upstreams, including leaving ones.
      *
      * @return a copy
      */
@@ -301,10 +305,10 @@
     }
 
     /**
-     * Tells whether an upstream has announced that it leaves.
+     * Returns whether an upstream has announced that it leaves.
      *
      * @param id the upstream's name
-     * @return false if its entry is only gone
+     * @return false also if its entry was removed without an announcement
      */
     public boolean isLeaving(String id) {
         return directory.isLeaving(id);
@@ -320,9 +324,9 @@
     }
 
     /**
-     * Returns the list as the platform wrote it.
+     * Returns the entries as the platform wrote them.
      *
-     * @return the entries
+     * @return a copy of the list
      */
     public List<UpstreamEntry> entries() {
         List<UpstreamEntry> all = new ArrayList<>();
@@ -352,9 +356,13 @@
                 });
         DecisionLog.write(new Belief("upstreams", upstreams.size() + " listed", source, revision));
         directory.all().stream()
-                .filter(upstream -> !entries.containsKey(upstream.id()) && mayReappear(upstream.id()))
+                .filter(
+                        upstream ->
+                                !entries.containsKey(upstream.id()) && mayReappear(upstream.id()))
                 .forEach(upstreams::add);
-        directory.replaceAll(upstreams).forEach(upstream -> notifyLeaving(upstream, "left, by list"));
+        directory
+                .replaceAll(upstreams)
+                .forEach(upstream -> notifyLeaving(upstream, "leaving or removed, by list"));
     }
 
     private Optional<Upstream> read(String id, byte[] value) {
@@ -373,7 +381,10 @@
         }
     }
 
-    /** By now an upstream that lives has written itself again, and other entries have lapsed. */
+    /**
+     * Trusts all entries again: by now every running upstream has written its entry anew, and other
+     * entries have expired.
+     */
     private void trustAllEntries() {
         removedEntries.clearSuspects();
         entries.forEach(
@@ -385,8 +396,8 @@
     }
 
     /**
-     * An entry that cannot be used names no upstream, whatever it said before. That is no end of
-     * the upstream: what runs there goes on, and nobody is told that it left.
+     * Removes an upstream whose entry is unusable from the directory, whatever the entry was
+     * before. This is not an end of the upstream: its requests continue, and no listener is called.
      */
     private void unusable(String id, String fault) {
         directory.removed(id);
@@ -394,7 +405,7 @@
     }
 
     /**
-     * Returns how many entries name no upstream because they cannot be used.
+     * Returns how many entries name no upstream because they are unusable.
      *
      * @return a count
      */
@@ -412,13 +423,17 @@
         }
         for (Upstream upstream : directory.all()) {
             if (!entries.containsKey(upstream.id())) {
-                directory.removed(upstream.id()).ifPresent(gone -> notifyLeaving(gone, "gone, not back"));
+                directory
+                        .removed(upstream.id())
+                        .ifPresent(
+                                removed ->
+                                        notifyLeaving(removed, "removed, entry did not reappear"));
             }
         }
     }
 
-    private void notifyLeaving(Upstream upstream, String how) {
-        DecisionLog.write(new Belief("upstream " + upstream.id(), how, "store", revision));
+    private void notifyLeaving(Upstream upstream, String state) {
+        DecisionLog.write(new Belief("upstream " + upstream.id(), state, "store", revision));
         onLeaving.forEach(listener -> listener.accept(upstream));
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DutyRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DutyRunner.java
@@ -31,7 +31,7 @@
 import java.util.SplittableRandom;
 
 /**
- * Holds the leader's lease if it can, and has usage reported while it does.
+ * Takes part in the election of the leader, and has usage reported while this process leads.
  *
  * @since 0.2
  */
@@ -41,7 +41,7 @@
 
     private static final long STEP_INTERVAL_MILLIS = 100;
 
-    /** How often counts of old windows are dropped, in milliseconds: it looks at all counts. */
+    /** How often counts of old windows are dropped, in milliseconds; each run scans all counts. */
     private static final long CLEANUP_INTERVAL_MILLIS = 1_000;
 
     private final EventLoop loop;
@@ -59,20 +59,20 @@
     private boolean wasLeading;
 
     /**
-     * Creates the runner of a process that follows.
+     * Creates the runner of a process that does not lead yet.
      *
-     * @param loop the loop whose thread runs it
+     * @param loop the event loop that runs it
      * @param clock the time of day
      * @param store the store
-     * @param health told of answers and failures
-     * @param duties the platform's calls
-     * @param usage the counts
-     * @param election decides about the lease
+     * @param health notified of answers and failures
+     * @param duties the platform's duty calls
+     * @param usage the usage counts
+     * @param election decides when to claim, renew and end the lease
      * @param name this process's name
-     * @param life names this life of this process
-     * @param timing bounds of time
-     * @param random draws how far a token is raised
-     * @param metrics the process's figures
+     * @param incarnation the name of this incarnation of this process
+     * @param timing the lease's time to live
+     * @param random draws the increments of raised tokens
+     * @param metrics the process's metrics
      */
     public DutyRunner(
             EventLoop loop,
@@ -83,7 +83,7 @@
             UsageLedger usage,
             LeaderElection election,
             String name,
-            String life,
+            String incarnation,
             GatewaySettings.Timing timing,
             SplittableRandom random,
             GatewayMetrics metrics) {
@@ -94,7 +94,7 @@
         this.usage = usage;
         this.election = election;
         this.name = name;
-        this.incarnation = life;
+        this.incarnation = incarnation;
         this.ttlMillis = timing.leaseMillis();
         this.tokens = new LeaderTokens(store, health, election, random);
         this.reporter =
@@ -111,9 +111,9 @@
     }
 
     /**
-     * Begins to take part.
+     * Starts to take part in the election.
      *
-     * @param firstStart true if nobody has led before
+     * @param firstStart true if no process has led before
      */
     public void start(boolean firstStart) {
         if (!firstStart) {
@@ -123,23 +123,23 @@
         loop.repeat(CLEANUP_INTERVAL_MILLIS, () -> usage.removeOldWindows(clock.millis()));
     }
 
-    /** Gives the lease up if it is held, and asks for none any more. */
+    /** Ends the lease if this process holds one, and claims none any more. */
     public void stop() {
         election.stop();
         step();
     }
 
     /**
-     * Tells whether this process leads.
+     * Returns whether this process leads.
      *
-     * @return true while its lease surely holds
+     * @return true while its lease is certain to be valid
      */
     public boolean leads() {
         return election.leads(loop.nowMillis());
     }
 
     /**
-     * Returns who this process is as the leader.
+     * Returns this process's identity as the leader.
      *
      * @return its name and fencing token
      */
@@ -148,8 +148,9 @@
     }
 
     /**
-     * Records that a call was refused because the platform has seen a higher token. If the leader's
-     * key is this process's all the same, the higher one is of a history that the store has lost.
+     * Records that a call was refused because the platform has seen a higher token. If this process
+     * still owns the leader's key, the higher token is from a history that the store has lost, and
+     * this process raises its own; otherwise it gives up the leadership.
      */
     public void outranked() {
         store.read(LEADER_PREFIX, this::outrankedBy);
@@ -164,7 +165,7 @@
     }
 
     /**
-     * Returns the highest fencing token that is known here.
+     * Returns the highest fencing token that is known to this process.
      *
      * @return the token; 0 if none is known
      */
@@ -173,9 +174,9 @@
     }
 
     /**
-     * Records that a peer knows of a token.
+     * Records the highest fencing token that a peer knows.
      *
-     * @param token the token; 0 if the peer knows of none
+     * @param token the token; 0 if the peer knows none
      */
     public void tokenReported(long token) {
         election.tokenSeen(token);
@@ -199,7 +200,7 @@
         }
     }
 
-    /** What was read before this process claimed the key may be told after it. */
+    /** Ignores a removal that was read before this process claimed the key but arrives after it. */
     private void keyRemoved(long revision) {
         if (revision >= claimedRevision) {
             election.keyRemoved(loop.nowMillis());
@@ -271,7 +272,7 @@
         store.end(lease, ended -> {});
     }
 
-    /** Goes on as the leader if its key is still there and its lease is its own. */
+    /** Continues as the leader if the key is still this process's and its lease can be renewed. */
     private void confirm(Either<StoreFailure, StoreItem> key) {
         if (key.isLeft()) {
             health.failed(key.getLeft());
@@ -301,9 +302,9 @@
     }
 
     private void displaced(StoreItem item) {
-        boolean none = item.gone();
-        long token = none ? 0 : LeaderKey.token(item);
-        election.displaced(none ? 0 : item.revision(), token, loop.nowMillis());
+        boolean removed = item.gone();
+        long token = removed ? 0 : LeaderKey.token(item);
+        election.displaced(removed ? 0 : item.revision(), token, loop.nowMillis());
         step();
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/FleetRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/FleetRunner.java
@@ -43,21 +43,24 @@
 import java.util.function.Supplier;
 
 /**
- * Orders upstreams while this process leads.
+ * Plans the number of upstreams of each service and orders them while this process leads.
  *
- * <p>An order is given when it differs from the last one, and again when the list of upstreams does
- * not follow it for a while, because an unanswered order may be lost or be carried out late.
+ * <p>An order is sent when it differs from the last one, and again when the list of upstreams does
+ * not match it after a while, because an unanswered order may be lost or be carried out late.
  *
  * @since 0.2
  */
 public final class FleetRunner {
-    /** How often the plan is looked at, in milliseconds: well below a reclaim's notice of 2 s. */
+    /**
+     * Planning interval, in milliseconds: well below the notice of 2 s before an instance is
+     * reclaimed.
+     */
     private static final long STEP_INTERVAL_MILLIS = 250;
 
-    /** Time after which requests under way count a third, in milliseconds: as long as a boot. */
+    /** Time constant of the smoothing of requests under way, in milliseconds: as long as a boot. */
     private static final double SMOOTHING_TIME_MILLIS = 4_000;
 
-    /** Objective of a service whose routes name none, in milliseconds. */
+    /** Latency objective of a service whose routes name none, in milliseconds. */
     private static final long DEFAULT_OBJECTIVE_MILLIS = 1_000;
 
     private final EventLoop loop;
@@ -74,19 +77,19 @@
     private final Map<String, Fleet> fleets = new HashMap<>();
     private final OrderDispatcher dispatcher;
 
-    /** Tells the load of a service. */
+    /** Supplies the load of a service. */
     public interface LoadSource {
         /**
-         * Returns the load now.
+         * Returns the current load.
          *
          * @param service the service
-         * @param upstreams its upstreams, leaving ones too
-         * @return the load over all processes
+         * @param upstreams its upstreams, including leaving ones
+         * @return the load summed over all processes
          */
         ServiceLoad load(String service, Collection<Upstream> upstreams);
     }
 
-    /** What is kept of one service. */
+    /** State of the planning for one service. */
     private static final class Fleet {
         private final FleetPlanner planner;
         private final RegistrationWatch registrations = new RegistrationWatch();
@@ -96,10 +99,10 @@
             this.planner = planner;
         }
 
-        /** Smooths the requests under way, which jump with each long answer. */
+        /** Smooths the number of requests under way, which varies with each long answer. */
         ServiceLoad smooth(ServiceLoad load) {
-            double part = 1 - Math.exp(-STEP_INTERVAL_MILLIS / SMOOTHING_TIME_MILLIS);
-            running = running < 0 ? load.running() : running + part * (load.running() - running);
+            double weight = 1 - Math.exp(-STEP_INTERVAL_MILLIS / SMOOTHING_TIME_MILLIS);
+            running = running < 0 ? load.running() : running + weight * (load.running() - running);
             return new ServiceLoad(load.tokensPerMilli(), load.squaredTokensPerMilli(), running);
         }
     }
@@ -107,20 +110,21 @@
     /**
      * Creates a runner.
      *
-     * @param loop the loop whose thread runs it
-     * @param duties the platform's calls
-     * @param leadership tells whether this process leads
-     * @param policies the policy in force
-     * @param directory the upstreams known
-     * @param loads tells the load of a service
-     * @param limits tells which upstreams take few requests: their places are not there
-     * @param engines tells how fast its upstreams are
-     * @param metrics the process's figures
-     * @param isMoving tells of a service whose traffic is being moved to another version: both
-     *     versions serve then, so that a count of upstreams tells nothing, and none are ordered
-     * @param mayLead false while this process is none of those that the leader is chosen from: it
-     *     then plans nothing, which was a sixth of the processor time of a process at rest
-     * @param takesOver true if others may have ordered upstreams before this process started
+     * @param loop the event loop that runs it
+     * @param duties the platform's duty calls
+     * @param leadership whether this process leads
+     * @param policies supplies the policy in force
+     * @param directory the known upstreams
+     * @param loads supplies the load of a service
+     * @param limits which upstreams limit their requests; their slots do not count as capacity
+     * @param engines estimates the speed of a service's upstreams
+     * @param metrics the process's metrics
+     * @param isMoving whether the traffic of a service is being moved to another version: both
+     *     versions serve then, so that the count of upstreams is no measure, and none are ordered
+     * @param mayLead false while this process is not a candidate for the leader: it plans nothing
+     *     then, as planning takes a sixth of the processor time of an idle process
+     * @param mayHavePredecessor true if others may have ordered upstreams before this process
+     *     started
      */
     public FleetRunner(
             EventLoop loop,
@@ -134,7 +138,7 @@
             GatewayMetrics metrics,
             Predicate<String> isMoving,
             BooleanSupplier mayLead,
-            boolean takesOver) {
+            boolean mayHavePredecessor) {
         this.loop = loop;
         this.dispatcher = new OrderDispatcher(loop, duties, metrics);
         this.leadership = leadership;
@@ -145,10 +149,10 @@
         this.engines = engines;
         this.isMoving = isMoving;
         this.mayLead = mayLead;
-        this.mayHavePredecessor = takesOver;
+        this.mayHavePredecessor = mayHavePredecessor;
     }
 
-    /** Begins to order. */
+    /** Starts planning and ordering. */
     public void start() {
         loop.repeat(STEP_INTERVAL_MILLIS, this::step);
     }
@@ -171,14 +175,18 @@
     private void plan(ServiceSpec spec, ScalingSpec scaling) {
         String service = spec.name();
         List<Upstream> upstreams =
-                directory.all().stream().filter(w -> w.service().equals(service)).toList();
+                directory.all().stream()
+                        .filter(upstream -> upstream.service().equals(service))
+                        .toList();
         if (upstreams.isEmpty() || isMoving.test(service)) {
             return;
         }
         Fleet fleet =
                 fleets.computeIfAbsent(
                         service,
-                        name -> new Fleet(new FleetPlanner(name, mayHavePredecessor || hasFollowed)));
+                        name ->
+                                new Fleet(
+                                        new FleetPlanner(name, mayHavePredecessor || hasFollowed)));
         ServiceLoad load = fleet.smooth(loads.load(service, upstreams));
         Optional<FleetNeed> need = need(service, load, upstreams);
         boolean settled = fleet.registrations.isSettled(upstreams, loop.nowMillis());
@@ -192,7 +200,8 @@
         boolean protectsBooting = need.isPresent();
         orders.forEach(
                 order ->
-                        dispatcher.submit(order, upstreams, scaling.bootMillis(), protectsBooting, reason));
+                        dispatcher.submit(
+                                order, upstreams, scaling.bootMillis(), protectsBooting, reason));
     }
 
     private Optional<FleetNeed> need(String service, ServiceLoad load, List<Upstream> upstreams) {
@@ -201,18 +210,19 @@
             return Optional.empty();
         }
         int slots = upstreams.stream().mapToInt(Upstream::slots).min().orElse(1);
-        List<Upstream> serving = upstreams.stream().filter(w -> !w.draining()).toList();
-        int places =
+        List<Upstream> serving =
+                upstreams.stream().filter(upstream -> !upstream.draining()).toList();
+        int slotsInService =
                 serving.stream()
                         .filter(upstream -> !limits.isLimited(upstream))
                         .mapToInt(Upstream::slots)
                         .sum();
-        ServiceLoad served = load.withBacklog(places, engine.runMillis());
+        ServiceLoad served = load.withBacklog(slotsInService, engine.runMillis());
         FleetNeed need = FleetSizer.need(served, engine, slots, objectiveMillis(service));
         return Optional.of(need.plusUpstreams(limits.count(serving)));
     }
 
-    /** The tightest objective of the routes that lead to a service, in milliseconds. */
+    /** Returns the tightest objective of the routes that lead to a service, in milliseconds. */
     private double objectiveMillis(String service) {
         return policies.policy().orElseThrow().routes().stream()
                 .filter(route -> route.routesTo(service) && route.objectiveMillis() > 0)
@@ -221,14 +231,23 @@
                 .orElse(DEFAULT_OBJECTIVE_MILLIS);
     }
 
-    /** Tells what an order was worked out from: what serves, the need with its bounds, the load. */
+    /**
+     * Describes what an order is based on: the serving upstreams, the need with its bounds, the
+     * load.
+     */
     private String reason(
             List<Upstream> upstreams,
             ServiceLoad load,
             Optional<FleetNeed> need,
             Set<String> declined) {
-        long reclaimable = upstreams.stream().filter(w -> w.reclaimable() && !w.draining()).count();
-        long full = upstreams.stream().filter(w -> !w.reclaimable() && !w.draining()).count();
+        long reclaimable =
+                upstreams.stream()
+                        .filter(upstream -> upstream.reclaimable() && !upstream.draining())
+                        .count();
+        long full =
+                upstreams.stream()
+                        .filter(upstream -> !upstream.reclaimable() && !upstream.draining())
+                        .count();
         String fleet =
                 "serving "
                         + reclaimable
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
@@ -505,7 +505,8 @@
     }
 
     private boolean isStateKnown() {
-        boolean recordsKnown = (rollouts.isKnown() && crashRecords.isLoaded()) || isStoreGraceOver();
+        boolean recordsKnown =
+                (rollouts.isKnown() && crashRecords.isLoaded()) || isStoreGraceOver();
         return policyManager.version() > 0 && directoryManager.isKnown() && recordsKnown;
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderKey.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderKey.java
@@ -19,25 +19,27 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What stands under the leader's key: the life of the process that leads, and a token that is below
- * its own by one at least, for the revision at which the key was made may be lower than tokens of a
- * history of the store that was lost. Older builds write the life alone, and do not read it.
+ * The value of the leader's key: the incarnation of the process that leads, and an exclusive lower
+ * bound of its fencing token. The bound is needed because the revision at which the key was created
+ * may be lower than tokens from a history that the store has lost. Older builds write the
+ * incarnation alone, and do not read the bound.
  *
- * @param incarnation names the life of the process
- * @param tokenLowerBound its token is higher than this; 0 if only the revision counts
+ * @param incarnation the name of the incarnation of the process
+ * @param tokenLowerBound the leader's token is higher than this; 0 if only the revision counts
  */
 record LeaderKey(String incarnation, long tokenLowerBound) {
-    /** Highest token that is taken for one: revisions do not come near it. */
+    /** Highest valid token; revisions stay far below it. */
     private static final long MAX_TOKEN = 1L << 48;
 
     private static final char SEPARATOR = ' ';
 
     byte[] write() {
-        String text = tokenLowerBound == 0 ? incarnation : incarnation + SEPARATOR + tokenLowerBound;
+        String text =
+                tokenLowerBound == 0 ? incarnation : incarnation + SEPARATOR + tokenLowerBound;
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Reads a value; a number that is none counts as not written. */
+    /** Decodes a value; an invalid lower bound counts as 0. */
     static LeaderKey read(byte[] value) {
         String text = new String(value, StandardCharsets.UTF_8);
         int end = text.indexOf(SEPARATOR);
@@ -47,17 +49,17 @@
         return new LeaderKey(text.substring(0, end), parseToken(text.substring(end + 1)));
     }
 
-    /** Returns the token of the leader whose key it is. */
+    /** Returns the fencing token of the leader that wrote the key. */
     static long token(StoreItem item) {
         return Math.max(item.made(), read(item.value()).tokenLowerBound() + 1);
     }
 
-    /** Returns a token, or 0 for a number that cannot be one. */
+    /** Returns the token if it is in the valid range, otherwise 0. */
     static long validOrZero(long token) {
         return token > MAX_TOKEN ? 0 : Math.max(0, token);
     }
 
-    /** Reads a token; what is none counts as 0. */
+    /** Parses a token; returns 0 if the text is not a valid token. */
     static long parseToken(String text) {
         try {
             return validOrZero(Long.parseLong(text));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderTokens.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderTokens.java
@@ -26,19 +26,21 @@
 import java.util.SplittableRandom;
 
 /**
- * Keeps fencing tokens rising where revisions alone do not: the highest one is recorded in the
- * store while it is above the revisions, for the case that all processes that know it are lost. If
- * the store came back without the record as well, the platform refuses the leader's calls, and its
- * token is raised until it is high enough.
+ * Ensures that fencing tokens rise where the store's revisions do not, as after a restart of the
+ * store from an older copy. The highest token is recorded in the store while it exceeds the
+ * revisions, so that it outlives the processes that know it. If the store has lost this record as
+ * well, the platform refuses the leader's calls, and the leader's token is raised until it is high
+ * enough.
  */
 final class LeaderTokens {
-    /** Where the highest token is recorded. */
+    /** Key of the highest token. */
     static final String KEY = "trailladder/record/token";
 
     /**
-     * By how much a token is raised first; each further time by twice as much. The revisions of a
-     * copy some seconds old are made up for in a few steps, and the store counts past the token
-     * again in about the time that was lost, so that older builds can lead as well.
+     * Min. increment of the first raise of a token; doubled with each further raise. A few raises
+     * make up for the revisions of a copy that is some seconds old, and the store's revisions
+     * exceed the token again after about the time that was lost, so that older builds can lead as
+     * well.
      */
     private static final long FIRST_RAISE_STEP = 1_000;
 
@@ -63,7 +65,7 @@
         health.history().onReplaced(() -> revision = 0);
     }
 
-    /** Reads the record, then goes on, whether or not it could be read. */
+    /** Reads the record, then runs a task, whether or not the record could be read. */
     void read(Runnable then) {
         store.read(
                 KEY,
@@ -86,20 +88,20 @@
         }
     }
 
-    /** Records the token of this process's leadership if revisions do not tell it. */
-    void leadershipClaimed(long made) {
+    /** Records this leader's token in the store if it exceeds the revision of its key. */
+    void leadershipClaimed(long keyRevision) {
         raises = 0;
-        if (election.token() > made) {
+        if (election.token() > keyRevision) {
             record();
         }
     }
 
-    /** Takes a higher token: the platform has seen one above this leader's. */
+    /** Raises this leader's token, because the platform has seen a higher one. */
     void raise() {
         long before = election.token();
         long step = FIRST_RAISE_STEP << Math.min(raises, MAX_DOUBLINGS);
         raises++;
-        // drawn, so that two leaders which know nothing of each other do not take the same
+        // random, so that two leaders that do not know of each other take different tokens
         election.raiseToken(before + step + random.nextLong(step));
         DecisionLog.write(
                 new Lifecycle("token", "raised", "from " + before + " to " + election.token()));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryManager.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryManager.java
@@ -16,9 +16,9 @@
 package io.trailladder.entry.gateway;
 
 import io.trailladder.core.memory.AnswerChoice;
-import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.memory.MemoryLevel;
+import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.WaitingAnswer;
 import io.trailladder.entry.gateway.DecisionLog.Lifecycle;
 import io.trailladder.entry.http.ServerExchange;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryMetrics.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryMetrics.java
@@ -18,9 +18,9 @@
 import io.prometheus.metrics.core.metrics.Counter;
 import io.prometheus.metrics.core.metrics.Gauge;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
-import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.memory.MemoryLevel;
+import io.trailladder.core.memory.ReservationKind;
 import java.util.Locale;
 
 /**
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/OrderDispatcher.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/OrderDispatcher.java
@@ -31,24 +31,24 @@
 import java.util.function.Supplier;
 
 /**
- * Gives orders of upstreams to the cloud: each once, again if it was not accepted or had no effect,
- * and more slowly where the cloud declines.
+ * Sends orders of upstreams to the cloud: each one once, again if it was not accepted or had no
+ * effect, and with growing pauses if the cloud declines it.
  */
 final class OrderDispatcher {
     /**
-     * Least pause between two orders about the same upstreams, in milliseconds: each call costs.
+     * Min. pause between two orders on the same subject, in milliseconds, since each call costs.
      */
     private static final long MIN_PAUSE_MILLIS = 900;
 
     /**
-     * Pause after an order that could not be had, in milliseconds; doubled with each further one,
-     * as shortages last 5 to 15 s.
+     * Pause after a declined order, in milliseconds; doubled with each further one, as shortages
+     * last 5 to 15 s.
      */
     private static final long DECLINED_PAUSE_MILLIS = 1_500;
 
     private static final int MAX_DOUBLINGS = 2;
 
-    /** Time beyond the boot after which the list should follow an order, in milliseconds. */
+    /** Time after the boot by which the list should match an order, in milliseconds. */
     private static final long SETTLE_MILLIS = 4_000;
 
     private final EventLoop loop;
@@ -58,13 +58,13 @@
     private DutyHolder holder = new DutyHolder("", 0);
     private long holderSinceMillis;
 
-    /** What an order is about. */
+    /** The subject of an order: upstreams of one service, data centre and kind of price. */
     private record Subject(String service, String dataCentre, boolean reclaimable) {
         static Subject of(UpstreamOrder order) {
             return new Subject(order.service(), order.dataCentre(), order.reclaimable());
         }
 
-        // written out: the methods that records get are linked at their first call
+        // explicit, since the generated methods of records are linked at their first call
         @Override
         public boolean equals(Object other) {
             return other instanceof Subject that
@@ -95,11 +95,11 @@
     }
 
     /**
-     * Creates a desk that has given no order.
+     * Creates a dispatcher that has sent no order.
      *
-     * @param loop the loop whose thread runs it
-     * @param duties the platform's calls
-     * @param metrics the process's figures
+     * @param loop the event loop that runs it
+     * @param duties the platform's duty calls
+     * @param metrics the process's metrics
      */
     OrderDispatcher(EventLoop loop, DutyApi duties, GatewayMetrics metrics) {
         this.loop = loop;
@@ -107,7 +107,9 @@
         this.metrics = metrics;
     }
 
-    /** Forgets all orders if another leader may have given some since. */
+    /**
+     * Sets who sends orders; forgets all orders if another leader may have sent some in between.
+     */
     void setHolder(DutyHolder leader) {
         if (leader.token() != holder.token()) {
             lastOrders.clear();
@@ -116,7 +118,7 @@
         holder = leader;
     }
 
-    /** Returns the data centres where reclaimable upstreams could not be had when last ordered. */
+    /** Returns the data centres that declined reclaimable upstreams when they were last ordered. */
     Set<String> declined(String service) {
         Set<String> dataCentres = new TreeSet<>();
         lastOrders.forEach(
@@ -131,13 +133,14 @@
     }
 
     /**
-     * Gives an order, unless it was given already or must wait.
+     * Sends an order, unless it was sent already or a pause is not over.
      *
      * @param order the order
-     * @param upstreams the service's upstreams, leaving ones too
-     * @param bootMillis how long an upstream boots, in milliseconds
-     * @param protectsBooting true if upstreams that an earlier leader has bought may be needed
-     * @param reason tells what led to it; asked only if it is given
+     * @param upstreams the service's upstreams, including leaving ones
+     * @param bootMillis boot time of an upstream, in milliseconds
+     * @param protectsBooting true if booting upstreams that an earlier leader has ordered may be
+     *     needed
+     * @param reason supplies the reason for the log; called only if the order is sent
      */
     void submit(
             UpstreamOrder order,
@@ -150,33 +153,37 @@
             return;
         }
         LastOrder last = lastOrders.computeIfAbsent(Subject.of(order), key -> new LastOrder());
-        long since = loop.nowMillis() - last.sentMillis;
+        long sinceMillis = loop.nowMillis() - last.sentMillis;
         boolean changed = last.count != order.count() || !last.accepted;
         boolean ignored =
-                since >= bootMillis + SETTLE_MILLIS
+                sinceMillis >= bootMillis + SETTLE_MILLIS
                         && serving(upstreams, Subject.of(order)) != order.count();
-        if (last.unanswered || since < last.pauseMillis() || !(changed || ignored)) {
+        if (last.unanswered || sinceMillis < last.pauseMillis() || !(changed || ignored)) {
             return;
         }
         last.count = order.count();
         last.sentMillis = loop.nowMillis();
         last.unanswered = true;
-        DutyHolder giver = holder;
-        String why = reason.get();
-        duties.order(giver, order, result -> answered(giver, order, why, last, result));
+        DutyHolder sender = holder;
+        String reasonText = reason.get();
+        duties.order(sender, order, result -> answered(sender, order, reasonText, last, result));
     }
 
     /**
-     * Tells whether an order may end upstreams at the full price that an earlier leader has bought
-     * and that still boot: a new one does not know of them, nor of what was declined to its
-     * predecessor.
+     * Returns whether an order may end full-price upstreams that an earlier leader has ordered and
+     * that still boot. A new leader knows neither of them nor of the orders that its predecessor
+     * was declined.
      */
     private static boolean mayEndBooting(UpstreamOrder order, List<Upstream> upstreams) {
         return !order.reclaimable() && order.count() <= serving(upstreams, Subject.of(order));
     }
 
     private void answered(
-            DutyHolder giver, UpstreamOrder order, String reason, LastOrder last, DutyResult result) {
+            DutyHolder sender,
+            UpstreamOrder order,
+            String reason,
+            LastOrder last,
+            DutyResult result) {
         last.unanswered = false;
         last.declined = result == DutyResult.DECLINED ? last.declined + 1 : 0;
         last.accepted = result == DutyResult.ACCEPTED;
@@ -191,7 +198,7 @@
                                 kind,
                                 order.dataCentre(),
                                 reason),
-                        giver.token(),
+                        sender.token(),
                         result.name()));
         if (result != DutyResult.ACCEPTED) {
             metrics.count(GatewayMetrics.Event.DUTY_FAILURE);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/PlatformAdapter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/PlatformAdapter.java
@@ -21,12 +21,12 @@
 import io.trailladder.entry.port.RequestProtocol;
 
 /**
- * The four sides of a platform adapter.
+ * The four parts of a platform adapter.
  *
- * @param protocol how requests are told in HTTP heads
- * @param format how policy and upstreams are written in the store
- * @param store the store
- * @param duties the calls of a single holder
+ * @param protocol encodes and decodes requests in HTTP heads
+ * @param format encodes and decodes the platform's entries in the store
+ * @param store the coordination store
+ * @param duties the calls that only the leader makes
  * @since 0.2
  */
 public record PlatformAdapter(
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/PolicyManager.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/PolicyManager.java
@@ -26,7 +26,8 @@
 import org.tinylog.Logger;
 
 /**
- * The policy in force here. Only higher versions replace it, wherever they come from.
+ * Holds the policy in force in this process. Only a higher version replaces it, whatever its
+ * source.
  *
  * @since 0.2
  */
@@ -39,16 +40,16 @@
     private byte[] bytes = NO_BYTES;
 
     /**
-     * Creates a keeper that knows no policy.
+     * Creates a manager without a policy.
      *
-     * @param format how policies are written
+     * @param format decodes policies
      */
     public PolicyManager(PlatformFormat format) {
         this.format = format;
     }
 
     /**
-     * Has a listener told of every new policy.
+     * Adds a listener that is called with every new policy.
      *
      * @param listener the listener
      */
@@ -57,19 +58,19 @@
     }
 
     /**
-     * Takes a policy over if it is higher than the one in force.
+     * Puts a policy into force if its version is higher than the current one.
      *
-     * @param value its bytes
-     * @param source where it came from
+     * @param value the encoded policy
+     * @param source where it came from, for the log
      * @return true if it is now in force
      */
     public boolean offer(byte[] value, String source) {
-        Either<String, ServingPolicy> read = format.policy(value);
-        if (read.isLeft()) {
-            Logger.warn("policy from {} cannot be read: {}", source, read.getLeft());
+        Either<String, ServingPolicy> decoded = format.policy(value);
+        if (decoded.isLeft()) {
+            Logger.warn("policy from {} cannot be read: {}", source, decoded.getLeft());
             return false;
         }
-        ServingPolicy offered = read.get();
+        ServingPolicy offered = decoded.get();
         if (policy != null && offered.version() <= policy.version()) {
             return false;
         }
@@ -84,7 +85,7 @@
     /**
      * Returns the policy in force.
      *
-     * @return the policy; empty if none is known yet
+     * @return the policy; empty if none was received yet
      */
     public Optional<ServingPolicy> policy() {
         return Optional.ofNullable(policy);
@@ -93,7 +94,7 @@
     /**
      * Returns the version in force.
      *
-     * @return the version; 0 if none is known
+     * @return the version; 0 if no policy is known
      */
     public long version() {
         return policy == null ? 0 : policy.version();
@@ -102,7 +103,7 @@
     /**
      * Returns the policy in force as the platform wrote it.
      *
-     * @return the bytes; none if none is known
+     * @return the encoded policy; an empty array if none is known
      */
     public byte[] bytes() {
         return bytes;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutExchange.java
@@ -31,23 +31,23 @@
 import java.util.stream.Stream;
 
 /**
- * What processes tell each other of roll-outs: a leaf tells its hub what it has seen, a hub tells
- * other hubs the sum of its own and its leaves', and everybody is told the phase. A peer's evidence
- * replaces what it told before, so nothing is counted twice.
+ * Exchanges the state of roll-outs with peers. A leaf sends its evidence to its hub, a hub sends
+ * the sum of its own and its leaves' evidence to other hubs, and all are sent the phase. A peer's
+ * evidence replaces its earlier evidence, so that nothing is counted twice.
  */
 final class RolloutExchange {
     private final RolloutManager manager;
     private final LongSupplier nowMillis;
     private final Map<String, Map<Long, List<RouteEvidence>>> evidenceByPeer = new HashMap<>();
 
-    RolloutExchange(RolloutManager keeper, LongSupplier nowMillis) {
-        this.manager = keeper;
+    RolloutExchange(RolloutManager manager, LongSupplier nowMillis) {
+        this.manager = manager;
         this.nowMillis = nowMillis;
     }
 
-    /** Tells the peers, if there is a roll-out to tell of. */
+    /** Sends a report to the peers if there is any roll-out. */
     void send(Mesh mesh, Collection<Peer> peers) {
-        // an order that was not found in the store's new history has a revision of the lost one
+        // an order not yet found in the store's new history has a revision of the lost history
         if (manager.rollouts().isEmpty() || manager.awaitsOrders()) {
             return;
         }
@@ -69,33 +69,33 @@
     }
 
     /**
-     * Takes over what a peer tells; figures that cannot be true are left out.
+     * Applies a peer's report; invalid evidence is logged and left out.
      *
-     * @param sameHistory false if the peer may be on another history of the store
+     * @param sameHistory false if the peer may know another history of the store
      */
     void receive(NodeHello peer, RolloutReport report, boolean sameHistory) {
-        Map<Long, List<RouteEvidence>> told = new HashMap<>();
-        for (RolloutUpdate news : report.rollouts()) {
-            List<RouteEvidence> sound =
-                    news.evidence().stream().filter(RouteEvidence::isValid).toList();
-            if (sound.size() < news.evidence().size()) {
+        Map<Long, List<RouteEvidence>> reported = new HashMap<>();
+        for (RolloutUpdate update : report.rollouts()) {
+            List<RouteEvidence> valid =
+                    update.evidence().stream().filter(RouteEvidence::isValid).toList();
+            if (valid.size() < update.evidence().size()) {
                 DecisionLog.write(
-                        new Lifecycle("peer " + peer.name(), "figures refused", news.toString()));
+                        new Lifecycle("peer " + peer.name(), "figures refused", update.toString()));
             }
-            told.put(news.order().revision(), sound);
-            manager.receive(news, sameHistory);
+            reported.put(update.order().revision(), valid);
+            manager.receive(update, sameHistory);
         }
-        evidenceByPeer.put(peer.name(), told);
+        evidenceByPeer.put(peer.name(), reported);
     }
 
-    /** Forgets what a peer told that is silent. */
+    /** Drops the evidence of a peer that does not respond. */
     void forget(String peer) {
         evidenceByPeer.remove(peer);
     }
 
-    /** Returns what this process and some peers have seen. */
+    /** Returns the sum of the evidence of this process and of the given peers. */
     List<RouteEvidence> evidence(Rollout rollout, Collection<String> peers) {
-        Stream<RouteEvidence> told =
+        Stream<RouteEvidence> reported =
                 peers.stream()
                         .map(peer -> evidenceByPeer.getOrDefault(peer, Map.of()))
                         .flatMap(
@@ -103,17 +103,17 @@
                                         byOrder
                                                 .getOrDefault(rollout.order().revision(), List.of())
                                                 .stream());
-        return RouteEvidence.sum(Stream.concat(rollout.evidence().stream(), told));
+        return RouteEvidence.sum(Stream.concat(rollout.evidence().stream(), reported));
     }
 
     private RolloutReport report(List<String> leaves, boolean withEvidence) {
         long now = nowMillis.getAsLong();
-        List<RolloutUpdate> news = new ArrayList<>();
+        List<RolloutUpdate> updates = new ArrayList<>();
         for (Rollout rollout : manager.rollouts()) {
             List<RouteEvidence> evidence =
                     withEvidence ? evidence(rollout, leaves) : List.<RouteEvidence>of();
-            news.add(rollout.update(evidence, now));
+            updates.add(rollout.update(evidence, now));
         }
-        return new RolloutReport(news);
+        return new RolloutReport(updates);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutManager.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutManager.java
@@ -43,8 +43,8 @@
 import org.tinylog.Logger;
 
 /**
- * The roll-outs that this process knows of: orders and records as the store tells them, or a peer
- * does.
+ * Maintains the roll-outs that this process knows, from orders and records in the store and from
+ * reports of peers.
  */
 final class RolloutManager {
     private final PlatformFormat format;
@@ -59,14 +59,14 @@
     private final RolloutRecovery recovery = new RolloutRecovery();
 
     /**
-     * Creates a keeper that knows of none.
+     * Creates a manager without roll-outs.
      *
-     * @param format how orders and records are written
-     * @param gate decides by them which upstreams are chosen
-     * @param bounds what a version under test may get
+     * @param format decodes orders and records
+     * @param gate holds the roll-outs and decides by them which upstreams are chosen
+     * @param bounds bounds of the requests that a version under test may get
      * @param random spreads the samples of processes that have few requests
-     * @param nowMillis tells the time
-     * @param metrics told of answers while traffic moves
+     * @param nowMillis supplies the time, in milliseconds
+     * @param metrics counts answers while traffic is moved
      */
     RolloutManager(
             PlatformFormat format,
@@ -83,12 +83,12 @@
         this.metrics = metrics;
     }
 
-    /** Has somebody told when a roll-out has come further. */
-    void onAdvance(Runnable told) {
-        onAdvance = told;
+    /** Sets the task that runs whenever a roll-out has changed its phase. */
+    void onAdvance(Runnable task) {
+        onAdvance = task;
     }
 
-    /** Goes on as the leader decides. */
+    /** Applies the leader's decision. */
     void applyDecision(Rollout rollout, RolloutPhase decided) {
         advance(rollout, () -> rollout.lead(decided, nowMillis.getAsLong()));
     }
@@ -103,33 +103,33 @@
 
     /** When an order was written. */
     private enum Written {
-        /** Just now, so that its time begins. */
+        /** Just now: its time begins. */
         NOW,
-        /** Perhaps long ago. */
+        /** Possibly long ago. */
         BEFORE
     }
 
-    /** Returns who is to be told of the orders in the store. */
+    /** Returns the listener for orders in the store. */
     StoreWatcher.Listener orders() {
         return new Orders();
     }
 
-    /** Returns who is to be told of the records in the store. */
+    /** Returns the listener for records in the store. */
     StoreWatcher.Listener records() {
         return new Records();
     }
 
-    /** Returns all roll-outs, ended ones too. */
+    /** Returns all roll-outs, including ended ones. */
     List<Rollout> rollouts() {
         return List.copyOf(gate.rollouts());
     }
 
-    /** Tells whether traffic of a service is being moved now. */
+    /** Returns whether traffic of a service is being moved. */
     boolean isMoving(String service) {
         return gate.rollout(service).filter(rollout -> !rollout.phase().isFinal()).isPresent();
     }
 
-    /** Tells whether traffic of any service is being moved now. */
+    /** Returns whether traffic of any service is being moved. */
     boolean isAnyMoving() {
         return gate.rollouts().stream().anyMatch(rollout -> !rollout.phase().isFinal());
     }
@@ -139,14 +139,17 @@
         return records.getOrDefault(service, RolloutStatus.none(service));
     }
 
-    /** Tells whether somebody wrote a record that cannot be read: it is left as it is. */
+    /**
+     * Returns whether a service's record cannot be decoded; the leader then leaves the roll-out as
+     * it is.
+     */
     boolean isRecordUnreadable(String service) {
         return unreadable.contains(service);
     }
 
     /**
-     * Has orders and records be found again: the store's history was replaced. What is known of
-     * them here holds on.
+     * Begins to look for orders and records in the store's new history. Until they are found, those
+     * that are known stay in force.
      */
     void historyReplaced() {
         List<RolloutStatus> recorded = new ArrayList<>();
@@ -162,19 +165,23 @@
         records.replaceAll((service, record) -> record.withRevision(0));
     }
 
-    /** Tells whether orders known here were not found yet in the store's new history. */
+    /**
+     * Returns whether known orders may still be found in the store's new history. Orders that were
+     * not found in time get revision 0.
+     */
     boolean awaitsOrders() {
         long now = nowMillis.getAsLong();
-        for (String missed : recovery.takeMissing(now)) {
-            gate.rollout(missed)
+        for (String service : recovery.takeMissing(now)) {
+            gate.rollout(service)
                     .ifPresent(rollout -> rollout.renumbered(rollout.order().withRevision(0)));
         }
         return recovery.awaitsOrders(now);
     }
 
     /**
-     * Returns the record of a roll-out that the store has lost, for the leader to write again. A
-     * result that peers told was recorded, whether or not this process has read it.
+     * Returns the record of a roll-out that the store has lost and that the leader must write
+     * again. A result that peers reported was recorded, even if this process has not read the
+     * record.
      */
     Optional<RolloutStatus> lostRecord(Rollout rollout) {
         RolloutOrder order = rollout.order();
@@ -183,13 +190,13 @@
         if (result.isEmpty() || !recovery.hasBegun()) {
             return record.isAbout(order) ? Optional.empty() : recovery.record(order.service());
         }
-        boolean stands = record.isAbout(order) && record.state() == result.get();
-        return stands
+        boolean stored = record.isAbout(order) && record.state() == result.get();
+        return stored
                 ? Optional.empty()
                 : Optional.of(new RolloutStatus(order.service(), order.version(), result.get(), 0));
     }
 
-    /** Returns under which revision a service's record is to be written. */
+    /** Returns the revision that a write of a service's record must expect. */
     long expectedRevision(String service) {
         return recovery.record(service).isPresent()
                 ? recovery.storedRevision(service)
@@ -197,10 +204,10 @@
     }
 
     /**
-     * Reads a record.
+     * Decodes and applies a record.
      *
-     * @param certain true if it was written in the store's current history; a list may hold older
-     *     ones for a moment
+     * @param certain true if it was written in the store's current history; a list may contain
+     *     older records for a short time
      */
     void read(String service, StoreItem item, boolean certain) {
         Optional<RolloutStatus> status =
@@ -213,7 +220,7 @@
         }
     }
 
-    /** Takes over a record that was read or written. */
+    /** Applies a record that was read or written. */
     void recorded(RolloutStatus status, boolean certain) {
         String service = status.service();
         RolloutStatus before = record(service);
@@ -245,17 +252,17 @@
                 .ifPresent(rollout -> advance(rollout, () -> rollout.recorded(status, now)));
     }
 
-    /** Records that an upstream was chosen for a request, before it leaves. */
+    /** Records that an upstream was chosen for a request, before the request is sent. */
     void chosen(String service, Upstream upstream) {
         gate.rollout(service).ifPresent(rollout -> rollout.chosen(upstream));
     }
 
-    /** Records that a request leaves for an upstream. */
+    /** Records that a request is sent to an upstream. */
     void sent(String service) {
         gate.rollout(service).ifPresent(Rollout::sent);
     }
 
-    /** Returns how long requests wait that no version may get now, in milliseconds. */
+    /** Returns how long requests must wait that no version may currently get, in milliseconds. */
     long heldMillis(String service) {
         return gate.rollout(service)
                 .map(rollout -> rollout.waitMillis(nowMillis.getAsLong()))
@@ -275,35 +282,38 @@
     }
 
     /**
-     * Takes over what a peer tells, if its order is as new as the one known here.
+     * Applies a peer's report if its order is as new as the known one.
      *
-     * @param sameHistory false if the peer does not say which history of the store its order's
-     *     revision is of, though this process knows that there are several
+     * @param sameHistory false if the peer does not name the history of the store to which its
+     *     order's revision belongs, though this process knows that there are several
      */
-    void receive(RolloutUpdate news, boolean sameHistory) {
-        RolloutOrder order = news.order();
+    void receive(RolloutUpdate update, boolean sameHistory) {
+        RolloutOrder order = update.order();
         Optional<Rollout> known = gate.rollout(order.service());
         boolean alike =
                 known.filter(rollout -> rollout.order().equalsIgnoringRevision(order)).isPresent();
-        boolean numbered = sameHistory || !alike || !recovery.hasBegun();
-        if (numbered) {
+        boolean revisionComparable = sameHistory || !alike || !recovery.hasBegun();
+        if (revisionComparable) {
             startIfNew(order, "peer", Written.BEFORE, sameHistory);
         }
         gate.rollout(order.service())
-                .filter(rollout -> !numbered || rollout.order().revision() == order.revision())
+                .filter(
+                        rollout ->
+                                !revisionComparable
+                                        || rollout.order().revision() == order.revision())
                 .ifPresent(
                         rollout ->
                                 advance(
                                         rollout,
-                                        () -> rollout.received(news, nowMillis.getAsLong())));
+                                        () -> rollout.received(update, nowMillis.getAsLong())));
     }
 
     /**
-     * Begins to follow an order.
+     * Starts the roll-out of an order, unless it is known.
      *
-     * @param written {@code BEFORE}: a peer has to tell how much of its time is left
+     * @param written {@code BEFORE} if the time that is left must be learned from a peer
      * @param certain true if it was written in the store's current history, or found there by a
-     *     peer; a list may hold older ones for a moment
+     *     peer; a list may contain older orders for a short time
      */
     private void startIfNew(RolloutOrder order, String source, Written written, boolean certain) {
         Optional<Rollout> known = gate.rollout(order.service());
@@ -328,7 +338,7 @@
                                 + " within "
                                 + order.durationMillis()
                                 + " ms, "
-                                + (fresh ? "just written" : "of an age not known here"),
+                                + (fresh ? "just written" : "of unknown age"),
                         source,
                         order.revision()));
     }
@@ -354,27 +364,32 @@
                             rollout.withdrawn(nowMillis.getAsLong());
                             DecisionLog.write(
                                     new Lifecycle(
-                                            "roll-out of " + service, "withdrawn", "order gone"));
+                                            "roll-out of " + service,
+                                            "withdrawn",
+                                            "order removed"));
                         });
     }
 
-    /** Reads what the store tells; one line tells of what cannot be read. */
-    private static <T> Optional<T> readable(Either<String, T> read) {
-        if (read.isLeft()) {
-            Logger.warn("roll-out left as it is: {}", read.getLeft());
+    /** Returns the decoded value; logs a warning and returns empty if it could not be decoded. */
+    private static <T> Optional<T> readable(Either<String, T> decoded) {
+        if (decoded.isLeft()) {
+            Logger.warn(
+                    "roll-out order or record cannot be decoded, ignored: {}", decoded.getLeft());
         }
-        return read.toJavaOptional();
+        return decoded.toJavaOptional();
     }
 
     private static String serviceOf(String key, String prefix) {
         return key.substring(prefix.length());
     }
 
-    /** Takes the operators' orders. */
+    /** Receives the operators' orders. */
     private final class Orders implements StoreWatcher.Listener {
         private boolean followed;
 
-        /** What lies in the store when this process starts may have lain there for long. */
+        /**
+         * Orders that are in the store when this process starts may have been written long before.
+         */
         @Override
         public void listed(List<StoreItem> items, long revision) {
             Written written = followed ? Written.NOW : Written.BEFORE;
@@ -398,7 +413,7 @@
         }
     }
 
-    /** Takes the records of results. */
+    /** Receives the records of results. */
     private final class Records implements StoreWatcher.Listener {
         @Override
         public void listed(List<StoreItem> items, long revision) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutParts.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutParts.java
@@ -25,8 +25,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The parts of a process that follow roll-outs and lead them, wired together. Where operators order
- * none, nothing of it runs and no call is made.
+ * Creates and connects the parts of a process that follow and lead roll-outs. If operators order no
+ * roll-outs, as the settings say, none of the parts runs and no call is made.
  */
 final class RolloutParts {
     private final boolean enabled;
@@ -36,20 +36,20 @@
     private final StoreWatcher orders;
 
     /**
-     * Wires the parts; nothing runs yet.
+     * Creates the parts; none runs before {@link #start}.
      *
-     * @param loop the loop whose thread runs them
+     * @param loop the event loop that runs them
      * @param store the platform's store
-     * @param health told of answers and failures
-     * @param random spreads repeated calls
-     * @param format how orders and records are written
+     * @param health notified of answers and failures
+     * @param random spreads repeated calls over time
+     * @param format encodes and decodes orders and records
      * @param settings the process's settings
      * @param gate decides which versions are chosen
-     * @param directory the upstreams known
-     * @param loads the work under way at them
+     * @param directory the known upstreams
+     * @param loads the requests under way at the upstreams
      * @param view the peers
-     * @param leads tells whether this process leads
-     * @param metrics the process's figures
+     * @param leads whether this process leads
+     * @param metrics the process's metrics
      */
     RolloutParts(
             EventLoop loop,
@@ -94,10 +94,13 @@
                         random,
                         format.rolloutStatusPrefix(),
                         manager.records());
-        orders = watcher(loop, store, health, random, format.rolloutOrderPrefix(), manager.orders());
+        orders =
+                watcher(loop, store, health, random, format.rolloutOrderPrefix(), manager.orders());
         if (enabled) {
             view.rollouts(exchange);
-            // the old version stops with the record: whoever hears it late sends to nobody
+            // the old version stops with the record: a process that is notified late has no
+            // upstream to
+            // send to
             manager.onAdvance(view::sendRolloutReports);
         }
     }
@@ -112,38 +115,38 @@
         return new StoreWatcher(loop, store, health, random.split(), prefix, 0, listener);
     }
 
-    /** Returns the roll-outs known. */
+    /** Returns the manager of the known roll-outs. */
     RolloutManager manager() {
         return manager;
     }
 
-    /** Begins to follow and to lead. */
+    /** Starts to follow and to lead roll-outs. */
     void start() {
         if (enabled) {
-            // records first: an order whose result is known is not begun anew
+            // records first, so that an order whose result is known is not started again
             records.restart();
             orders.restart();
             runner.start();
         }
     }
 
-    /** Tells whether it is known if there are any: the store was read once, or need not be. */
+    /** Returns whether the roll-outs are known: the store was read once, or need not be read. */
     boolean isKnown() {
         return !enabled || (records.isComplete() && orders.isComplete());
     }
 
     /**
-     * Follows the store or leaves it.
+     * Starts or stops following the store, as needed.
      *
-     * @param fed true while a hub tells this process in time
+     * @param fedByHub true while a hub keeps this process up to date
      */
-    void follow(boolean fed) {
+    void follow(boolean fedByHub) {
         if (!enabled) {
             return;
         }
-        follow(orders, !fed);
-        // nobody else writes records, so they are followed only while there are some to come
-        follow(records, !fed && manager.isAnyMoving());
+        follow(orders, !fedByHub);
+        // only leaders write records, so they are followed only while some are expected
+        follow(records, !fedByHub && manager.isAnyMoving());
     }
 
     private static void follow(StoreWatcher watcher, boolean wanted) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRecovery.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRecovery.java
@@ -25,29 +25,29 @@
 import java.util.Set;
 
 /**
- * What is to be found again of roll-outs after the store's history was replaced: the operators
- * write their orders again, and the leader writes its records again. Until then a list may hold
- * older ones.
+ * Tracks which orders and records of roll-outs are to be found again after the store's history was
+ * replaced. Operators write their orders again, and the leader writes its records again; until then
+ * a list may contain older ones.
  */
 final class RolloutRecovery {
-    /** How long orders and records may take to be written again, in milliseconds. */
+    /** Max. time until orders and records are written again, in milliseconds. */
     static final long RECOVERY_MILLIS = 4_000;
 
     private final Set<String> missingOrders = new HashSet<>();
     private final Map<String, RolloutStatus> lostRecords = new HashMap<>();
     private final Map<String, Long> storedRevision = new HashMap<>();
 
-    /** Of each service the order before the one that is known. */
+    /** The order before the known one, by service. */
     private final Map<String, RolloutOrder> earlierOrders = new HashMap<>();
 
     private long recoveryEndMillis = Long.MIN_VALUE;
 
     /**
-     * Begins to await.
+     * Begins a recovery.
      *
-     * @param services those whose orders are known
-     * @param recorded records that are about these orders
-     * @param nowMillis the time
+     * @param services the services whose orders are known
+     * @param recorded the known records of these orders
+     * @param nowMillis the time, in milliseconds
      */
     void begin(Collection<String> services, Collection<RolloutStatus> recorded, long nowMillis) {
         missingOrders.addAll(services);
@@ -61,28 +61,28 @@
         earlierOrders.put(order.service(), order);
     }
 
-    /** Tells whether an order in a list is one that was replaced, which a copy may still hold. */
+    /** Returns whether an order in a list is the replaced one, which a copy may still contain. */
     boolean isEarlier(RolloutOrder order) {
         RolloutOrder before = earlierOrders.get(order.service());
         return before != null && before.equalsIgnoringRevision(order);
     }
 
-    /** Tells whether the history was replaced since this process started. */
+    /** Returns whether the history was replaced since this process started. */
     boolean hasBegun() {
         return recoveryEndMillis != Long.MIN_VALUE;
     }
 
-    /** Tells whether what a list holds may be older than what is known. */
+    /** Returns whether the contents of a list may be older than what is known. */
     boolean isRecovering(long nowMillis) {
         return nowMillis < recoveryEndMillis;
     }
 
-    /** Tells whether a service's order was not found yet. */
+    /** Returns whether a service's order was not found yet. */
     boolean awaitsOrder(String service, long nowMillis) {
         return isRecovering(nowMillis) && missingOrders.contains(service);
     }
 
-    /** Tells whether any order was not found yet. */
+    /** Returns whether any order was not found yet. */
     boolean awaitsOrders(long nowMillis) {
         return isRecovering(nowMillis) && !missingOrders.isEmpty();
     }
@@ -92,32 +92,35 @@
         missingOrders.remove(service);
     }
 
-    /** Returns the services whose orders were not found in time, once. */
+    /** Returns and forgets the services whose orders were not found in time. */
     Set<String> takeMissing(long nowMillis) {
         if (isRecovering(nowMillis) || missingOrders.isEmpty()) {
             return Set.of();
         }
-        Set<String> missed = Set.copyOf(missingOrders);
+        Set<String> missing = Set.copyOf(missingOrders);
         missingOrders.clear();
-        return missed;
+        return missing;
     }
 
-    /** Returns the record that is to be written again. */
+    /** Returns a service's record that must be written again; empty if there is none. */
     Optional<RolloutStatus> record(String service) {
         return Optional.ofNullable(lostRecords.get(service));
     }
 
-    /** Records at which revision another record stands in its place. */
+    /** Records the revision of the record that is currently stored for a service. */
     void setStoredRevision(String service, long revision) {
         storedRevision.put(service, revision);
     }
 
-    /** Returns under which revision the record is to be written; 0 if none stands there. */
+    /**
+     * Returns the revision of the record that is currently stored for a service; 0 if there is
+     * none.
+     */
     long storedRevision(String service) {
         return storedRevision.getOrDefault(service, 0L);
     }
 
-    /** Records that the record is there again, or that another one has taken its place. */
+    /** Records that a service's record was found, or that another one has replaced it. */
     void foundRecord(String service) {
         lostRecords.remove(service);
         storedRevision.remove(service);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRunner.java
@@ -42,16 +42,19 @@
 import java.util.function.Function;
 
 /**
- * Leads the roll-outs while this process is the leader: decides how each goes on and records its
- * state in the store, each time under the condition that nobody else has.
+ * Leads the roll-outs while this process is the leader: decides the next phase of each and records
+ * its state in the store, with a conditional write that fails if another process has written.
  */
 final class RolloutRunner {
     private static final long STEP_INTERVAL_MILLIS = 100;
 
-    /** Time between lines that tell how a roll-out stands, in milliseconds. */
+    /** Time between log lines about the status of a roll-out, in milliseconds. */
     private static final long STATUS_LOG_INTERVAL_MILLIS = 1_000;
 
-    /** Pause after a write that failed, in milliseconds: the store's usual time for some calls. */
+    /**
+     * Delay before the read after a failed write, in milliseconds: the store's usual time for
+     * several calls.
+     */
     private static final long READ_BACK_DELAY_MILLIS = 300;
 
     private final EventLoop loop;
@@ -71,22 +74,22 @@
     /**
      * Creates a runner.
      *
-     * @param loop the loop whose thread runs it
-     * @param store holds the records
-     * @param health told of answers and failures
-     * @param format how records are written
-     * @param keeper the roll-outs known
-     * @param directory the upstreams known
-     * @param loads the work under way at them
-     * @param leads tells whether this process leads
-     * @param evidence tells what all processes have seen of a roll-out
+     * @param loop the event loop that runs it
+     * @param store the store with the records
+     * @param health notified of answers and failures
+     * @param format encodes and decodes records
+     * @param manager the known roll-outs
+     * @param directory the known upstreams
+     * @param loads the requests under way at the upstreams
+     * @param leads whether this process leads
+     * @param evidence returns the evidence of all processes for a roll-out
      */
     RolloutRunner(
             EventLoop loop,
             CoordinationStore store,
             StoreHealth health,
             PlatformFormat format,
-            RolloutManager keeper,
+            RolloutManager manager,
             UpstreamDirectory directory,
             UpstreamLoads loads,
             BooleanSupplier leads,
@@ -95,20 +98,20 @@
         this.store = store;
         this.health = health;
         this.format = format;
-        this.manager = keeper;
+        this.manager = manager;
         this.directory = directory;
         this.loads = loads;
         this.leads = leads;
         this.evidence = evidence;
     }
 
-    /** Begins to take part. */
+    /** Starts the periodic decisions. */
     void start() {
         loop.repeat(STEP_INTERVAL_MILLIS, this::step);
     }
 
     private void step() {
-        // what others have seen is filed under the orders' revisions
+        // the evidence of peers is stored by the orders' revisions, which are not yet known
         if (manager.awaitsOrders()) {
             return;
         }
@@ -124,7 +127,10 @@
         }
     }
 
-    /** A service without upstreams, or with a record nobody can read, is left as it is. */
+    /**
+     * Returns false for a service without upstreams or with an undecodable record: its roll-out
+     * waits.
+     */
     private boolean isKnown(String service) {
         boolean hasUpstreams =
                 directory.all().stream().anyMatch(upstream -> upstream.service().equals(service));
@@ -135,10 +141,10 @@
         RolloutController decider = deciders.computeIfAbsent(rollout, RolloutController::new);
         String service = rollout.order().service();
         RolloutStatus status = manager.record(service);
-        List<RouteEvidence> seen = evidence.apply(rollout);
-        Step step = decider.next(seen, status, fleet(rollout), loop.nowMillis());
+        List<RouteEvidence> observed = evidence.apply(rollout);
+        Step step = decider.next(observed, status, fleet(rollout), loop.nowMillis());
         manager.applyDecision(rollout, step.phase());
-        log(rollout, step, status, seen);
+        log(rollout, step, status, observed);
         step.record().ifPresent(state -> record(rollout, state));
     }
 
@@ -153,31 +159,34 @@
         return new Fleet(serving.size() - target.size(), target.size(), loads.requests(old));
     }
 
-    /** Writes one line for each phase and record, and how the roll-out stands once a second. */
-    private void log(Rollout rollout, Step step, RolloutStatus status, List<RouteEvidence> seen) {
+    /** Logs each change of phase or record, and the status of the roll-out once a second. */
+    private void log(
+            Rollout rollout, Step step, RolloutStatus status, List<RouteEvidence> observed) {
         String service = rollout.order().service();
         String state =
                 step.phase() + step.record().map(record -> ", recording " + record).orElse("");
         boolean changed = !state.equals(loggedStates.put(service, state));
         if (changed) {
             String subject = "roll-out of " + service + " to " + rollout.order().version();
-            String spent =
+            String exposure =
                     "; sent here "
                             + rollout.ledger().exposedRequests()
                             + " of "
                             + rollout.ledger().sentRequests();
-            DecisionLog.write(new Lifecycle(subject, state, step.reason() + spent));
+            DecisionLog.write(new Lifecycle(subject, state, step.reason() + exposure));
         }
         long now = loop.nowMillis();
-        if (changed || now - statusLoggedMillis.getOrDefault(service, now - STATUS_LOG_INTERVAL_MILLIS) >= STATUS_LOG_INTERVAL_MILLIS) {
+        if (changed
+                || now - statusLoggedMillis.getOrDefault(service, now - STATUS_LOG_INTERVAL_MILLIS)
+                        >= STATUS_LOG_INTERVAL_MILLIS) {
             statusLoggedMillis.put(service, now);
-            DecisionLog.write(statusLine(rollout, step, status, seen));
+            DecisionLog.write(statusLine(rollout, step, status, observed));
         }
     }
 
     private RolloutStep statusLine(
-            Rollout rollout, Step step, RolloutStatus status, List<RouteEvidence> seen) {
-        long left = rollout.deadlineMillis() - loop.nowMillis();
+            Rollout rollout, Step step, RolloutStatus status, List<RouteEvidence> observed) {
+        long leftMillis = rollout.deadlineMillis() - loop.nowMillis();
         State recorded = status.isAbout(rollout.order()) ? status.state() : State.NONE;
         return new RolloutStep(
                 rollout.order().service(),
@@ -185,9 +194,9 @@
                 step.phase().name(),
                 step.record().orElse(recorded).name(),
                 step.reason(),
-                rollout.isDeadlineKnown() ? left : -1,
+                rollout.isDeadlineKnown() ? leftMillis : -1,
                 rollout.ledger().bound(),
-                seen);
+                observed);
     }
 
     private void record(Rollout rollout, State state) {
@@ -224,10 +233,14 @@
             return;
         }
         health.failed(result.getLeft());
-        loop.schedule(READ_BACK_DELAY_MILLIS, () -> store.read(key, read -> readBack(service, read)));
+        loop.schedule(
+                READ_BACK_DELAY_MILLIS, () -> store.read(key, read -> readBack(service, read)));
     }
 
-    /** The write may have been done though its answer was lost, or another leader has written. */
+    /**
+     * Reads the record: the write may be done though its answer was lost, or another leader has
+     * written.
+     */
     private void readBack(String service, Either<StoreFailure, StoreItem> read) {
         writing.remove(service);
         if (read.isLeft()) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutStep.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutStep.java
@@ -23,16 +23,16 @@
 import java.util.List;
 
 /**
- * How a roll-out stands, as its leader sees it: at each change, and once a second.
+ * The status of a roll-out as its leader knows it, logged at each change and once a second.
  *
  * @param service the service
- * @param version the version that it is to move to
- * @param phase how far it has come
- * @param recorded what the store records
- * @param reason what led to the phase, or what it waits for
- * @param leftMs time left until the deadline; -1 if it is not known
- * @param bound part of the requests that the version may get before it
- * @param routes what all processes have seen, by route
+ * @param version the version to which the traffic moves
+ * @param phase the current phase
+ * @param recorded the state that the store records
+ * @param reason why the phase was reached, or what the roll-out waits for
+ * @param leftMs time left until the deadline, in milliseconds; -1 if the deadline is not known
+ * @param bound share of the requests that the version may get before the deadline
+ * @param routes the evidence of all processes, by route
  */
 record RolloutStep(
         String service,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SameHistoryStore.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SameHistoryStore.java
@@ -24,8 +24,9 @@
 import java.util.function.Consumer;
 
 /**
- * A store whose answers count only while the history is current in which their call was made: the
- * revisions and leases that a call names mean something else in another one.
+ * A store that hands out an answer only if the history in which its call was made is still current,
+ * and {@link StoreFailure#HISTORY_LOST} otherwise: the revisions and leases that a call names are
+ * meaningless in another history.
  */
 final class SameHistoryStore implements CoordinationStore {
     private final CoordinationStore store;
@@ -84,10 +85,11 @@
         store.end(lease, ifHistoryUnchanged(result));
     }
 
-    private <T> Consumer<Either<StoreFailure, T>> ifHistoryUnchanged(Consumer<Either<StoreFailure, T>> result) {
-        long made = history.epoch();
+    private <T> Consumer<Either<StoreFailure, T>> ifHistoryUnchanged(
+            Consumer<Either<StoreFailure, T>> result) {
+        long epochAtCall = history.epoch();
         return answer -> {
-            boolean same = made == 0 || made == history.epoch();
+            boolean same = epochAtCall == 0 || epochAtCall == history.epoch();
             result.accept(same ? answer : Either.left(StoreFailure.HISTORY_LOST));
         };
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreCalls.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreCalls.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 
 /**
- * Counts the calls of a process to the platform's store, by what they are for and of which kind.
+ * Counts the calls of a process to the platform's store, by purpose and kind.
  *
  * @since 0.3
  */
@@ -29,11 +29,11 @@
     private final GatewayMetrics metrics;
     private final Map<Purpose, Map<Kind, Integer>> unreported = new EnumMap<>(Purpose.class);
 
-    /** What a call is for. */
+    /** The purpose of a call. */
     public enum Purpose {
-        /** The process's own entry, and the list of processes. */
+        /** The process's own entry and the list of processes. */
         MEMBERS,
-        /** The leader's lease and what it records of usage. */
+        /** The leader's lease, and the usage records. */
         LEADERSHIP,
         /** The policy. */
         POLICY,
@@ -47,15 +47,15 @@
 
     /** The kind of a call. */
     public enum Kind {
-        /** A read of what is in the store now. */
+        /** A read of the latest state. */
         FRESH_READ,
-        /** A read that may be seconds old. */
+        /** A read whose result may be some seconds old. */
         RECENT_READ,
         /** A conditional write. */
         WRITE,
-        /** A wait for changes that told some. */
+        /** A watch that returned changes. */
         WATCH_WITH_NEWS,
-        /** A wait for changes that told none, or failed. */
+        /** A watch that returned no changes, or failed. */
         WATCH_WITHOUT_NEWS,
         /** The grant of a lease. */
         GRANT,
@@ -66,18 +66,18 @@
     }
 
     /**
-     * How many calls of one sort were made.
+     * The number of calls of one purpose and kind.
      *
-     * @param purpose what they were for
-     * @param kind their kind
-     * @param calls a count of at least 1
+     * @param purpose the purpose of the calls
+     * @param kind the kind of the calls
+     * @param calls their number, at least 1
      */
     public record Count(Purpose purpose, Kind kind, int calls) {}
 
     /**
-     * Creates counts of no calls.
+     * Creates a counter without calls.
      *
-     * @param metrics exposes them
+     * @param metrics exposes the counts
      */
     public StoreCalls(GatewayMetrics metrics) {
         this.metrics = metrics;
@@ -86,17 +86,18 @@
     /**
      * Records a call.
      *
-     * @param purpose what it is for
-     * @param kind its kind
+     * @param purpose the purpose of the call
+     * @param kind the kind of the call
      */
     public void countCall(Purpose purpose, Kind kind) {
-        unreported.computeIfAbsent(purpose, key -> new EnumMap<>(Kind.class))
+        unreported
+                .computeIfAbsent(purpose, key -> new EnumMap<>(Kind.class))
                 .merge(kind, 1, Integer::sum);
         metrics.storeCall(purpose, kind);
     }
 
     /**
-     * Returns the calls since this was asked last.
+     * Returns the calls since this method was last called.
      *
      * @return the counts that are not 0
      */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreHealth.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreHealth.java
@@ -21,7 +21,8 @@
 import java.util.List;
 
 /**
- * Whether the store answers this process. One watcher's failure or success tells all of them.
+ * Tracks whether the store answers this process. All users of the store share this state, so that
+ * one user's failure or answer counts for all.
  *
  * @since 0.2
  */
@@ -32,7 +33,7 @@
     private boolean reachable = true;
 
     /**
-     * Creates the state of a store that is taken to answer.
+     * Creates the state of a store that is assumed to answer.
      *
      * @param metrics counts failures, and changes of the store's history
      */
@@ -42,7 +43,7 @@
     }
 
     /**
-     * Tells which history of the store is current.
+     * Returns the state of the store's history.
      *
      * @return the history
      */
@@ -51,7 +52,7 @@
     }
 
     /**
-     * Has a task run whenever the store answers again.
+     * Adds a task that runs whenever the store answers again after a failure.
      *
      * @param task the task
      */
@@ -59,7 +60,9 @@
         onRegained.add(task);
     }
 
-    /** Records an answer. */
+    /**
+     * Records an answer; runs the tasks of {@link #onRegained} if the store did not answer before.
+     */
     public void answered() {
         if (!reachable) {
             reachable = true;
@@ -69,7 +72,7 @@
     }
 
     /**
-     * Records a failure.
+     * Records a failed call. A conflict, an ended lease and a lost history count as answers.
      *
      * @param failure the failure
      */
@@ -90,7 +93,7 @@
     }
 
     /**
-     * Tells whether the last call was answered.
+     * Returns whether the last call was answered.
      *
      * @return true if it was
      */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreHistory.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreHistory.java
@@ -24,8 +24,8 @@
 import java.util.List;
 
 /**
- * Which history of the store is current, as its answers and peers tell. Revisions and leases of
- * another one say nothing of those of the current one.
+ * Tracks which history of the store is current, from the epochs that its answers and peers name.
+ * Revisions and leases of one history cannot be compared with those of another.
  *
  * @since 0.5
  */
@@ -38,17 +38,17 @@
     private long ignoredCount;
 
     /**
-     * Creates the state of a store that has named no epoch yet.
+     * Creates the state before any epoch is known.
      *
-     * @param metrics counts changes, and what was passed over
+     * @param metrics counts changes of the epoch and ignored epochs and updates
      */
     public StoreHistory(GatewayMetrics metrics) {
         this.metrics = metrics;
     }
 
     /**
-     * Has a task run whenever another history becomes the current one, after those of earlier
-     * calls.
+     * Adds a task that runs whenever another history becomes the current one. Tasks run in the
+     * order in which they were added.
      *
      * @param task the task
      */
@@ -57,33 +57,33 @@
     }
 
     @Override
-    public boolean isCurrent(long named) {
-        return applyEpoch(STORE, named);
+    public boolean isCurrent(long epochNumber) {
+        return applyEpoch(STORE, epochNumber);
     }
 
     /**
-     * Takes over what a peer tells.
+     * Applies the epoch that a peer names.
      *
      * @param peer the peer's name
-     * @param named the epoch that it names; 0 if none
+     * @param epochNumber the epoch; 0 if the peer names none
      */
-    void epochReported(String peer, long named) {
-        applyEpoch(peer, named);
+    void epochReported(String peer, long epochNumber) {
+        applyEpoch(peer, epochNumber);
     }
 
     /**
      * Returns the current epoch.
      *
-     * @return the number; 0 if none was named yet
+     * @return the epoch; 0 if none was named yet
      */
     public long epoch() {
         return epoch.current();
     }
 
     /**
-     * Tells whether what a peer says of the store can be of the current history.
+     * Returns whether a peer's statements about the store can belong to the current history.
      *
-     * @param peerEpoch the epoch that the peer named last; 0 if none, as older builds do
+     * @param peerEpoch the epoch that the peer named last; 0 if none, as with older builds
      * @return false if the peer has named another epoch
      */
     boolean mayMatch(long peerEpoch) {
@@ -91,39 +91,40 @@
     }
 
     /**
-     * Records that a peer told of a change that counts as older than the list here.
+     * Records that a change from a peer was ignored because it counts as older than the list.
      *
-     * @param news the change
+     * @param update the change
      * @param ownRevision the list's revision
      */
-    void updateIgnored(UpstreamNews news, long ownRevision) {
+    void updateIgnored(UpstreamNews update, long ownRevision) {
         metrics.count(GatewayMetrics.Event.UPSTREAM_NEWS_PASSED_OVER);
-        String what = news.upstream().id() + " at " + news.revision() + ", list at " + ownRevision;
-        logSampled("upstream news", what);
+        String detail =
+                update.upstream().id() + " at " + update.revision() + ", list at " + ownRevision;
+        logSampled("upstream news", detail);
     }
 
-    private boolean applyEpoch(String source, long named) {
+    private boolean applyEpoch(String source, long epochNumber) {
         long before = epoch.current();
-        Observation meaning = epoch.observe(named);
+        Observation meaning = epoch.observe(epochNumber);
         if (meaning == Observation.NEW) {
             metrics.count(GatewayMetrics.Event.STORE_EPOCH_CHANGED);
-            String detail = "from " + before + ", told by " + source;
-            DecisionLog.write(new Lifecycle("store epoch", Long.toString(named), detail));
+            String detail = "from " + before + ", reported by " + source;
+            DecisionLog.write(new Lifecycle("store epoch", Long.toString(epochNumber), detail));
             onReplaced.forEach(Runnable::run);
         } else if (meaning != Observation.CURRENT) {
             metrics.count(GatewayMetrics.Event.STORE_EPOCH_PASSED_OVER);
-            logSampled("store epoch", meaning + " epoch " + named + " of " + source);
+            logSampled("store epoch", meaning + " epoch " + epochNumber + " of " + source);
         }
-        // an answer whose epoch is spoiled counts as one that names none
+        // an answer with an invalid epoch counts as one that names none
         return meaning != Observation.OLD;
     }
 
-    /** Logs the first, second, fourth, eighth: what is passed over comes in rows. */
-    private void logSampled(String what, String detail) {
+    /** Logs the first, second, fourth, eighth and so on, since ignored items come in series. */
+    private void logSampled(String subject, String detail) {
         ignoredCount++;
         if (Long.bitCount(ignoredCount) == 1) {
             String counted = detail + ", " + ignoredCount + " so far";
-            DecisionLog.write(new Lifecycle(what, "passed over", counted));
+            DecisionLog.write(new Lifecycle(subject, "passed over", counted));
         }
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreWatcher.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreWatcher.java
@@ -28,8 +28,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Follows the keys with one prefix: reads them all, then watches their changes, and reads all again
- * whenever it may have missed one.
+ * Follows the keys with one prefix: reads them all, then watches for changes, and reads them all
+ * again whenever a change may have been missed.
  *
  * @since 0.2
  */
@@ -37,8 +37,8 @@
     private static final long WATCH_TIMEOUT_MILLIS = 10_000;
 
     /**
-     * Pause between a list and the first watch after it, in milliseconds: most processes that start
-     * are told by a peer by then and need no watch, which is a call to pay for.
+     * Delay between a list and the first watch after it, in milliseconds. Most processes that start
+     * receive the state from a peer within this time and save the watch, which is a paid call.
      */
     private static final long FIRST_WATCH_DELAY_MILLIS = 400;
 
@@ -60,7 +60,7 @@
     private boolean complete;
     private boolean running;
 
-    /** Told of the keys. */
+    /** Receives the keys and their changes. */
     public interface Listener {
         /**
          * Called with all keys.
@@ -71,27 +71,27 @@
         void listed(List<StoreItem> items, long revision);
 
         /**
-         * Called with one change.
+         * Called with each change.
          *
-         * @param item the key, or that it is gone
+         * @param item the changed or removed key
          */
         void changed(StoreItem item);
 
-        /** Called when the store has shown that no change was missed. */
+        /** Called when an answer of the store shows that no change was missed. */
         default void confirmedCurrent() {}
     }
 
     /**
      * Creates a watcher.
      *
-     * @param loop the loop whose thread runs it
+     * @param loop the event loop that runs it
      * @param store the store
-     * @param health told of answers and failures
-     * @param random spreads repeated calls
+     * @param health notified of answers and failures
+     * @param random spreads repeated calls over time
      * @param prefix the prefix to follow
-     * @param pauseMillis pause after changes, in milliseconds, so that those that come close
-     *     together are told by one call
-     * @param listener told of the keys
+     * @param pauseMillis pause after changes, in milliseconds, so that one call returns several
+     *     changes in quick succession
+     * @param listener receives the keys
      */
     public StoreWatcher(
             EventLoop loop,
@@ -112,7 +112,7 @@
         health.history().onReplaced(this::resume);
     }
 
-    /** Begins, or begins anew, with reading all keys. */
+    /** Starts or restarts by reading all keys. */
     public void restart() {
         stop();
         running = true;
@@ -120,15 +120,19 @@
         list(round, "");
     }
 
-    /** Reads all keys again if they are followed: the wait for changes has heard nothing of one. */
+    /**
+     * Reads all keys again if they are followed, because the watch did not report a known change.
+     */
     public void relist() {
         if (running) {
-            DecisionLog.write(new DecisionLog.Lifecycle("watch of " + prefix, "anew", "silent"));
+            DecisionLog.write(
+                    new DecisionLog.Lifecycle(
+                            "watch of " + prefix, "anew", "watch reported no change"));
             restart();
         }
     }
 
-    /** Stops following. */
+    /** Stops following the keys. */
     public void stop() {
         running = false;
         round++;
@@ -137,7 +141,7 @@
     }
 
     /**
-     * Tells whether the keys are followed.
+     * Returns whether the keys are followed.
      *
      * @return false before the start and after a stop
      */
@@ -146,7 +150,7 @@
     }
 
     /**
-     * Tells whether all keys were read at least once.
+     * Returns whether all keys were read at least once.
      *
      * @return true if they were
      */
@@ -164,8 +168,9 @@
                                 .ifPresent(batch -> page(current, afterKey, batch)));
     }
 
-    /** Returns what a call brought, unless it failed or is no longer awaited. */
-    private Optional<StoreBatch> currentResult(int current, Either<StoreFailure, StoreBatch> result) {
+    /** Returns the result of a call, unless the call failed or belongs to an earlier round. */
+    private Optional<StoreBatch> currentResult(
+            int current, Either<StoreFailure, StoreBatch> result) {
         if (current != round) {
             return Optional.empty();
         }
@@ -173,7 +178,7 @@
             failed(current, result.getLeft());
             return Optional.empty();
         }
-        // a regained store begins a new round
+        // the first answer after a failure starts a new round
         health.answered();
         return current == round ? Optional.of(result.get()) : Optional.empty();
     }
@@ -232,7 +237,7 @@
         }
     }
 
-    /** Reads all keys again after a pause; at once if the store has lost its history. */
+    /** Reads all keys again after a back-off, or without one if the store has lost its history. */
     private void failed(int current, StoreFailure failure) {
         health.failed(failure);
         if (current != round) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UsageReporter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UsageReporter.java
@@ -38,17 +38,19 @@
 /**
  * Reports usage while this process leads.
  *
- * <p>The counts of a window are stored under a condition before they are reported, and exactly what
- * is stored is reported, so that two leaders never report different counts. When the store's
- * history is replaced, who stored counts stores them again; of windows that were due before, others
- * report only what is stored.
+ * <p>The counts of a window are stored with a conditional write before they are reported, and the
+ * stored counts are reported, so that two leaders never report different counts. When the store's
+ * history is replaced, the process that stored counts stores them again; for windows that were due
+ * before, other processes report only stored counts.
  */
 final class UsageReporter {
     private static final String USAGE_PREFIX = "trailladder/record/usage/";
     private static final long SETTLE_MILLIS = 1_800;
     private static final long WINDOWS_REPORTED = 4;
 
-    /** Windows whose counts are kept to be stored again: twice those that are still reported. */
+    /**
+     * Number of windows whose counts are kept to be stored again: twice those that are reported.
+     */
     private static final long WINDOWS_KEPT = 8;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -73,12 +75,13 @@
      *
      * @param clock the time of day
      * @param store the store
-     * @param health told of answers and failures
-     * @param duties the platform's calls
-     * @param usage the counts
-     * @param holder who reports; no token while this process does not lead
-     * @param outranked told that the platform has seen a higher token
-     * @param metrics the process's figures
+     * @param health notified of answers and failures
+     * @param duties the platform's duty calls
+     * @param usage the usage counts
+     * @param holder supplies the reporter's identity; its token is 0 while this process does not
+     *     lead
+     * @param outranked run when the platform has seen a higher token
+     * @param metrics the process's metrics
      */
     UsageReporter(
             Clock clock,
@@ -100,7 +103,7 @@
     }
 
     /**
-     * Notes until when others may have stored counts. To be called a few times a second.
+     * Records until when others may have stored counts. To be called several times a second.
      *
      * @param leads true while this process leads
      * @param nowMillis the time on the steady clock
@@ -114,7 +117,7 @@
         }
     }
 
-    /** Reports the windows that are due. To be called a few times a second by the leader. */
+    /** Reports the windows that are due. To be called several times a second by the leader. */
     void reportDue() {
         long settled = settledBefore(0);
         for (long window = settled - WINDOWS_REPORTED + 1; window <= settled; window++) {
@@ -130,10 +133,11 @@
         return usage.windowAt(clock.millis() - agoMillis - SETTLE_MILLIS) - 1;
     }
 
-    /** Stores again what this process knows to have been stored. */
+    /** Stores the counts again that this process knows to have been stored. */
     void historyReplaced(long nowMillis) {
-        long othersUntilMillis = Math.min(lastReachableMillis, lastFollowedMillis);
-        lastUncertainWindow = Math.max(lastUncertainWindow, settledBefore(nowMillis - othersUntilMillis));
+        long othersStoredUntilMillis = Math.min(lastReachableMillis, lastFollowedMillis);
+        lastUncertainWindow =
+                Math.max(lastUncertainWindow, settledBefore(nowMillis - othersStoredUntilMillis));
         busy.clear();
         stored.forEach(
                 (window, value) ->
@@ -178,7 +182,10 @@
                 });
     }
 
-    /** Other counts may have been reported under a record that the store has lost. */
+    /**
+     * Skips a window, since other counts may have been reported from a record that the store has
+     * lost.
+     */
     private void skip(long window) {
         busy.remove(window);
         reported.add(window);
@@ -224,7 +231,7 @@
                 counts.put(field.getKey(), field.getValue().asInt());
             }
         } catch (IOException e) {
-            Logger.warn("stored usage cannot be read: {}", e.getMessage());
+            Logger.warn("stored usage counts cannot be decoded: {}", e.getMessage());
         }
         return counts;
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/AnswerWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/AnswerWriter.java
@@ -15,8 +15,8 @@
  */
 package io.trailladder.entry.http;
 
-import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount.Reservation;
+import io.trailladder.core.memory.ReservationKind;
 import java.net.SocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnection.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnection.java
@@ -15,9 +15,9 @@
  */
 package io.trailladder.entry.http;
 
-import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.memory.MemoryLevel;
+import io.trailladder.core.memory.ReservationKind;
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayDeque;
 import java.util.Deque;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/Admission.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/Admission.java
@@ -28,7 +28,7 @@
 import java.util.Optional;
 
 /**
- * Decides whether this entry takes a request, passes it to another data centre, or refuses it.
+ * Decides whether this entry serves a request, forwards it to another data centre, or refuses it.
  *
  * @since 0.1
  */
@@ -42,7 +42,10 @@
     private final DataCentreChooser chooser;
 
     Admission(
-            ServingContext context, RequestRegistry book, PeerRelay relay, DataCentreChooser chooser) {
+            ServingContext context,
+            RequestRegistry book,
+            PeerRelay relay,
+            DataCentreChooser chooser) {
         this.context = context;
         this.book = book;
         this.relay = relay;
@@ -50,7 +53,10 @@
     }
 
     /**
-     * Finds the row, takes its limit, and passes the request on if another data centre is better.
+     * Returns the row of a request that this entry is to serve; empty if the request was refused or
+     * forwarded. It is forwarded if the row does not allow this data centre, or if another one is
+     * predicted to serve it earlier. A request that another entry has admitted is not counted
+     * against its row's limit again.
      */
     Optional<Row> admit(IncomingRequest request, String target, TargetKind kind, CallerSink sink) {
         String here = context.self().dataCentre();
@@ -74,12 +80,12 @@
                 return Optional.empty();
             }
         }
-        boolean passedOn =
+        boolean forwarded =
                 !request.relayed()
                         && chooser.fasterEntry(target, row.get().dataCentres(), here)
                                 .map(peer -> forward(request, peer, sink))
                                 .orElse(false);
-        if (passedOn) {
+        if (forwarded) {
             return Optional.empty();
         }
         boolean full = book.openCount() >= context.settings().limits().maxStreams();
@@ -92,7 +98,8 @@
 
     private void refuseOrRelay(IncomingRequest request, Row row, CallerSink sink) {
         if (request.relayed()) {
-            // the sender's table differs; it is never handled here
+            // The sender's table differs from this one; the request is never served here, nor
+            // forwarded again.
             Answers.sendFailure(sink, "", refusal(request, Kind.ROW_NARROWED, RETRY_AFTER_MILLIS));
         } else {
             relay(request, Optional.of(row.target()), row.dataCentres(), sink);
@@ -113,24 +120,27 @@
         return relay.forward(peer.id(), "", admitted, sink, false);
     }
 
-    /** Passes a request unread to an entry in one of the data centres. */
+    /**
+     * Forwards a request unchanged to an entry in one of the data centres; refuses it if there is
+     * none.
+     */
     void relay(
             IncomingRequest request,
             Optional<String> target,
             List<String> dataCentres,
             CallerSink sink) {
-        boolean passedOn =
+        boolean forwarded =
                 chooser.entryIn(target, dataCentres)
                         .map(peer -> relay.forward(peer.id(), "", request, sink, false))
                         .orElse(false);
-        if (!passedOn) {
+        if (!forwarded) {
             Answers.sendFailure(sink, "", refusal(request, Kind.NO_CAPACITY, RETRY_AFTER_MILLIS));
         }
     }
 
     /**
-     * Refuses a request before its key was claimed. Only a request without key is then surely not
-     * run: one with a key may have run when it was sent before.
+     * Returns the refusal of a request whose key has not been claimed. Only a request without a key
+     * has certainly not run; one with a key may have run when it was sent before.
      */
     static Failure refusal(IncomingRequest request, Kind kind, long retryAfterMillis) {
         boolean keyed = request.header(IncomingRequest.KEY_HEADER).isPresent();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/AnswerFeed.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/AnswerFeed.java
@@ -24,8 +24,8 @@
 import java.util.List;
 
 /**
- * Brings one answer to one receiver, at the receiver's pace. What the receiver has not yet taken
- * stays in the answer's log, so a slow receiver costs no memory of its own.
+ * Sends one answer to one receiver, as fast as the receiver reads it. Tokens that the receiver has
+ * not read stay in the answer's log, so a slow receiver needs no buffer of its own.
  *
  * @since 0.1
  */
@@ -57,12 +57,15 @@
         return ended;
     }
 
-    /** Returns the last event that the receiver was sent; below 0 if none was. */
+    /** Returns the position of the last event sent to the receiver; negative if none was sent. */
     int lastEvent() {
         return headSent ? cursor - 1 : -1;
     }
 
-    /** Sends what the receiver can take; returns false if it cannot take all. */
+    /**
+     * Sends all tokens that are available; returns false if the receiver cannot take all of them
+     * now.
+     */
     boolean pump(AnswerLog log) {
         if (ended) {
             return true;
@@ -86,7 +89,7 @@
         return true;
     }
 
-    /** Gives the receiver the final answer of a failed request. */
+    /** Ends the receiver's answer with a failure. */
     void fail(String requestId, Failure failure) {
         if (ended) {
             return;
@@ -100,7 +103,10 @@
         sink.abort();
     }
 
-    /** Tells the receiver to ask any entry for the rest. */
+    /**
+     * Ends the receiver's answer here: a stream with an event that tells it to request the rest
+     * from any entry, any other answer with a failure.
+     */
     void redirect(String requestId) {
         if (ended) {
             return;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/Answers.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/Answers.java
@@ -25,18 +25,18 @@
 import java.util.List;
 
 /**
- * Writes whole answers and refusals in their HTTP form.
+ * Sends complete answers and refusals in their HTTP form.
  *
  * @since 0.1
  */
 public final class Answers {
-    /** Header that says what is certain about a request without whole answer. */
+    /** Header that states whether the request has run, as an {@link Outcome}. */
     public static final String OUTCOME_HEADER = "Trailladder-Outcome";
 
-    /** Header that names the request. */
+    /** Header with the name of the request. */
     public static final String REQUEST_HEADER = "Trailladder-Request";
 
-    /** Header that names the data centre that served the request. */
+    /** Header with the name of the data centre that served the request. */
     public static final String SERVED_HEADER = "Trailladder-Served";
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -45,12 +45,12 @@
     private Answers() {}
 
     /**
-     * Sends a whole answer.
+     * Sends a complete answer.
      *
-     * @param sink where to
+     * @param sink receiver of the answer
      * @param status HTTP status
-     * @param contentType its type
-     * @param headers more headers
+     * @param contentType media type of the body
+     * @param headers additional headers
      * @param body the body
      */
     public static void send(
@@ -66,9 +66,9 @@
     }
 
     /**
-     * Sends the final answer of a request that failed.
+     * Sends the answer of a request that failed.
      *
-     * @param sink where to
+     * @param sink receiver of the answer
      * @param requestId the request's name; empty if it has none yet
      * @param failure the failure
      */
@@ -83,9 +83,9 @@
     }
 
     /**
-     * Refuses a request that no upstream has seen.
+     * Refuses a request that was not sent to any upstream.
      *
-     * @param sink where to
+     * @param sink receiver of the answer
      * @param status HTTP status
      * @param message what is wrong and what is expected
      */
@@ -96,9 +96,9 @@
     /**
      * Refuses a request.
      *
-     * @param sink where to
+     * @param sink receiver of the answer
      * @param status HTTP status
-     * @param outcome what is certain about the request
+     * @param outcome whether the request has run
      * @param message what is wrong and what is expected
      */
     public static void refuse(CallerSink sink, int status, Outcome outcome, String message) {
@@ -106,10 +106,10 @@
     }
 
     /**
-     * Writes an error as JSON.
+     * Returns the JSON form of an error.
      *
-     * @param message the message
-     * @param outcome the outcome
+     * @param message what is wrong
+     * @param outcome whether the request has run
      * @return JSON text
      */
     public static String errorJson(String message, Outcome outcome) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CallResults.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CallResults.java
@@ -24,8 +24,8 @@
 import java.util.Map;
 
 /**
- * Remembers the answers of at-most-once calls that this entry made, in bounded memory, so that a
- * caller who asks again gets the first answer.
+ * Keeps the results of at-most-once calls that this entry made, in bounded memory, so that a caller
+ * who repeats a call receives the first answer.
  *
  * @since 0.1
  */
@@ -45,7 +45,7 @@
                 }
             };
 
-    /** A call with those who wait for its answer. */
+    /** A call and the receivers that wait for its result. */
     private static final class Call {
         final String organisation;
         final List<CallerSink> waiting = new ArrayList<>();
@@ -60,17 +60,20 @@
         this.servedIn = servedIn;
     }
 
-    /** Records that a call begins. */
+    /** Records the start of a call. */
     synchronized void begin(String callId, String organisation) {
         calls.put(callId, new Call(organisation));
     }
 
-    /** Forgets a call that was not made. */
+    /** Removes a call that was not made. */
     synchronized void remove(String callId) {
         calls.remove(callId);
     }
 
-    /** Records a call's result and sends it to those who wait for it. */
+    /**
+     * Records the result of a call and sends it to the receivers that wait for it. Large answers
+     * are not kept after that.
+     */
     void end(String callId, Result result) {
         List<CallerSink> waiting;
         synchronized (this) {
@@ -81,15 +84,15 @@
             waiting = List.copyOf(call.waiting);
             call.waiting.clear();
             call.result = result;
-            if (result instanceof Result.Completed whole
-                    && whole.reply().body().length > MAX_KEPT_ANSWER_BYTES) {
+            if (result instanceof Result.Completed completed
+                    && completed.reply().body().length > MAX_KEPT_ANSWER_BYTES) {
                 calls.remove(callId);
             }
         }
         waiting.forEach(sink -> result.send(sink, callId, servedIn));
     }
 
-    /** Sends the first answer of a call, now or when it is there. */
+    /** Sends the result of a call, immediately or as soon as the call ends. */
     void sendResult(String callId, String organisation, CallerSink sink) {
         Result result;
         synchronized (this) {
@@ -106,7 +109,7 @@
         result.send(sink, callId, servedIn);
     }
 
-    /** What is said of a call whose answer is not known here. */
+    /** Returns the result that is sent for a call whose result this entry does not have. */
     static Result unknownResult() {
         return new Result.Failed(
                 new Failure(Outcome.UNKNOWN, Failure.Kind.CLAIM_UNKNOWN, RETRY_AFTER_MILLIS));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CallerSink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CallerSink.java
@@ -19,14 +19,14 @@
 import java.util.List;
 
 /**
- * Is where an answer goes: a caller's connection, or a peer that passes it on. Its methods do not
- * block and may be called from any thread, one at a time.
+ * Receives an answer: a caller's connection, or a peer that forwards the answer. Its methods do not
+ * block and may be called from any thread, but not concurrently.
  *
  * @since 0.1
  */
 public interface CallerSink {
     /**
-     * Begins the answer.
+     * Sends the status and the headers of the answer.
      *
      * @param status HTTP status
      * @param headers HTTP headers
@@ -40,30 +40,30 @@
      */
     void body(byte[] bytes);
 
-    /** Ends a whole answer. */
+    /** Ends a complete answer. */
     void end();
 
-    /** Breaks the answer off, so that the caller sees that it is not whole. */
+    /** Aborts the answer, so that the caller can tell that it is incomplete. */
     void abort();
 
     /**
-     * Tells whether more may be sent without piling up.
+     * Returns whether more can be sent without accumulating in memory.
      *
-     * @return false while the receiver does not read
+     * @return false while the receiver does not read fast enough
      */
     boolean writable();
 
     /**
-     * Asks to be told when {@link #writable} turns true.
+     * Registers an action to run when {@link #writable} becomes true.
      *
-     * @param ready called at most once
+     * @param ready run at most once
      */
     void whenWritable(Runnable ready);
 
     /**
-     * Asks to be told when the receiver is gone before the end.
+     * Registers an action to run when the receiver disconnects before the end of the answer.
      *
-     * @param gone called at most once
+     * @param action run at most once
      */
-    void whenDisconnected(Runnable gone);
+    void whenDisconnected(Runnable action);
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/ClaimService.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/ClaimService.java
@@ -48,13 +48,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Obtains claims for this entry's at-most-once requests, and carries out what the claim registry
- * decides for the ranges this entry owns or backs up.
+ * Obtains claims for this entry's at-most-once requests, and carries out the actions of the claim
+ * registry for the ranges that this entry owns or backs up.
  *
  * @since 0.1
  */
 public final class ClaimService {
-    /** How long an owner may take to answer, in milliseconds. */
+    /** Maximum time an owner may take to reply, in milliseconds. */
     public static final long ANSWER_TIMEOUT_MILLIS = 1_000;
 
     private final String self;
@@ -62,16 +62,17 @@
     private final ClaimRegistry registry;
     private final RangePlanner planner;
     private final long retentionMillis;
-    private final Map<String, CompletableFuture<ClaimReply>> pendingReplies = new ConcurrentHashMap<>();
+    private final Map<String, CompletableFuture<ClaimReply>> pendingReplies =
+            new ConcurrentHashMap<>();
 
     /**
      * Creates the service.
      *
      * @param self this entry's name
-     * @param links reaches peers
-     * @param ranges how many ranges keys are split into
-     * @param capacity how many claims this entry may keep
-     * @param retentionMillis how long claims are kept, in milliseconds
+     * @param links sends messages to peers
+     * @param ranges number of ranges that the keys are split into
+     * @param capacity maximum number of claims that this entry keeps
+     * @param retentionMillis time for which claims are kept, in milliseconds
      */
     public ClaimService(String self, Peers links, int ranges, int capacity, long retentionMillis) {
         this.self = self;
@@ -82,13 +83,13 @@
     }
 
     /**
-     * Asks for the claim of a key.
+     * Requests the claim of a key from its owner.
      *
-     * @param key names the request
-     * @param fingerprint hash of its content
-     * @param requestId this ask's name, never used before
-     * @return the owner's answer; {@code UNAVAILABLE} if none came in time, and then the claim was
-     *     given up
+     * @param key key of the request
+     * @param fingerprint hash of the request's content
+     * @param requestId name of this claim request, which must not have been used before
+     * @return the owner's reply; {@code UNAVAILABLE} if the owner cannot decide or did not reply in
+     *     time, in which case the claim has been released
      */
     public CompletableFuture<ClaimReply> claim(ClaimKey key, long fingerprint, String requestId) {
         long expires = System.currentTimeMillis() + retentionMillis;
@@ -102,21 +103,23 @@
             reply.complete(ClaimReply.of(Verdict.UNAVAILABLE));
         }
         return reply.completeOnTimeout(
-                        ClaimReply.of(Verdict.UNAVAILABLE), ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                        ClaimReply.of(Verdict.UNAVAILABLE),
+                        ANSWER_TIMEOUT_MILLIS,
+                        TimeUnit.MILLISECONDS)
                 .whenComplete(
-                        (answer, failure) -> {
+                        (completed, failure) -> {
                             pendingReplies.remove(requestId);
-                            if (answer.verdict() == Verdict.UNAVAILABLE) {
+                            if (completed.verdict() == Verdict.UNAVAILABLE) {
                                 release(key, requestId);
                             }
                         });
     }
 
     /**
-     * Gives up a claim that was certainly not used.
+     * Releases a claim that was certainly not used.
      *
      * @param key the claim's key
-     * @param requestId the ask's name
+     * @param requestId name under which it was requested
      */
     public void release(ClaimKey key, String requestId) {
         String owner = owner(key);
@@ -128,11 +131,11 @@
     }
 
     /**
-     * Takes a message from a peer.
+     * Handles a message from a peer.
      *
      * @param from the peer
      * @param message the message
-     * @return true if it was about claims
+     * @return true if the message concerns claims, false if it was not handled
      */
     public boolean received(EntryInfo from, PeerMessage message) {
         if (message instanceof ClaimAsk ask) {
@@ -166,7 +169,7 @@
     }
 
     /**
-     * Takes over a range map that was read from the platform.
+     * Applies a range map that was read from the platform.
      *
      * @param map the map
      */
@@ -175,7 +178,7 @@
     }
 
     /**
-     * Takes over a range map that a peer sent.
+     * Applies a range map that was received from a peer.
      *
      * @param map the map
      */
@@ -184,7 +187,7 @@
     }
 
     /**
-     * Returns a number that grows with every change of the range map.
+     * Returns a number that increases with every change of the range map.
      *
      * @return the sum of all epochs
      */
@@ -204,9 +207,10 @@
     }
 
     /**
-     * Stops granting claims of the ranges that a proposal changes.
+     * Stops granting claims and keeping copies for the ranges that a proposal changes, which must
+     * happen before the proposal is made.
      *
-     * @param proposal the proposal, about to be made
+     * @param proposal the proposal, not yet made
      */
     public void seal(Propose proposal) {
         synchronized (registry) {
@@ -217,8 +221,8 @@
     /**
      * Plans the next change of the range map.
      *
-     * @param view the other entries
-     * @return the change to be proposed
+     * @param view the state of the other entries
+     * @return the change to propose; empty if none is needed
      */
     public Optional<Propose> plan(RangePlanner.View view) {
         synchronized (registry) {
@@ -226,7 +230,7 @@
         }
     }
 
-    /** Sends copies that are still missing, and forgets claims whose time is over. */
+    /** Sends the copies that backups have not confirmed, and removes expired claims. */
     public void maintain() {
         perform(
                 locked(
@@ -237,7 +241,7 @@
     }
 
     /**
-     * Returns how many claims are kept.
+     * Returns the number of claims kept.
      *
      * @return a count
      */
@@ -248,7 +252,7 @@
     }
 
     /**
-     * Returns how many ranges this entry owns.
+     * Returns the number of ranges that this entry owns.
      *
      * @return a count
      */
@@ -267,9 +271,9 @@
     }
 
     private void completeReply(String requestId, ClaimReply reply) {
-        CompletableFuture<ClaimReply> waiting = pendingReplies.get(requestId);
-        if (waiting != null) {
-            waiting.complete(reply);
+        CompletableFuture<ClaimReply> pending = pendingReplies.get(requestId);
+        if (pending != null) {
+            pending.complete(reply);
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CompletionRequest.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CompletionRequest.java
@@ -27,8 +27,8 @@
  *
  * @param model the model
  * @param prompt the prompt; for a chat, its messages as text
- * @param maxTokens most tokens the answer may have
- * @param stream true if the answer is wanted token by token
+ * @param maxTokens maximum number of tokens in the answer
+ * @param stream true if the answer is to be sent token by token
  * @param chat true for the chat form
  * @since 0.1
  */
@@ -46,11 +46,11 @@
     private static final ObjectMapper JSON = mapper();
 
     /**
-     * Reads a request body.
+     * Parses a request body.
      *
      * @param body the body
      * @param chat true for the chat form
-     * @return the request, or what is wrong with the body
+     * @return the request, or a message that states what is wrong with the body
      */
     public static Either<String, CompletionRequest> parse(byte[] body, boolean chat) {
         JsonNode root;
@@ -66,8 +66,8 @@
         if (!model.isTextual() || model.asText().isEmpty()) {
             return Either.left("field 'model', expected the name of a model");
         }
-        JsonNode max = root.path("max_tokens");
-        int maxTokens = max.isMissingNode() ? DEFAULT_MAX_TOKENS : max.asInt(0);
+        JsonNode limit = root.path("max_tokens");
+        int maxTokens = limit.isMissingNode() ? DEFAULT_MAX_TOKENS : limit.asInt(0);
         if (maxTokens < 1 || maxTokens > MAX_TOKENS) {
             return Either.left("field 'max_tokens', expected 1 to " + MAX_TOKENS);
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CompletionWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CompletionWriter.java
@@ -23,7 +23,7 @@
 /**
  * Writes model answers in the forms of {@code /v1/completions} and {@code /v1/chat/completions}.
  *
- * <p>Every event of a stream carries the token's position as its id, so that a caller can ask for
+ * <p>Every token event of a stream has the token's position as its id, so that a caller can request
  * the rest with {@code Last-Event-ID}.
  *
  * @since 0.1
@@ -52,15 +52,26 @@
     }
 
     byte[] tokenEvent(int position, String token) {
-        return bytes("id: " + position + "\n" + eventPrefix + escaped(token) + eventSuffix + "null}]}\n\n");
+        return bytes(
+                "id: "
+                        + position
+                        + "\n"
+                        + eventPrefix
+                        + escaped(token)
+                        + eventSuffix
+                        + "null}]}\n\n");
     }
 
     byte[] endEvent(int tokens) {
         return bytes(
-                eventPrefix + eventSuffix + "\"stop\"}],\"usage\":" + usage(tokens) + "}\n\ndata: [DONE]\n\n");
+                eventPrefix
+                        + eventSuffix
+                        + "\"stop\"}],\"usage\":"
+                        + usage(tokens)
+                        + "}\n\ndata: [DONE]\n\n");
     }
 
-    /** Tells the caller of a stream to ask any entry for the rest. */
+    /** Returns the event that tells the caller of a stream to request the rest from any entry. */
     byte[] movedEvent() {
         return bytes(
                 "event: moved\nretry: 100\ndata: {\"request\":\""
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CopySender.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CopySender.java
@@ -29,71 +29,79 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Has the copies of this entry's requests follow their answers, each at a keeper that lives. */
+/** Keeps the copies of this entry's requests up to date, each at a peer that is live. */
 final class CopySender {
     private final ServingContext context;
     private final PeerSelector peerSelector;
 
-    CopySender(ServingContext context, PeerSelector keepers) {
+    CopySender(ServingContext context, PeerSelector peerSelector) {
         this.context = context;
-        this.peerSelector = keepers;
+        this.peerSelector = peerSelector;
     }
 
-    /** Sends the keepers what is new, and asks former owners whether they work on a request. */
+    /**
+     * Sends new tokens to the copy holders, and queries former owners of resumed requests that are
+     * live again.
+     */
     void sendUpdates(Collection<LocalRequest> requests) {
-        Map<String, List<TokenPart>> byKeeper = new HashMap<>();
+        Map<String, List<TokenPart>> byCopyHolder = new HashMap<>();
         Set<String> live = new HashSet<>();
         context.links().live().forEach(peer -> live.add(peer.id()));
-        for (LocalRequest h : requests) {
-            if (live.contains(h.resumedFrom)) {
-                queryFormerOwner(h);
+        for (LocalRequest local : requests) {
+            if (live.contains(local.resumedFrom)) {
+                queryFormerOwner(local);
             }
-            if (needsCopy(h) && ensureCopyHolder(h, live)) {
-                addUpdate(h, byKeeper);
+            if (needsCopy(local) && ensureCopyHolder(local, live)) {
+                addUpdate(local, byCopyHolder);
             }
         }
-        byKeeper.forEach((keeper, parts) -> context.links().send(keeper, new RecordTokens(parts)));
+        byCopyHolder.forEach(
+                (copyHolder, parts) -> context.links().send(copyHolder, new RecordTokens(parts)));
     }
 
-    /** Has a copy given up. */
-    void drop(String keeper, String requestId) {
-        if (!keeper.isEmpty()) {
-            context.links().send(keeper, new RecordDrop(requestId));
+    /** Has a peer drop its copy; does nothing if no peer holds one. */
+    void drop(String copyHolder, String requestId) {
+        if (!copyHolder.isEmpty()) {
+            context.links().send(copyHolder, new RecordDrop(requestId));
         }
     }
 
-    private static boolean needsCopy(LocalRequest h) {
-        return !h.copyFinished && !h.runner.isMovedAway() && h.runner.isRepeatable();
+    private static boolean needsCopy(LocalRequest local) {
+        return !local.copyFinished && !local.runner.isMovedAway() && local.runner.isRepeatable();
     }
 
-    /** Asks the entry that a request was taken up from, once it is back, whether it works on it. */
-    private void queryFormerOwner(LocalRequest h) {
-        RecordFind find = new RecordFind(h.requestId(), h.runner.organisation());
-        context.links().send(h.resumedFrom, find);
+    /** Queries the entry that a request was resumed from whether it still works on it. */
+    private void queryFormerOwner(LocalRequest local) {
+        RecordFind find = new RecordFind(local.requestId(), local.runner.organisation());
+        context.links().send(local.resumedFrom, find);
     }
 
-    private static void addUpdate(LocalRequest h, Map<String, List<TokenPart>> byKeeper) {
-        boolean complete = h.runner.isComplete();
-        List<String> news = h.runner.tokensFrom(h.copiedTokens);
-        if (news.isEmpty() && !complete) {
+    private static void addUpdate(LocalRequest local, Map<String, List<TokenPart>> byCopyHolder) {
+        boolean complete = local.runner.isComplete();
+        List<String> tokens = local.runner.tokensFrom(local.copiedTokens);
+        if (tokens.isEmpty() && !complete) {
             return;
         }
-        byKeeper.computeIfAbsent(h.copyHolder, k -> new ArrayList<>())
-                .add(new TokenPart(h.requestId(), h.copiedTokens, news, complete));
-        h.copiedTokens += news.size();
-        h.copyFinished = complete;
+        byCopyHolder
+                .computeIfAbsent(local.copyHolder, k -> new ArrayList<>())
+                .add(new TokenPart(local.requestId(), local.copiedTokens, tokens, complete));
+        local.copiedTokens += tokens.size();
+        local.copyFinished = complete;
     }
 
-    /** Finds another keeper for a request whose keeper is lost, or that never had one. */
-    private boolean ensureCopyHolder(LocalRequest h, Set<String> live) {
-        if (!live.contains(h.copyHolder)) {
-            drop(h.copyHolder, h.requestId());
-            h.copyHolder = peerSelector.choose(h.runner.request()).orElse("");
-            RequestRecord record = h.runner.record();
-            h.copiedTokens = record.tokens().size();
-            h.copyFinished = record.complete();
-            context.links().send(h.copyHolder, new RecordPut(record));
+    /**
+     * Chooses a new copy holder if the present one is lost or there is none; returns whether the
+     * request has one.
+     */
+    private boolean ensureCopyHolder(LocalRequest local, Set<String> live) {
+        if (!live.contains(local.copyHolder)) {
+            drop(local.copyHolder, local.requestId());
+            local.copyHolder = peerSelector.choose(local.runner.request()).orElse("");
+            RequestRecord record = local.runner.record();
+            local.copiedTokens = record.tokens().size();
+            local.copyFinished = record.complete();
+            context.links().send(local.copyHolder, new RecordPut(record));
         }
-        return !h.copyHolder.isEmpty();
+        return !local.copyHolder.isEmpty();
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CopyStore.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CopyStore.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Keeps copies of requests that other entries work on.
+ * Stores copies of requests that other entries work on.
  *
  * @since 0.1
  */
@@ -32,24 +32,24 @@
     private final Map<String, Copy> copies = new ConcurrentHashMap<>();
 
     /**
-     * A request another entry works on.
+     * Copy of a request that another entry works on.
      *
-     * @param request the request
+     * @param request the request with the tokens received so far
      * @param owner the entry that works on it
      */
     record Copy(RequestRecord request, String owner) {}
 
-    /** Keeps a copy. */
+    /** Stores a copy, in place of an earlier one. */
     void put(RequestRecord request, String owner) {
         copies.put(request.requestId(), new Copy(request, owner));
     }
 
-    /** Gives a copy up. */
+    /** Drops a copy. */
     void drop(String requestId) {
         copies.remove(requestId);
     }
 
-    /** Gives a copy up if it is still the copy of this entry's request. */
+    /** Drops a copy if it belongs to this owner. */
     void drop(String requestId, String owner) {
         copies.computeIfPresent(requestId, (id, copy) -> copy.owner().equals(owner) ? null : copy);
     }
@@ -60,26 +60,26 @@
                 .filter(copy -> copy.request().organisation().equals(organisation));
     }
 
-    /** Takes a copy out, to go on with its request. */
+    /** Removes and returns a copy, so that its request can be resumed. */
     Optional<Copy> take(String requestId, String organisation) {
         return find(requestId, organisation).filter(copy -> copies.remove(requestId) != null);
     }
 
-    /** Finds the copies of an entry's unfinished requests. */
+    /** Returns the copies of an entry's unfinished requests. */
     List<Copy> unfinishedOf(String owner) {
         return copies.values().stream()
                 .filter(copy -> copy.owner().equals(owner) && !copy.request().complete())
                 .toList();
     }
 
-    /** Takes the copies of a lost entry's unfinished requests out. */
+    /** Removes and returns the copies of a lost entry's unfinished requests. */
     List<Copy> takeUnfinishedOf(String owner) {
         return unfinishedOf(owner).stream()
                 .filter(copy -> copies.remove(copy.request().requestId(), copy))
                 .toList();
     }
 
-    /** Adds tokens to a copy; a part after a gap is passed over. */
+    /** Appends tokens to a copy from the part's position on; ignores a part that leaves a gap. */
     void append(TokenPart part) {
         copies.computeIfPresent(
                 part.requestId(),
@@ -88,9 +88,9 @@
                     if (part.from() > tokens.size()) {
                         return copy;
                     }
-                    List<String> grown = new ArrayList<>(tokens.subList(0, part.from()));
-                    grown.addAll(part.tokens());
-                    return new Copy(copy.request().with(grown, part.complete()), copy.owner());
+                    List<String> appended = new ArrayList<>(tokens.subList(0, part.from()));
+                    appended.addAll(part.tokens());
+                    return new Copy(copy.request().with(appended, part.complete()), copy.owner());
                 });
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/DataCentreChooser.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/DataCentreChooser.java
@@ -29,12 +29,12 @@
 
 /**
  * Chooses the entry that serves a request: this one, or one in another allowed data centre whose
- * engines are predicted to be free earlier.
+ * upstreams are predicted to have capacity earlier.
  *
  * @since 0.1
  */
 public final class DataCentreChooser {
-    /** What passing a request to another data centre costs, in milliseconds of first-token time. */
+    /** Time by which forwarding to another data centre delays the first token, in milliseconds. */
     static final int REMOTE_PENALTY_MILLIS = 20;
 
     private static final int NOT_SERVED = Integer.MAX_VALUE;
@@ -46,8 +46,8 @@
     /**
      * Creates the chooser.
      *
-     * @param links knows the live peers
-     * @param placements knows this data centre's upstreams
+     * @param links provides the live peers
+     * @param placements provides the waits at this data centre's upstreams
      */
     public DataCentreChooser(Peers links, Placements placements) {
         this.links = links;
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Takes a peer's heartbeat.
+     * Records a peer's heartbeat.
      *
      * @param peer the peer's name
      * @param heartbeat the heartbeat
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Forgets a peer.
+     * Removes a peer that was lost.
      *
      * @param peer the peer's name
      */
@@ -77,29 +77,30 @@
      * Returns the last heartbeat of a peer.
      *
      * @param peer the peer's name
-     * @return the heartbeat, if one came
+     * @return the heartbeat; empty if none was received
      */
     public Optional<Heartbeat> heartbeat(String peer) {
         return Optional.ofNullable(heartbeats.get(peer));
     }
 
     /**
-     * Tells whether a peer has said that it stops.
+     * Returns whether a peer has reported that it is stopping.
      *
      * @param peer the peer's name
-     * @return false if its last heartbeat does not say so, or none came
+     * @return false if its last heartbeat does not report so, or none was received
      */
     public boolean isStopping(String peer) {
         return heartbeat(peer).map(Heartbeat::draining).orElse(false);
     }
 
     /**
-     * Finds a better place than here.
+     * Returns an entry of another data centre that is predicted to serve a request earlier than
+     * this entry, including the delay of forwarding.
      *
      * @param target model or service
-     * @param allowed the data centres the row allows
+     * @param allowed the data centres that the row allows
      * @param here this entry's data centre
-     * @return a peer to pass the request to; empty if this entry should serve it
+     * @return the peer to forward the request to; empty if this entry should serve it
      */
     public Optional<EntryInfo> fasterEntry(String target, List<String> allowed, String here) {
         int ownWait = placements.minQueueMillis().getOrDefault(target, NOT_SERVED);
@@ -109,11 +110,11 @@
     }
 
     /**
-     * Finds an entry for a request that must not be read here.
+     * Returns an entry for a request that must not be read in this data centre.
      *
-     * @param target model or service, if known
-     * @param allowed the data centres it may be read in
-     * @return a peer; empty if none is live
+     * @param target model or service; empty if not known
+     * @param allowed the data centres in which it may be read
+     * @return a peer, if possible one that serves the target; empty if none is available
      */
     public Optional<EntryInfo> entryIn(Optional<String> target, List<String> allowed) {
         Optional<EntryInfo> serving = target.flatMap(t -> best(t, allowed));
@@ -125,10 +126,10 @@
                 candidates(allowed).stream()
                         .filter(peer -> queueMillis(peer, target) != NOT_SERVED)
                         .toList();
-        int least = serving.stream().mapToInt(peer -> queueMillis(peer, target)).min().orElse(0);
+        int min = serving.stream().mapToInt(peer -> queueMillis(peer, target)).min().orElse(0);
         return random(
                 serving.stream()
-                        .filter(peer -> queueMillis(peer, target) <= least + REMOTE_PENALTY_MILLIS)
+                        .filter(peer -> queueMillis(peer, target) <= min + REMOTE_PENALTY_MILLIS)
                         .sorted(Comparator.comparing(EntryInfo::id))
                         .toList());
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/EngineApi.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/EngineApi.java
@@ -21,23 +21,24 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The port to model engines. A new kind of engine needs one adapter.
+ * Interface to model engines. Each kind of engine has its own adapter.
  *
  * @since 0.1
  */
 public interface EngineApi {
     /**
-     * One attempt as an engine is told of it.
+     * One attempt as it is sent to an engine.
      *
      * @param requestId the request's name
      * @param attempt the attempt's number
-     * @param organisation the organisation, which separates prefix caches
+     * @param organisation the organisation; prefix caches are separate for each
      * @param model the model
      * @param prompt the prompt
-     * @param maxTokens most tokens of the whole answer
-     * @param resume the tokens of the answer that are already known
-     * @param kvHandle where the KV cache can be imported from; empty for nowhere
-     * @param priority higher goes first
+     * @param maxTokens maximum number of tokens in the complete answer
+     * @param resume the tokens of the answer that are already known, after which the engine
+     *     continues
+     * @param kvHandle handle to import the KV cache from; empty if the engine must recompute it
+     * @param priority requests with a higher value come first
      */
     record Attempt(
             String requestId,
@@ -50,48 +51,48 @@
             String kvHandle,
             int priority) {}
 
-    /** Is told of an attempt's answer. */
+    /** Receives the answer of an attempt. */
     interface Listener {
         /**
-         * A token came.
+         * Called for each token.
          *
-         * @param requestId the request the engine says it belongs to
-         * @param attempt the attempt the engine says it belongs to
-         * @param position its position in the whole answer
+         * @param requestId the request that the engine reports
+         * @param attempt the attempt that the engine reports
+         * @param position position of the token in the complete answer, from 0
          * @param text the token
          */
         void token(String requestId, int attempt, int position, String text);
 
         /**
-         * The engine says that the answer is whole.
+         * Called when the engine reports the end of the answer.
          *
-         * @param requestId the request the engine says it belongs to
-         * @param attempt the attempt the engine says it belongs to
-         * @param tokens how many tokens it has
+         * @param requestId the request that the engine reports
+         * @param attempt the attempt that the engine reports
+         * @param tokens number of tokens in the complete answer
          */
         void ended(String requestId, int attempt, int tokens);
 
         /**
-         * The attempt failed.
+         * Called when the attempt has failed.
          *
-         * @param sent true if the engine may have seen it
-         * @param garbage true if the answer was not well-formed
+         * @param sent true if the engine may have received the attempt
+         * @param malformed true if the answer was malformed
          */
-        void failed(boolean sent, boolean garbage);
+        void failed(boolean sent, boolean malformed);
     }
 
     /** A running attempt. */
     interface RunningAttempt {
-        /** Tells the engine to stop. */
+        /** Cancels the attempt at the engine. */
         void cancel();
     }
 
     /**
-     * Begins an attempt.
+     * Starts an attempt.
      *
      * @param engine the engine
      * @param attempt the attempt
-     * @param listener told of the answer
+     * @param listener receives the answer
      * @return the running attempt
      */
     RunningAttempt generate(LocalUpstream engine, Attempt attempt, Listener listener);
@@ -102,17 +103,17 @@
      * @param engine the engine that runs it
      * @param requestId the request's name
      * @param attempt the attempt's number
-     * @param timeoutMillis how long to wait, in milliseconds
-     * @return where it can be imported from
+     * @param timeoutMillis maximum time to wait, in milliseconds
+     * @return the handle from which another engine can import it
      */
     CompletableFuture<String> export(
             LocalUpstream engine, String requestId, int attempt, long timeoutMillis);
 
     /**
-     * Asks an engine for its load.
+     * Requests the load of an engine.
      *
      * @param engine the engine
-     * @return its report
+     * @return the engine's report
      */
     CompletableFuture<LoadReport> load(LocalUpstream engine);
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
@@ -44,8 +44,8 @@
 import org.tinylog.Logger;
 
 /**
- * Runs one accepted model request: carries out what its {@link GenerationMachine} decides, and
- * brings the answer to whoever asks for it.
+ * Runs one accepted model request: carries out the actions of its {@link GenerationMachine} and
+ * sends the answer to the attached receivers.
  *
  * @since 0.1
  */
@@ -80,10 +80,11 @@
     /**
      * Creates the runner of an accepted request.
      *
-     * @param context what serving code shares
-     * @param request the request, with the tokens it has so far
+     * @param context the dependencies shared by the serving code
+     * @param request the request, with the tokens of its answer so far
      * @param row the row that allows it
-     * @param onEnd called once the request has had its final answer
+     * @param onEnd called when the request has ended with a complete answer, a failure or a
+     *     cancellation for lack of receivers
      */
     public GenerationRunner(
             ServingContext context,
@@ -114,14 +115,17 @@
                         startedMillis);
     }
 
-    /** Begins. */
+    /** Starts the request, unless it was moved to another entry before. */
     public synchronized void start() {
         if (!movedAway) {
             perform(machine.start());
         }
     }
 
-    /** Begins where another entry left off; an answer that is whole needs nothing more. */
+    /**
+     * Resumes a request that another entry had accepted. If its answer is already complete, only
+     * {@code onEnd} is called.
+     */
     public synchronized void resume() {
         if (log.isComplete()) {
             onEnd.accept(this);
@@ -131,9 +135,10 @@
     }
 
     /**
-     * Tells whether the request may run again where it may have run before.
+     * Returns whether the request may be sent to an upstream again after an upstream may have run
+     * it.
      *
-     * @return false if it runs at most once
+     * @return false if it must run at most once
      */
     public boolean isRepeatable() {
         return row.repeatable();
@@ -149,9 +154,9 @@
     }
 
     /**
-     * Returns the request with its tokens so far.
+     * Returns the request with the tokens of its answer so far.
      *
-     * @return what another entry needs to go on with it
+     * @return what another entry needs to resume it
      */
     public synchronized RequestRecord record() {
         return request.with(log.from(0), log.isComplete());
@@ -168,7 +173,7 @@
     }
 
     /**
-     * Tells whether the answer is whole.
+     * Returns whether the answer is complete.
      *
      * @return true if so
      */
@@ -177,7 +182,7 @@
     }
 
     /**
-     * Tells whether the request has had its final answer.
+     * Returns whether the work on the request has ended here, also by {@link #suspend}.
      *
      * @return true if so
      */
@@ -186,16 +191,17 @@
     }
 
     /**
-     * Tells whether the request was given up because nobody wanted its answer.
+     * Returns whether the request was cancelled because no receiver was left.
      *
-     * @return true if it has neither its whole answer nor a failure, and nothing makes more of it
+     * @return true if it has ended without a complete answer or a failure, and was not moved to
+     *     another entry
      */
     public synchronized boolean isAbandoned() {
         return machine.isEnded() && !log.isComplete() && failure == null && !movedAway;
     }
 
     /**
-     * Tells whether another entry goes on with the request.
+     * Returns whether the request was moved to another entry.
      *
      * @return true after {@link #suspend}
      */
@@ -204,10 +210,10 @@
     }
 
     /**
-     * Brings the answer to a receiver.
+     * Attaches a receiver and sends the answer to it.
      *
      * @param sink the receiver
-     * @param from the first token it wants
+     * @param from position of the first token to send
      */
     public synchronized void attach(CallerSink sink, int from) {
         AnswerFeed feed = new AnswerFeed(request, sink, context.self().dataCentre(), from);
@@ -223,20 +229,20 @@
     }
 
     /**
-     * Tells whether the request is running, or about to run, at an upstream.
+     * Returns whether the request runs at an upstream, or is about to continue there.
      *
      * @param upstream the upstream's name
-     * @return true if its leaving concerns this request
+     * @return true if the upstream's leaving affects this request
      */
     public synchronized boolean runsAt(String upstream) {
         return machine.upstream().equals(upstream) || machine.isMoveTarget(upstream);
     }
 
     /**
-     * Is told that an upstream is leaving.
+     * Handles the notice that an upstream is leaving.
      *
      * @param upstream the upstream's name
-     * @param noticeMillis how long it will still run, in milliseconds
+     * @param noticeMillis time until the upstream ends, in milliseconds
      */
     public synchronized void upstreamLeaving(String upstream, long noticeMillis) {
         List<GenerationAction> actions =
@@ -247,7 +253,7 @@
         perform(actions);
     }
 
-    /** Ends the request if the table no longer allows it here. */
+    /** Ends the request with a failure if the table no longer allows it in this data centre. */
     public synchronized void recheckRow() {
         RowKey key = new RowKey(request.organisation(), request.model());
         Optional<Row> present = context.policies().table().row(key);
@@ -258,18 +264,19 @@
     }
 
     /**
-     * Returns the last event that any receiver of this entry was sent.
+     * Returns the last event that was sent to any receiver of this entry.
      *
-     * @return its position; below 0 if none was sent any
+     * @return its position; negative if no event was sent
      */
     public synchronized int lastEvent() {
         return lastEvent;
     }
 
     /**
-     * Stops working on the request. Receivers are told nothing before {@link #redirectReceivers}.
+     * Stops the work on the request here, so that another entry can resume it. Receivers are not
+     * notified before {@link #redirectReceivers}.
      *
-     * @return the request with its tokens so far, all that any receiver was sent among them
+     * @return the request with its tokens so far, including all that were sent to any receiver
      */
     public synchronized RequestRecord suspend() {
         movedAway = true;
@@ -279,13 +286,16 @@
         return record();
     }
 
-    /** Sends every receiver to the entries that have the request now. */
+    /**
+     * Ends the answers of all receivers here. They can request the rest from any entry, which finds
+     * the entry that has the request now.
+     */
     public synchronized void redirectReceivers() {
         receiversRedirected = true;
         feeds.forEach(feed -> feed.redirect(request.requestId()));
     }
 
-    /** Gives the receivers a final answer because this entry is about to end. */
+    /** Ends the request with a failure, because this entry is stopping. */
     public synchronized void endUnfinished() {
         perform(machine.abort(Failure.Kind.STOPPING, RETRY_AFTER_MILLIS));
     }
@@ -313,7 +323,7 @@
     @Override
     public synchronized void placed(LocalUpstream upstream) {
         if (reservedUpstream != null && machine.isMoveTarget(reservedUpstream.id())) {
-            // placed twice: once from the queue and once at once; the first one counts
+            // Placed twice, from the queue and immediately: the first upstream is kept.
             context.placements().release(upstream.id());
             return;
         }
@@ -359,8 +369,8 @@
 
     private void dispatch(Dispatch dispatch) {
         if (dispatch.attempt() == 1) {
-            long waited = MonotonicClock.millis() - startedMillis;
-            context.metrics().queued(request.organisation(), KIND, waited);
+            long waitedMillis = MonotonicClock.millis() - startedMillis;
+            context.metrics().queued(request.organisation(), KIND, waitedMillis);
         } else {
             boolean imported = !dispatch.kvHandle().isEmpty();
             int tokens = blocks.tokens() + dispatch.resumeFrom();
@@ -380,16 +390,21 @@
                         dispatch.kvHandle(),
                         row.weight());
         Logger.debug(
-                "request {} attempt {} goes to {}",
+                "request {}: sending attempt {} to upstream {}",
                 request.requestId(),
                 dispatch.attempt(),
                 currentUpstream.id());
-        runningAttempt = context.engines().generate(currentUpstream, attempt, new AttemptListener(dispatch));
+        runningAttempt =
+                context.engines().generate(currentUpstream, attempt, new AttemptListener(dispatch));
     }
 
     private void export(Export export) {
         context.engines()
-                .export(currentUpstream, request.requestId(), export.attempt(), EXPORT_TIMEOUT_MILLIS)
+                .export(
+                        currentUpstream,
+                        request.requestId(),
+                        export.attempt(),
+                        EXPORT_TIMEOUT_MILLIS)
                 .handle((handle, failed) -> failed == null ? handle : "")
                 .thenAccept(handle -> exported(export.attempt(), handle));
     }
@@ -425,14 +440,14 @@
     private synchronized void receiverDisconnected(AnswerFeed feed) {
         feeds.remove(feed);
         if (feeds.isEmpty() && !machine.isEnded()) {
-            long grace = context.settings().limits().reattachMillis();
-            context.timer().schedule(this::cancelIfNoReceiver, grace, TimeUnit.MILLISECONDS);
+            long graceMillis = context.settings().limits().reattachMillis();
+            context.timer().schedule(this::cancelIfNoReceiver, graceMillis, TimeUnit.MILLISECONDS);
         }
     }
 
     private synchronized void cancelIfNoReceiver() {
-        boolean alone = feeds.stream().allMatch(AnswerFeed::isEnded);
-        if (alone && !machine.isEnded()) {
+        boolean noReceiver = feeds.stream().allMatch(AnswerFeed::isEnded);
+        if (noReceiver && !machine.isEnded()) {
             perform(machine.cancelled());
             end("caller-gone");
         }
@@ -451,15 +466,15 @@
         releaseCurrent();
         releaseUnused();
         feeds.forEach(this::pump);
-        long took = MonotonicClock.millis() - startedMillis;
-        context.metrics().ended(request.organisation(), KIND, outcome, took);
+        long durationMillis = MonotonicClock.millis() - startedMillis;
+        context.metrics().ended(request.organisation(), KIND, outcome, durationMillis);
         onEnd.accept(this);
     }
 
     private void wakeAt(long atMillis) {
         wakeAtMillis = atMillis;
-        long delay = Math.max(1, atMillis - MonotonicClock.millis());
-        context.timer().schedule(() -> wake(atMillis), delay, TimeUnit.MILLISECONDS);
+        long delayMillis = Math.max(1, atMillis - MonotonicClock.millis());
+        context.timer().schedule(() -> wake(atMillis), delayMillis, TimeUnit.MILLISECONDS);
     }
 
     private synchronized void wake(long atMillis) {
@@ -482,7 +497,8 @@
     }
 
     private void releaseUnused() {
-        boolean wanted = machine.isMoveTarget(reservedUpstream == null ? "" : reservedUpstream.id());
+        boolean wanted =
+                machine.isMoveTarget(reservedUpstream == null ? "" : reservedUpstream.id());
         if (reservedUpstream != null && !wanted) {
             context.placements().release(reservedUpstream.id());
             reservedUpstream = null;
@@ -500,7 +516,7 @@
         return new RoutingQuery(request.model(), blocks, request.maxTokens(), excluded);
     }
 
-    /** Passes one attempt's answer to the machine. */
+    /** Passes the answer of one attempt to the state machine. */
     private final class AttemptListener implements EngineApi.Listener {
         private final Dispatch dispatch;
         private final LocalUpstream upstream = currentUpstream;
@@ -532,7 +548,7 @@
         }
 
         @Override
-        public void failed(boolean sent, boolean garbage) {
+        public void failed(boolean sent, boolean malformed) {
             synchronized (GenerationRunner.this) {
                 List<GenerationAction> actions =
                         machine.attemptFailed(dispatch.attempt(), sent, MonotonicClock.millis());
@@ -545,11 +561,12 @@
         }
 
         private boolean matchesAttempt(String requestId, int attempt) {
-            boolean ours = requestId.equals(request.requestId()) && attempt == dispatch.attempt();
-            if (!ours) {
+            boolean matches =
+                    requestId.equals(request.requestId()) && attempt == dispatch.attempt();
+            if (!matches) {
                 context.metrics().count(Event.CROSSED_FRAME);
             }
-            return ours;
+            return matches;
         }
 
         private void countLateFrames() {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/HandOvers.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/HandOvers.java
@@ -34,21 +34,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Hands requests over to other entries. An heir has a request once it says so; one that refuses, is
- * lost or is silent is followed by another.
+ * Hands requests over to other entries. A successor has a request once it confirms so; if it
+ * refuses, is lost or does not answer in time, the request is offered to another one.
  *
- * <p>A question for the request follows each hand-over on the same link. Its answer tells whether
- * the heir has taken the request.
+ * <p>Each hand-over is followed by a query for the request on the same link. Its answer shows
+ * whether the successor has taken the request.
  */
 final class HandOvers {
-    /** How long an heir may take to answer before another one is asked, in milliseconds. */
+    /**
+     * Time to wait for a successor's answer before the request is offered to another one, in
+     * milliseconds.
+     */
     static final long ANSWER_TIMEOUT_MILLIS = 100;
 
     private final ServingContext context;
     private final PeerSelector peerSelector;
     private final Map<String, Offer> openOffers = new HashMap<>();
 
-    /** A request that no heir has taken yet. */
+    /** A request that no successor has taken yet. */
     private static final class Offer {
         final RequestRecord request;
         final String copyHolder;
@@ -58,9 +61,9 @@
         final Set<String> notResponding = new HashSet<>();
         String successor = "";
 
-        Offer(RequestRecord request, String copyAt, int lastEvent, Runnable onSettled) {
+        Offer(RequestRecord request, String copyHolder, int lastEvent, Runnable onSettled) {
             this.request = request;
-            this.copyHolder = copyAt;
+            this.copyHolder = copyHolder;
             this.lastEvent = lastEvent;
             this.onSettled = onSettled;
         }
@@ -70,28 +73,29 @@
         }
     }
 
-    HandOvers(ServingContext context, PeerSelector heirs) {
+    HandOvers(ServingContext context, PeerSelector peerSelector) {
         this.context = context;
-        this.peerSelector = heirs;
+        this.peerSelector = peerSelector;
     }
 
     /**
-     * Offers a request to one heir after another.
+     * Offers a request to one successor after another until one takes it.
      *
-     * @param request the request, which this entry works on no more
-     * @param copyAt the entry with its copy; empty if there is none
-     * @param lastEvent the last event that a caller was sent; below 0 if none was
-     * @param onSettled called once an heir has it, or all have refused it
+     * @param request the request, which this entry no longer works on
+     * @param copyHolder the entry with its copy; empty if there is none
+     * @param lastEvent last event sent to a caller; negative if none was
+     * @param onSettled called once a successor has it, no successor is left, or {@link #endAll} is
+     *     called
      */
     synchronized void offer(
-            RequestRecord request, String copyAt, int lastEvent, Runnable onSettled) {
-        Offer offer = new Offer(request, copyAt, lastEvent, onSettled);
+            RequestRecord request, String copyHolder, int lastEvent, Runnable onSettled) {
+        Offer offer = new Offer(request, copyHolder, lastEvent, onSettled);
         openOffers.put(request.requestId(), offer);
         offerToNext(offer);
     }
 
     /**
-     * Takes a peer's answer.
+     * Handles a peer's answer to a query for a request.
      *
      * @param peer the peer's name
      * @param answer what it has of a request
@@ -101,19 +105,19 @@
         if (offer == null || !offer.isAwaiting(peer)) {
             return;
         }
-        boolean wasSilent = offer.notResponding.remove(peer);
+        boolean wasNotResponding = offer.notResponding.remove(peer);
         if (answer.standing() == Standing.HOLDER) {
             log(offer, peer, Answer.TAKEN);
             withdrawFromOthers(offer, peer);
             settle(offer);
         } else {
             log(offer, peer, Answer.REFUSED);
-            proceed(offer, !wasSilent);
+            proceed(offer, !wasNotResponding);
         }
     }
 
     /**
-     * Is told that a peer is lost.
+     * Handles the loss of a peer.
      *
      * @param peer the peer's name
      */
@@ -127,7 +131,7 @@
         }
     }
 
-    /** Ends all offers: their time is over. */
+    /** Ends all open offers, because this entry is about to end. */
     synchronized void endAll() {
         for (Offer offer : List.copyOf(openOffers.values())) {
             log(offer, offer.successor, Answer.TIME_OVER);
@@ -135,8 +139,8 @@
         }
     }
 
-    private void proceed(Offer offer, boolean heirFailed) {
-        if (heirFailed) {
+    private void proceed(Offer offer, boolean successorFailed) {
+        if (successorFailed) {
             offerToNext(offer);
         } else if (offer.successor.isEmpty() && offer.notResponding.isEmpty()) {
             log(offer, "", Answer.NO_HEIR);
@@ -148,15 +152,18 @@
         offer.successor = "";
         Optional<String> next = nextSuccessor(offer);
         while (next.isPresent()) {
-            String heir = next.get();
-            offer.tried.add(heir);
-            if (send(offer, heir)) {
-                offer.successor = heir;
+            String successor = next.get();
+            offer.tried.add(successor);
+            if (send(offer, successor)) {
+                offer.successor = successor;
                 context.timer()
-                        .schedule(() -> answerTimedOut(offer, heir), ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                        .schedule(
+                                () -> answerTimedOut(offer, successor),
+                                ANSWER_TIMEOUT_MILLIS,
+                                TimeUnit.MILLISECONDS);
                 return;
             }
-            log(offer, heir, Answer.NOT_SENT);
+            log(offer, successor, Answer.NOT_SENT);
             next = nextSuccessor(offer);
         }
         proceed(offer, false);
@@ -166,31 +173,36 @@
         return peerSelector.choose(offer.request, offer.copyHolder, offer.tried);
     }
 
-    private boolean send(Offer offer, String heir) {
+    private boolean send(Offer offer, String successor) {
         RequestRecord request = offer.request;
-        return context.links().send(heir, new RecordHandOver(request))
+        return context.links().send(successor, new RecordHandOver(request))
                 && context.links()
-                        .send(heir, new RecordFind(request.requestId(), request.organisation()));
+                        .send(
+                                successor,
+                                new RecordFind(request.requestId(), request.organisation()));
     }
 
-    /** Asks another heir in place of one that does not answer; it may still have the request. */
-    private synchronized void answerTimedOut(Offer offer, String heir) {
-        boolean awaited = openOffers.get(offer.request.requestId()) == offer && offer.successor.equals(heir);
+    /** Offers a request to the next successor; the one that did not answer may still take it. */
+    private synchronized void answerTimedOut(Offer offer, String successor) {
+        boolean awaited =
+                openOffers.get(offer.request.requestId()) == offer
+                        && offer.successor.equals(successor);
         if (awaited) {
-            log(offer, heir, Answer.SILENT);
-            offer.notResponding.add(heir);
+            log(offer, successor, Answer.SILENT);
+            offer.notResponding.add(successor);
             offerToNext(offer);
         }
     }
 
     /**
-     * Has heirs that were silent, and the copy's keeper, give the request up: another one has it.
+     * Withdraws the request from successors that did not respond and from the copy holder, because
+     * another entry has it.
      */
-    private void withdrawFromOthers(Offer offer, String taker) {
+    private void withdrawFromOthers(Offer offer, String owner) {
         Set<String> others = new HashSet<>(offer.notResponding);
         others.add(offer.successor);
         others.add(offer.copyHolder);
-        others.remove(taker);
+        others.remove(owner);
         others.remove("");
         String id = offer.request.requestId();
         others.forEach(other -> context.links().send(other, new RecordDrop(id)));
@@ -201,16 +213,16 @@
         offer.onSettled.run();
     }
 
-    private void log(Offer offer, String heir, Answer answer) {
+    private void log(Offer offer, String successor, Answer answer) {
         boolean taken = answer == Answer.TAKEN;
         context.metrics().count(taken ? Event.HANDED_OVER : Event.HAND_OVER_FAILED);
-        Choice choice = heir.equals(offer.copyHolder) ? Choice.HOLDS_COPY : Choice.ALLOWED;
+        Choice choice = successor.equals(offer.copyHolder) ? Choice.HOLDS_COPY : Choice.ALLOWED;
         RequestMoves.log(
                 new HandOver(
                         offer.request.requestId(),
                         context.self().id(),
-                        heir,
-                        heir.isEmpty() ? Choice.NONE : choice,
+                        successor,
+                        successor.isEmpty() ? Choice.NONE : choice,
                         offer.request.tokens().size(),
                         offer.lastEvent,
                         answer));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/HttpEngineApi.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/HttpEngineApi.java
@@ -35,10 +35,11 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Reaches engines over HTTP; answers come as server-sent events.
+ * Calls engines over HTTP; answers are server-sent events.
  *
- * <p>Attempts are numbered from a base of each entry's own on the wire, so that a late cancel of
- * one entry never stops the attempt of another that goes on with the same request.
+ * <p>On the wire, each entry numbers its attempts from a random base of its own, so that a late
+ * cancel from one entry does not stop the attempt of another entry that has resumed the same
+ * request.
  *
  * @since 0.1
  */
@@ -56,12 +57,12 @@
     /**
      * Creates the adapter.
      *
-     * @param client makes the calls
-     * @param idleMillis longest silence of an engine, in milliseconds
+     * @param client the HTTP client
+     * @param idleTimeoutMillis maximum time without data from an engine, in milliseconds
      */
-    public HttpEngineApi(HttpClient client, long idleMillis) {
+    public HttpEngineApi(HttpClient client, long idleTimeoutMillis) {
         this.client = client;
-        this.idleTimeoutMillis = idleMillis;
+        this.idleTimeoutMillis = idleTimeoutMillis;
     }
 
     @Override
@@ -80,8 +81,8 @@
         HttpExchange exchange = client.send(call, new AnswerParser(listener, attemptBase));
         return () -> {
             exchange.cancel();
-            String name = attemptBody(attempt.requestId(), attempt.attempt()).toString();
-            client.call(HttpCall.post(address, "/v1/cancel", name, CONTROL_TIMEOUT_MILLIS));
+            String cancelBody = attemptBody(attempt.requestId(), attempt.attempt()).toString();
+            client.call(HttpCall.post(address, "/v1/cancel", cancelBody, CONTROL_TIMEOUT_MILLIS));
         };
     }
 
@@ -123,12 +124,13 @@
                 return JSON.readTree(reply.body());
             }
         } catch (IOException e) {
-            // reported below like an unexpected status
+            // Reported below in the same way as an unexpected status.
         }
-        throw new PlatformException("an engine call", "status " + reply.status());
+        throw new PlatformException(
+                "an export or load call to an engine", "status " + reply.status());
     }
 
-    /** Turns the bytes of an answer into tokens. */
+    /** Parses the bytes of an answer into tokens. */
     private static final class AnswerParser implements HttpListener {
         private final Listener listener;
         private final int attemptBase;
@@ -186,7 +188,7 @@
                 ended = true;
                 listener.ended(requestId, attempt, node.path("end").asInt());
             } else {
-                throw new IOException("an event that is neither token nor end");
+                throw new IOException("event is neither a token nor the end of the answer");
             }
         }
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/IncomingRequest.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/IncomingRequest.java
@@ -20,14 +20,14 @@
 import java.util.Optional;
 
 /**
- * A caller's request as an entry got it, from the caller or from a peer.
+ * A caller's request as an entry received it, from the caller or from a peer.
  *
  * @param organisation the organisation the caller's key belongs to
  * @param method HTTP method
  * @param path path with query
- * @param headers the headers that matter to the serving side
+ * @param headers the headers that are needed to serve it
  * @param body the body
- * @param relayed true if a peer passed it on; it is then never passed on again
+ * @param relayed true if a peer forwarded it; it is then never forwarded again
  * @since 0.1
  */
 public record IncomingRequest(
@@ -37,19 +37,19 @@
         List<Header> headers,
         byte[] body,
         boolean relayed) {
-    /** Names the request for the caller. */
+    /** Header with the caller's key for the request. */
     public static final String KEY_HEADER = "Idempotency-Key";
 
-    /** Marks a request that must run at most once. */
+    /** Header that marks a request that must run at most once. */
     public static final String RUN_HEADER = "Trailladder-Run";
 
-    /** Names the model, for entries that may not read the body. */
+    /** Header with the name of the model, for entries that must not read the body. */
     public static final String MODEL_HEADER = "Trailladder-Model";
 
-    /** Names the last event a caller has of a stream. */
+    /** Header with the last event of a stream that the caller has received. */
     public static final String LAST_EVENT_HEADER = "Last-Event-ID";
 
-    /** The headers that matter to the serving side. */
+    /** The headers that are needed to serve a request. */
     public static final List<String> KEPT_HEADERS =
             List.of(
                     KEY_HEADER,
@@ -70,7 +70,7 @@
      * Returns a header.
      *
      * @param name its name
-     * @return its value, if it is there and not empty
+     * @return its value; empty if it is absent or has no value
      */
     public Optional<String> header(String name) {
         return headers.stream()
@@ -81,9 +81,9 @@
     }
 
     /**
-     * Returns the first event of a stream that the caller lacks.
+     * Returns the first event of a stream that the caller has not received.
      *
-     * @return the event after {@code Last-Event-ID}; 0 without one
+     * @return the position after {@code Last-Event-ID}; 0 if that is absent or not a number
      */
     public int firstWantedEvent() {
         try {
@@ -96,7 +96,7 @@
     }
 
     /**
-     * Returns the service the path names.
+     * Returns the name of the service in the request's path.
      *
      * @return the service; empty if the path is not below {@code /services/}
      */
@@ -105,7 +105,7 @@
     }
 
     /**
-     * Returns the service a path names.
+     * Returns the name of the service in a path.
      *
      * @param path path with query
      * @return the service; empty if the path is not below {@code /services/}
@@ -116,9 +116,9 @@
         }
         String rest = path.substring(SERVICES.length());
         int end = rest.length();
-        for (char stop : new char[] {'/', '?'}) {
-            int at = rest.indexOf(stop);
-            end = at >= 0 ? Math.min(end, at) : end;
+        for (char delimiter : new char[] {'/', '?'}) {
+            int index = rest.indexOf(delimiter);
+            end = index >= 0 ? Math.min(end, index) : end;
         }
         return Optional.of(rest.substring(0, end)).filter(name -> !name.isEmpty());
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/LocalRequest.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/LocalRequest.java
@@ -15,7 +15,7 @@
  */
 package io.trailladder.entry.serve;
 
-/** A request this entry works on, or has the answer of, and where its copy is. */
+/** A request that this entry works on or has the answer of, and where its copy is. */
 final class LocalRequest {
     final GenerationRunner runner;
 
@@ -23,30 +23,30 @@
     volatile String copyHolder;
 
     /**
-     * The lost or silent entry whose copy this request was taken up from; empty if that entry had
-     * given the request up.
+     * The entry, lost or not responding, whose copy this request was resumed from, until it answers
+     * whether it still works on it; empty if that entry had given the request up.
      */
     volatile String resumedFrom = "";
 
-    /** The entry that handed it over; empty if none did. */
+    /** The entry that handed the request over; empty if none did. */
     volatile String handedOverBy = "";
 
-    /** How many tokens the copy has. */
+    /** Number of tokens that the copy has. */
     int copiedTokens;
 
-    /** True once the copy needs no more news. */
+    /** Whether the copy needs no more updates. */
     volatile boolean copyFinished;
 
-    LocalRequest(GenerationRunner runner, String keeper) {
+    LocalRequest(GenerationRunner runner, String copyHolder) {
         this.runner = runner;
-        this.copyHolder = keeper;
+        this.copyHolder = copyHolder;
     }
 
     String requestId() {
         return runner.request().requestId();
     }
 
-    /** Tells whether the request is worked on here. */
+    /** Returns whether this entry works on the request. */
     boolean isActive() {
         return !runner.isEnded() && !runner.isMovedAway();
     }
