--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/LocalRequests.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/LocalRequests.java
@@ -26,8 +26,8 @@
 import java.util.function.Predicate;
 
 /**
- * The requests that this entry works on, or has the answers of, at most one of each name; none is
- * added once this entry leaves.
+ * The requests that this entry works on or has the answers of, at most one per ID. None is added
+ * after {@link #close}.
  */
 final class LocalRequests {
     private static final long RETENTION_AFTER_END_MILLIS = 15_000;
@@ -38,9 +38,9 @@
     private volatile boolean closed;
 
     /**
-     * What came of adding a request.
+     * Result of adding a request.
      *
-     * @param held the request that is here now
+     * @param request the request that is here now
      * @param added false if it was here before
      */
     record AddResult(LocalRequest request, boolean added) {}
@@ -62,7 +62,7 @@
         return closed;
     }
 
-    /** Takes no request any more; returns those that are worked on. */
+    /** Accepts no more requests; returns those that this entry works on. */
     synchronized List<LocalRequest> close() {
         closed = true;
         return requests.values().stream().filter(LocalRequest::isActive).toList();
@@ -71,46 +71,54 @@
     /**
      * Adds a request.
      *
-     * @param keeper the entry with its copy; empty if there is none
-     * @param stays tells whether a request of this name that is here already stays
-     * @return empty if this entry leaves
+     * @param copyHolder the entry with its copy; empty if there is none
+     * @param keepExisting whether a request with the same ID that is here already is kept and the
+     *     new one not added
+     * @return the request that is here now; empty after {@link #close}
      */
     synchronized Optional<AddResult> add(
-            RequestRecord request, Row row, String keeper, Predicate<LocalRequest> stays) {
-        Optional<LocalRequest> known = find(request.requestId()).filter(stays);
-        if (known.isPresent()) {
-            return known.map(h -> new AddResult(h, false));
+            RequestRecord request,
+            Row row,
+            String copyHolder,
+            Predicate<LocalRequest> keepExisting) {
+        Optional<LocalRequest> existing = find(request.requestId()).filter(keepExisting);
+        if (existing.isPresent()) {
+            return existing.map(local -> new AddResult(local, false));
         }
         if (closed) {
             return Optional.empty();
         }
-        LocalRequest mine = new LocalRequest(new GenerationRunner(context, request, row, this::requestEnded), keeper);
-        mine.copiedTokens = request.tokens().size();
-        mine.copyFinished = request.complete();
-        requests.put(request.requestId(), mine);
-        return Optional.of(new AddResult(mine, true));
+        LocalRequest local =
+                new LocalRequest(
+                        new GenerationRunner(context, request, row, this::requestEnded),
+                        copyHolder);
+        local.copiedTokens = request.tokens().size();
+        local.copyFinished = request.complete();
+        requests.put(request.requestId(), local);
+        return Optional.of(new AddResult(local, true));
     }
 
-    /** Ends the work on a request that another entry works on, and sends its callers there. */
-    RequestRecord release(LocalRequest h) {
-        RequestRecord record = h.runner.suspend();
-        requests.remove(h.requestId(), h);
-        copySender.drop(h.copyHolder, h.requestId());
-        h.runner.redirectReceivers();
+    /** Stops work on a request that another entry works on, and redirects its callers there. */
+    RequestRecord release(LocalRequest local) {
+        RequestRecord record = local.runner.suspend();
+        requests.remove(local.requestId(), local);
+        copySender.drop(local.copyHolder, local.requestId());
+        local.runner.redirectReceivers();
         return record;
     }
 
     private void requestEnded(GenerationRunner runner) {
-        LocalRequest mine = requests.get(runner.request().requestId());
-        if (mine == null || mine.runner != runner) {
+        LocalRequest local = requests.get(runner.request().requestId());
+        if (local == null || local.runner != runner) {
             return;
         }
         if (!runner.isComplete()) {
-            // its callers have a final answer: no other entry may begin it again
-            mine.copyFinished = true;
-            copySender.drop(mine.copyHolder, mine.requestId());
+            // its callers have received a final answer, so no other entry may start it again
+            local.copyFinished = true;
+            copySender.drop(local.copyHolder, local.requestId());
         }
-        context.timer().schedule(() -> remove(mine), RETENTION_AFTER_END_MILLIS, TimeUnit.MILLISECONDS);
+        context.timer()
+                .schedule(() -> remove(local), RETENTION_AFTER_END_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void remove(LocalRequest ended) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerRelay.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerRelay.java
@@ -33,10 +33,10 @@
 import java.util.function.Function;
 
 /**
- * Passes requests on to peers and their answers back, without reading either.
+ * Relays requests to peers and their answers back, without reading either.
  *
- * <p>An answer of a model request whose peer is lost is asked for again at another entry, from the
- * part after the last one that came.
+ * <p>If the peer that answers a model request is lost, the rest of the answer is requested from
+ * another entry, starting after the last part received.
  *
  * @since 0.1
  */
@@ -53,10 +53,10 @@
      * An answer whose peer was lost.
      *
      * @param request the request
-     * @param requestId its name at the lost peer; empty if no part of the answer came
+     * @param requestId its ID at the lost peer; empty if it is unknown because no answer has begun
      * @param sink where its answer goes
-     * @param nextEvent the first event of a stream that did not come
-     * @param begun true if the sink already has a part of the answer
+     * @param nextEvent the first event of a stream that was not received
+     * @param answerStarted whether the sink already has a part of the answer
      */
     public record LostAnswer(
             IncomingRequest request,
@@ -65,7 +65,7 @@
             int nextEvent,
             boolean answerStarted) {}
 
-    /** A request at a peer. */
+    /** A request relayed to a peer. */
     private static final class Exchange {
         final String peer;
         final IncomingRequest request;
@@ -74,50 +74,50 @@
         boolean answerStarted;
         int parts;
 
-        Exchange(String peer, IncomingRequest request, CallerSink sink, boolean begun) {
+        Exchange(String peer, IncomingRequest request, CallerSink sink, boolean answerStarted) {
             this.peer = peer;
             this.request = request;
             this.sink = sink;
-            this.answerStarted = begun;
+            this.answerStarted = answerStarted;
         }
     }
 
     /**
      * Creates the relay.
      *
-     * @param links reaches peers
+     * @param links the links to the peers
      */
     public PeerRelay(Peers links) {
         this.links = links;
     }
 
     /**
-     * Sets who is asked to go on with answers whose peer was lost.
+     * Sets the handler that continues answers whose peer was lost.
      *
-     * @param handler returns false if it cannot
+     * @param handler returns false if it cannot continue an answer
      */
     public void onLost(Function<LostAnswer, Boolean> handler) {
         onLost = handler;
     }
 
     /**
-     * Passes a request on.
+     * Relays a request to a peer.
      *
      * @param peer the peer's name
-     * @param requestId the request's name
+     * @param requestId the request's ID; empty if unknown
      * @param request the request
      * @param sink where its answer goes
-     * @param begun true if the sink already has a part of the answer
-     * @return false if no link to the peer is up; the peer has then not seen the request
+     * @param answerStarted whether the sink already has a part of the answer
+     * @return false if no link to the peer is up, in which case the request was not sent
      */
     public boolean forward(
             String peer,
             String requestId,
             IncomingRequest request,
             CallerSink sink,
-            boolean begun) {
+            boolean answerStarted) {
         long number = lastExchange.incrementAndGet();
-        Exchange exchange = new Exchange(peer, request, sink, begun);
+        Exchange exchange = new Exchange(peer, request, sink, answerStarted);
         exchange.requestId = requestId;
         openExchanges.put(number, exchange);
         Forward forward =
@@ -143,9 +143,9 @@
     }
 
     /**
-     * Takes the beginning of an answer.
+     * Handles the head of an answer.
      *
-     * @param head the beginning
+     * @param head the head
      */
     public void head(AnswerHead head) {
         Exchange exchange = openExchanges.get(head.exchange());
@@ -154,7 +154,7 @@
         }
         synchronized (exchange) {
             if (exchange.answerStarted && head.status() != OK) {
-                // an answer that has begun cannot end with a peer's refusal
+                // a started answer cannot turn into a refusal, so it is continued elsewhere
                 openExchanges.remove(head.exchange());
                 peerLost(exchange);
                 return;
@@ -168,7 +168,7 @@
     }
 
     /**
-     * Takes a part of an answer.
+     * Handles a part of an answer's body.
      *
      * @param body the part
      */
@@ -188,7 +188,7 @@
     }
 
     /**
-     * Takes the end of an answer.
+     * Handles the end of an answer.
      *
      * @param end the end
      */
@@ -208,7 +208,7 @@
     }
 
     /**
-     * Is told that a peer is lost.
+     * Handles the loss of a peer: continues or fails the answers that it was to send.
      *
      * @param peer the peer's name
      */
@@ -229,9 +229,9 @@
     }
 
     /**
-     * Returns how many requests are at peers.
+     * Returns the number of requests relayed to peers and not answered yet.
      *
-     * @return a count
+     * @return number of open exchanges
      */
     public int openCount() {
         return openExchanges.size();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerSelector.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerSelector.java
@@ -26,9 +26,9 @@
 import java.util.function.Predicate;
 
 /**
- * Chooses the entry that keeps a request's copy, or that goes on with it: never one where the row's
- * data may not be handled, one that stops only if all others do, preferably one of this data
- * centre.
+ * Chooses the peer that holds a request's copy or that resumes the request. Only peers in data
+ * centres that the row allows are chosen. Peers that do not stop come first, among these the
+ * preferred one, then those of this data centre.
  */
 final class PeerSelector {
     private final Peers links;
@@ -37,21 +37,22 @@
     private final Predicate<String> stopping;
 
     /**
-     * Creates the choice.
+     * Creates a selector.
      *
-     * @param links knows the live peers
-     * @param policies knows the rows
-     * @param here this entry's data centre
-     * @param stopping tells whether a peer has said that it stops
+     * @param links the links to the peers
+     * @param policies the table of rows
+     * @param localDataCentre this entry's data centre
+     * @param stopping whether a peer has announced that it stops
      */
-    PeerSelector(Peers links, RowPolicies policies, String here, Predicate<String> stopping) {
+    PeerSelector(
+            Peers links, RowPolicies policies, String localDataCentre, Predicate<String> stopping) {
         this.links = links;
         this.policies = policies;
-        this.localDataCentre = here;
+        this.localDataCentre = localDataCentre;
         this.stopping = stopping;
     }
 
-    /** Chooses a peer for a request; empty if none may have it. */
+    /** Chooses a peer for a request; empty if there is none that the row allows. */
     Optional<String> choose(RequestRecord request) {
         return choose(request, "", Set.of());
     }
@@ -59,8 +60,9 @@
     /**
      * Chooses a peer for a request.
      *
-     * @param preferred goes before others of its kind; may be empty
-     * @param except peers that are not chosen
+     * @param preferred the peer that comes before others, unless it stops and they do not; may be
+     *     empty
+     * @param except peers that are never chosen
      */
     Optional<String> choose(RequestRecord request, String preferred, Set<String> except) {
         RowKey key = new RowKey(request.organisation(), request.model());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerServer.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerServer.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Serves requests that peers pass on.
+ * Serves requests that peers relay.
  *
  * @since 0.1
  */
@@ -34,31 +34,32 @@
     private final RequestRegistry registry;
     private final Map<Key, PeerSink> openExchanges = new ConcurrentHashMap<>();
 
-    /** Names an exchange: its peer and the peer's number for it. */
+    /** Identifies an exchange by its peer and the peer's number for it. */
     private record Key(String peer, long exchange) {}
 
     /**
      * Creates the server.
      *
-     * @param links reaches peers
+     * @param links the links to the peers
      * @param dispatcher serves requests
-     * @param book knows the requests worked on
+     * @param registry the requests that this entry works on
      */
-    public PeerServer(Peers links, RequestDispatcher dispatcher, RequestRegistry book) {
+    public PeerServer(Peers links, RequestDispatcher dispatcher, RequestRegistry registry) {
         this.links = links;
         this.dispatcher = dispatcher;
-        this.registry = book;
+        this.registry = registry;
     }
 
     /**
-     * Serves a request.
+     * Serves a relayed request.
      *
-     * @param peer the peer that passed it on
+     * @param peer the peer that relayed it
      * @param forward the request
      */
     public void serve(String peer, Forward forward) {
         Key key = new Key(peer, forward.exchange());
-        PeerSink sink = new PeerSink(links, peer, forward.exchange(), () -> openExchanges.remove(key));
+        PeerSink sink =
+                new PeerSink(links, peer, forward.exchange(), () -> openExchanges.remove(key));
         openExchanges.put(key, sink);
         IncomingRequest request =
                 new IncomingRequest(
@@ -72,10 +73,10 @@
     }
 
     /**
-     * Is told that the caller behind an exchange is gone.
+     * Ends an exchange whose caller has disconnected.
      *
      * @param peer the peer
-     * @param cancel names the exchange
+     * @param cancel identifies the exchange
      */
     public void cancel(String peer, AnswerCancel cancel) {
         PeerSink sink = openExchanges.remove(new Key(peer, cancel.exchange()));
@@ -85,17 +86,17 @@
     }
 
     /**
-     * Tells a peer what this entry has of a request.
+     * Answers a peer's query for a request.
      *
      * @param peer the peer
-     * @param find names the request
+     * @param find the query
      */
     public void answerFind(String peer, RecordFind find) {
         links.send(peer, new RecordFound(find.requestId(), registry.answerFind(peer, find)));
     }
 
     /**
-     * Is told that a peer is lost.
+     * Handles the loss of a peer: ends its exchanges.
      *
      * @param peer the peer's name
      */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerSink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerSink.java
@@ -23,7 +23,7 @@
 import java.util.List;
 
 /**
- * Sends an answer to the peer that passed the request on.
+ * Sends an answer to the peer that relayed the request.
  *
  * @since 0.1
  */
@@ -80,7 +80,7 @@
         onCancel = action;
     }
 
-    /** Is told that the caller, or the peer, is gone. */
+    /** Ends the answer because the caller has disconnected or the peer is lost. */
     void cancel() {
         Runnable action;
         synchronized (this) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/Placements.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/Placements.java
@@ -37,11 +37,11 @@
 import java.util.concurrent.Executor;
 
 /**
- * Gives requests their upstreams, and lets those that find no room wait in the order of their
- * weights.
+ * Assigns upstreams to requests. Requests that no upstream has capacity for wait in the order of
+ * their weights.
  *
- * <p>Guards the router and the directory of upstreams with one lock; calls tickets back outside of
- * it.
+ * <p>One lock guards the router and the directory of upstreams; requests that waited are called
+ * back outside of it.
  *
  * @since 0.1
  */
@@ -57,40 +57,41 @@
     private final Deque<LoggedDecision> decisions = new ArrayDeque<>();
 
     /**
-     * A request that wants an upstream. All but {@link #placed} are called under the lock of the
-     * placements, so they must take no other lock.
+     * A request that needs an upstream. All methods but {@link #placed} are called while the lock
+     * of the placements is held, so they must not acquire another lock.
      */
     public interface PendingRequest {
         /**
-         * Returns what is asked for.
+         * Returns the requirements for the upstream.
          *
          * @return the query
          */
         RoutingQuery query();
 
         /**
-         * Returns whose request it is.
+         * Returns the organisation that the request belongs to.
          *
          * @return the organisation
          */
         String organisation();
 
         /**
-         * Returns its row's weight.
+         * Returns the weight of the request's row.
          *
          * @return the weight
          */
         int weight();
 
         /**
-         * Tells whether it had begun and lost its upstream.
+         * Returns whether the request has tokens already and needs another upstream to continue.
          *
-         * @return true if so; it then goes before requests that have not begun
+         * @return true if so; it is then placed before all requests that have no tokens
          */
         boolean answerStarted();
 
         /**
-         * Is told that its wait is over. Must release the upstream if it wants it no more.
+         * Called when an upstream has been assigned to the request after a wait. The request must
+         * release the upstream if it no longer needs it.
          *
          * @param upstream the upstream
          */
@@ -98,10 +99,10 @@
     }
 
     /**
-     * A decision as operators see it.
+     * A routing decision as shown to operators.
      *
-     * @param atMillis when, in milliseconds since 1970
-     * @param organisation whose request
+     * @param atMillis time of the decision, in milliseconds since 1970
+     * @param organisation organisation of the request
      * @param target model or service
      * @param promptTokens estimated length of the prompt
      * @param decision the decision with its inputs
@@ -113,15 +114,15 @@
             int promptTokens,
             RoutingDecision decision) {}
 
-    /** A ticket whose wait is over. */
+    /** A request that waited and the upstream assigned to it. */
     private record Assignment(PendingRequest request, LocalUpstream upstream) {}
 
     /**
      * Creates placements.
      *
      * @param dataCentre the data centre whose upstreams are used
-     * @param seed seed of random choices
-     * @param callbacks runs the tickets' callbacks
+     * @param seed seed of the router's random choices
+     * @param callbacks runs the callbacks of requests that waited
      */
     public Placements(String dataCentre, long seed, Executor callbacks) {
         this.callbacks = callbacks;
@@ -130,47 +131,51 @@
     }
 
     /**
-     * Asks for an upstream.
+     * Requests an upstream.
      *
-     * @param ticket the request
-     * @return the upstream, or empty if the request must wait for {@link PendingRequest#placed}
+     * @param request the request
+     * @return the upstream; empty if the request is queued until {@link PendingRequest#placed} is
+     *     called
      */
-    public synchronized Optional<LocalUpstream> request(PendingRequest ticket) {
-        if (queued.contains(ticket)) {
+    public synchronized Optional<LocalUpstream> request(PendingRequest request) {
+        if (queued.contains(request)) {
             return Optional.empty();
         }
-        WeightedQueue<PendingRequest> queue = queue(ticket.query().target());
-        Optional<LocalUpstream> upstream = queue.size() == 0 ? choose(ticket) : Optional.empty();
+        WeightedQueue<PendingRequest> queue = queue(request.query().target());
+        Optional<LocalUpstream> upstream = queue.size() == 0 ? choose(request) : Optional.empty();
         if (upstream.isEmpty()) {
-            queued.add(ticket);
-            queue.add(ticket, ticket.organisation(), ticket.weight(), ticket.answerStarted());
+            queued.add(request);
+            queue.add(request, request.organisation(), request.weight(), request.answerStarted());
         }
         return upstream;
     }
 
     /**
-     * Takes a request out of the queue.
+     * Removes a request from the queue.
      *
-     * @param ticket the request
+     * @param request the request
      */
-    public synchronized void withdraw(PendingRequest ticket) {
-        if (queued.remove(ticket)) {
-            queue(ticket.query().target()).remove(ticket);
+    public synchronized void withdraw(PendingRequest request) {
+        if (queued.remove(request)) {
+            queue(request.query().target()).remove(request);
         }
     }
 
-    /** Lets waiting requests go on if there is room for them. */
+    /** Assigns upstreams to waiting requests as far as capacity allows. */
     public void placeWaiting() {
-        List<Assignment> granted = new ArrayList<>();
+        List<Assignment> assignments = new ArrayList<>();
         synchronized (this) {
-            queues.values().forEach(queue -> placeWaiting(queue, granted));
+            queues.values().forEach(queue -> placeWaiting(queue, assignments));
         }
-        // never from the caller's thread, which may hold another request's lock
-        granted.forEach(grant -> callbacks.execute(() -> grant.request().placed(grant.upstream())));
+        // Not on the calling thread, which may hold the lock of another request.
+        assignments.forEach(
+                assignment ->
+                        callbacks.execute(
+                                () -> assignment.request().placed(assignment.upstream())));
     }
 
     /**
-     * Gives an upstream back.
+     * Releases an upstream that was assigned to a request, and places waiting requests.
      *
      * @param upstream its name
      */
@@ -182,10 +187,10 @@
     }
 
     /**
-     * Records how an attempt went.
+     * Records whether an attempt at an upstream succeeded.
      *
      * @param upstream the upstream's name
-     * @param succeeded true if it answered
+     * @param succeeded true if the upstream answered
      */
     public synchronized void attemptEnded(String upstream, boolean succeeded) {
         if (succeeded) {
@@ -196,7 +201,7 @@
     }
 
     /**
-     * Takes over a load report.
+     * Records the load that an upstream reported.
      *
      * @param upstream the upstream's name
      * @param report the report
@@ -206,11 +211,11 @@
     }
 
     /**
-     * Takes over a copy of the instance list.
+     * Applies a copy of the instance list.
      *
-     * @param listed upstreams live or leaving
-     * @param leaving names of those that are leaving
-     * @return upstreams that are newly leaving
+     * @param listed the upstreams that are live or leaving
+     * @param leaving the names of those that are leaving
+     * @return the upstreams that are newly leaving
      */
     public synchronized List<LocalUpstream> applyList(
             Collection<LocalUpstream> listed, Collection<String> leaving) {
@@ -218,10 +223,10 @@
     }
 
     /**
-     * Takes over a notice.
+     * Records a notice that an upstream is leaving.
      *
      * @param upstream the upstream's name
-     * @return true if it is news
+     * @return true if the upstream was not known to be leaving
      */
     public synchronized boolean noticeReceived(String upstream) {
         boolean known = directory.leaving().contains(upstream);
@@ -230,7 +235,7 @@
     }
 
     /**
-     * Returns the upstreams known.
+     * Returns the known upstreams.
      *
      * @return their states
      */
@@ -248,7 +253,7 @@
     }
 
     /**
-     * Tells whether an upstream here serves a target.
+     * Returns whether any upstream of this data centre serves a target.
      *
      * @param target model or service
      * @return true if one does and is not leaving
@@ -258,9 +263,10 @@
     }
 
     /**
-     * Returns the shortest wait for each target of this data centre.
+     * Returns, for each target, the shortest predicted wait at the upstreams of this data centre,
+     * with a prompt of 256 tokens.
      *
-     * @return milliseconds by target
+     * @return the wait in milliseconds by target
      */
     public synchronized Map<String, Integer> minQueueMillis() {
         Map<String, Integer> waits = new HashMap<>();
@@ -276,7 +282,7 @@
     }
 
     /**
-     * Returns the last decisions.
+     * Returns the latest routing decisions.
      *
      * @return oldest first
      */
@@ -284,7 +290,7 @@
         return List.copyOf(decisions);
     }
 
-    private void placeWaiting(WeightedQueue<PendingRequest> queue, List<Assignment> granted) {
+    private void placeWaiting(WeightedQueue<PendingRequest> queue, List<Assignment> assignments) {
         while (queue.size() > 0) {
             Optional<PendingRequest> next = queue.peek();
             Optional<LocalUpstream> upstream = next.flatMap(this::choose);
@@ -293,12 +299,12 @@
             }
             queue.poll();
             queued.remove(next.get());
-            granted.add(new Assignment(next.get(), upstream.get()));
+            assignments.add(new Assignment(next.get(), upstream.get()));
         }
     }
 
-    private Optional<LocalUpstream> choose(PendingRequest ticket) {
-        RoutingQuery query = ticket.query();
+    private Optional<LocalUpstream> choose(PendingRequest request) {
+        RoutingQuery query = request.query();
         long now = MonotonicClock.millis();
         RoutingDecision decision = router.choose(query, now);
         if (decision.chosen().isEmpty()) {
@@ -306,15 +312,15 @@
         }
         String id = decision.chosen().get();
         router.sent(query, id, now);
-        log(ticket, query, decision);
+        log(request, query, decision);
         return directory.state(id).map(UpstreamState::upstream);
     }
 
-    private void log(PendingRequest ticket, RoutingQuery query, RoutingDecision decision) {
+    private void log(PendingRequest request, RoutingQuery query, RoutingDecision decision) {
         decisions.addLast(
                 new LoggedDecision(
                         System.currentTimeMillis(),
-                        ticket.organisation(),
+                        request.organisation(),
                         query.target(),
                         query.promptTokens(),
                         decision));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestDispatcher.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestDispatcher.java
@@ -28,12 +28,12 @@
 import java.util.Optional;
 
 /**
- * Takes a request that may be read in this data centre to where it is served.
+ * Dispatches a request that may be read in this data centre to where it is served.
  *
  * @since 0.1
  */
 public final class RequestDispatcher {
-    /** Path below which requests are found again by their names. */
+    /** Path prefix under which requests are looked up by their IDs. */
     public static final String REQUESTS_PATH = RequestRecovery.REQUESTS_PATH;
 
     private static final String CALLS_PATH = "/internal/calls/";
@@ -52,27 +52,27 @@
     /**
      * Creates the dispatcher.
      *
-     * @param context what serving code shares
-     * @param book the requests worked on
+     * @param context objects shared by the serving code
+     * @param registry the requests that this entry works on
      * @param claims obtains claims for at-most-once requests
-     * @param relay passes requests on
+     * @param relay relays requests to peers
      * @param chooser chooses between data centres
      * @param finder finds requests at peers
      */
     public RequestDispatcher(
             ServingContext context,
-            RequestRegistry book,
+            RequestRegistry registry,
             ClaimService claims,
             PeerRelay relay,
             DataCentreChooser chooser,
             RequestFinder finder) {
         this.context = context;
-        this.registry = book;
+        this.registry = registry;
         this.claims = claims;
         this.relay = relay;
         this.callResults = new CallResults(context.self().dataCentre());
-        this.admission = new Admission(context, book, relay, chooser);
-        this.recovery = new RequestRecovery(context.timer(), book, relay, finder);
+        this.admission = new Admission(context, registry, relay, chooser);
+        this.recovery = new RequestRecovery(context.timer(), registry, relay, finder);
     }
 
     /** Refuses new requests from now on. */
@@ -81,7 +81,7 @@
     }
 
     /**
-     * Tells whether new requests are refused.
+     * Returns whether new requests are refused.
      *
      * @return true after {@link #drain}
      */
@@ -100,7 +100,8 @@
         if (path.startsWith(REQUESTS_PATH)) {
             recovery.find(request, sink);
         } else if (request.relayed() && path.startsWith(CALLS_PATH)) {
-            callResults.sendResult(path.substring(CALLS_PATH.length()), request.organisation(), sink);
+            callResults.sendResult(
+                    path.substring(CALLS_PATH.length()), request.organisation(), sink);
         } else if (draining) {
             Answers.sendFailure(
                     sink, "", Admission.refusal(request, Kind.STOPPING, RETRY_AFTER_MILLIS));
@@ -116,11 +117,11 @@
     }
 
     /**
-     * Passes a request unread to another data centre.
+     * Relays a request to another data centre without reading it.
      *
      * @param request the request
-     * @param target model or service, if known
-     * @param dataCentres where it may be read
+     * @param target the model or service, if known
+     * @param dataCentres the data centres where it may be read
      * @param sink where its answer goes
      */
     public void relay(
@@ -160,7 +161,8 @@
         boolean atMostOnce = atMostOnce(request, row.get());
         Optional<String> key = request.header(IncomingRequest.KEY_HEADER);
         if (!atMostOnce || key.isEmpty()) {
-            String prefix = atMostOnce ? RequestIds.AT_MOST_ONCE_PREFIX : RequestIds.REPEATABLE_PREFIX;
+            String prefix =
+                    atMostOnce ? RequestIds.AT_MOST_ONCE_PREFIX : RequestIds.REPEATABLE_PREFIX;
             String requestId =
                     key.map(k -> RequestIds.fromKey(request.organisation(), k))
                             .orElseGet(() -> RequestIds.random(prefix));
@@ -232,7 +234,7 @@
 
     private void callAtMostOnce(IncomingRequest request, Row row, ClaimKey key, CallerSink sink) {
         String callId = RequestIds.random("s");
-        // known before the claim, because another asker may be sent here as soon as it is granted
+        // begun before the claim: a duplicate may be sent here as soon as the claim is granted
         callResults.begin(callId, request.organisation());
         claims.claim(key, RequestIds.fingerprint(request), callId)
                 .thenAccept(
@@ -273,7 +275,10 @@
         }
     }
 
-    /** Gives the caller the final answer unless the claim was granted or names a first request. */
+    /**
+     * Returns whether a claim was granted. If not, and unless the reply names the first request
+     * with the key, answers the caller.
+     */
     private boolean checkGranted(ClaimReply reply, CallerSink sink, String requestId) {
         return switch (reply.verdict()) {
             case GRANTED -> true;
@@ -297,10 +302,12 @@
         return false;
     }
 
-    /** Gives the caller the first answer to its key, from the entry that has it. */
+    /**
+     * Sends the caller the answer to the first request with its key, from the entry that has it.
+     */
     private void sendFirstAnswer(
             String pathPrefix, IncomingRequest request, ClaimReply reply, CallerSink sink) {
-        IncomingRequest lookUp =
+        IncomingRequest lookup =
                 new IncomingRequest(
                         request.organisation(),
                         "GET",
@@ -309,8 +316,8 @@
                         new byte[0],
                         true);
         if (reply.holder().equals(context.self().id())) {
-            serve(lookUp, sink);
-        } else if (!relay.forward(reply.holder(), "", lookUp, sink, false)) {
+            serve(lookup, sink);
+        } else if (!relay.forward(reply.holder(), "", lookup, sink, false)) {
             CallResults.unknownResult().send(sink, reply.requestId(), context.self().dataCentre());
         }
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestFinder.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestFinder.java
@@ -31,7 +31,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Asks all peers which of them has a request.
+ * Queries all peers for the one that has a request.
  *
  * @since 0.1
  */
@@ -42,13 +42,13 @@
     private final ScheduledExecutorService timer;
     private final Map<String, Search> searches = new ConcurrentHashMap<>();
 
-    /** A search under way. */
+    /** A search in progress. */
     private static final class Search {
         final CompletableFuture<Optional<String>> holder = new CompletableFuture<>();
         final Set<String> unanswered = new HashSet<>();
         String copyHolder = "";
 
-        /** Tells who works on the request, or else who has a copy of it. */
+        /** Returns the peer that works on the request, or else one that has a copy of it. */
         CompletableFuture<Optional<String>> result() {
             return holder.thenApply(peer -> peer.or(this::findCopyHolder));
         }
@@ -57,7 +57,7 @@
             return Optional.of(copyHolder).filter(peer -> !peer.isEmpty());
         }
 
-        /** Takes an answer; returns true if it was the last one. */
+        /** Records an answer; returns whether it was the last one outstanding. */
         synchronized boolean recordAnswer(String peer, Standing standing) {
             if (standing == Standing.COPY) {
                 copyHolder = peer;
@@ -69,8 +69,8 @@
     /**
      * Creates the finder.
      *
-     * @param links reaches peers
-     * @param timer ends searches that peers leave unanswered
+     * @param links the links to the peers
+     * @param timer ends searches that peers do not answer in time
      */
     public RequestFinder(Peers links, ScheduledExecutorService timer) {
         this.links = links;
@@ -78,10 +78,10 @@
     }
 
     /**
-     * Looks for a request.
+     * Searches the peers for a request.
      *
-     * @param requestId its name
-     * @param organisation whose it must be
+     * @param requestId its ID
+     * @param organisation the organisation that it must belong to
      * @return the peer that works on it, or else one that has a copy; empty if no peer has it
      */
     public CompletableFuture<Optional<String>> find(String requestId, String organisation) {
@@ -109,7 +109,7 @@
     }
 
     /**
-     * Takes a peer's answer.
+     * Handles a peer's answer.
      *
      * @param peer the peer's name
      * @param answer its answer
@@ -119,10 +119,10 @@
         if (search == null) {
             return;
         }
-        boolean last = search.recordAnswer(peer, answer.standing());
+        boolean complete = search.recordAnswer(peer, answer.standing());
         if (answer.standing() == Standing.HOLDER) {
             search.holder.complete(Optional.of(peer));
-        } else if (last) {
+        } else if (complete) {
             search.holder.complete(Optional.empty());
         }
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestIds.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestIds.java
@@ -21,47 +21,47 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Makes the names of requests.
+ * Creates the IDs of requests and reads from them how a request may run.
  *
  * @since 0.1
  */
 final class RequestIds {
-    /** Begins the names of requests that may run any number of times. */
+    /** Prefix of the IDs of requests without a key that may run any number of times. */
     static final String REPEATABLE_PREFIX = "r";
 
-    /** Begins the names of requests that run at most once and have no key. */
+    /** Prefix of the IDs of requests without a key that run at most once. */
     static final String AT_MOST_ONCE_PREFIX = "o";
 
-    /** Begins the names of requests that run at most once by their keys. */
+    /** Prefix of the IDs of requests that run at most once per key, which is claimed. */
     static final String CLAIMED_PREFIX = "c";
 
     private static final String KEYED_PREFIX = "k";
 
     private RequestIds() {}
 
-    /** Tells whether a request of this name may run again where another entry began it. */
+    /** Returns whether a request with this ID may run again after another entry has started it. */
     static boolean isRepeatable(String requestId) {
         return !requestId.startsWith(AT_MOST_ONCE_PREFIX) && !requestId.startsWith(CLAIMED_PREFIX);
     }
 
-    /** Makes a name that was never used before. */
+    /** Returns a new ID with 128 random bits. */
     static String random(String prefix) {
         ThreadLocalRandom random = ThreadLocalRandom.current();
         return prefix + hex(random.nextLong()) + hex(random.nextLong());
     }
 
-    /** Makes the name of a request from its caller's key, the same at every entry. */
+    /** Returns the ID made from a caller's key, which is the same at every entry. */
     static String fromKey(String organisation, String key) {
         ClaimKey hash = ClaimKey.of(organisation, key);
         return KEYED_PREFIX + hex(hash.high()) + hex(hash.low());
     }
 
-    /** Tells whether a name was made from its caller's key. */
+    /** Returns whether an ID was made from a caller's key. */
     static boolean isFromKey(String requestId) {
         return requestId.startsWith(KEYED_PREFIX);
     }
 
-    /** Hashes what a request asks for, to tell a key that is used for something else. */
+    /** Hashes method, path and body, to detect a key that is reused for a different request. */
     static long fingerprint(IncomingRequest request) {
         String head = request.method() + ' ' + request.path();
         return Hashing.xxh3_64()
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestMoves.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestMoves.java
@@ -21,8 +21,8 @@
 import java.io.IOException;
 
 /**
- * Log lines that tell how model requests pass from one entry to another, and where callers find
- * them again.
+ * Decision log records of model requests that move from one entry to another, and of look-ups that
+ * find them afterwards.
  *
  * <pre>{@code
  * RequestMoves.log(new RequestMoves.TakeUp(id, peer, Cause.HOLDER_LOST, 57, Result.GOES_ON));
@@ -33,84 +33,84 @@
 final class RequestMoves {
     private RequestMoves() {}
 
-    /** Why an entry was chosen as heir. */
+    /** Why an entry was chosen as successor. */
     enum Choice {
-        /** It keeps the request's copy. */
+        /** It holds the request's copy. */
         HOLDS_COPY,
         /** The request's row allows its data centre. */
         ALLOWED,
-        /** None was found. */
+        /** No entry was found. */
         NONE
     }
 
-    /** How an heir answered. */
+    /** How a successor answered an offer. */
     enum Answer {
-        /** The heir works on the request. */
+        /** The successor works on the request. */
         TAKEN,
-        /** The heir says that it does not work on the request. */
+        /** The successor reported that it does not work on the request. */
         REFUSED,
-        /** The heir did not answer in time; another one is asked. */
+        /** The successor did not answer in time; the request is offered to another one. */
         SILENT,
-        /** No link to the heir is up. */
+        /** No link to the successor is up. */
         NOT_SENT,
-        /** The link to the heir broke before its answer. */
+        /** The link to the successor broke before it answered. */
         LINK_LOST,
-        /** No answer came before this entry ends. */
+        /** No answer came before this entry had to end. */
         TIME_OVER,
-        /** No other entry may have the request. */
+        /** No entry is left that the request may be offered to. */
         NO_HEIR
     }
 
-    /** Why an entry takes a request up. */
+    /** Why an entry resumes a request. */
     enum Cause {
-        /** The entry that worked on it hands it over. */
+        /** The entry that worked on it handed it over. */
         HANDED_OVER,
         /** The entry that worked on it was lost. */
         HOLDER_LOST,
-        /** A caller asks for it and no entry works on it. */
+        /** A caller looks it up and no entry works on it. */
         ASKED_FOR
     }
 
-    /** What became of a request that was to be taken up. */
+    /** Result of the attempt to resume a request. */
     enum Result {
-        /** It goes on here. */
+        /** This entry resumed it. */
         GOES_ON,
-        /** It is worked on here already. */
+        /** This entry works on it already, or has its complete answer. */
         ALREADY_HERE,
         /** This entry has handed its requests over and is about to end. */
         STOPPING,
         /** The table in force here does not allow the request in this data centre. */
         ROW_FORBIDS,
-        /** It must run at most once and may have run. */
+        /** It must run at most once and may have run already. */
         MAY_HAVE_RUN,
-        /** The entry it was taken up from works on it still and has it back. */
+        /** The entry that it was resumed from still works on it; it was returned. */
         GIVEN_BACK,
-        /** The entry that handed it over found another heir. */
+        /** The entry that handed it over found another successor; it was withdrawn here. */
         TAKEN_BACK
     }
 
-    /** Where a caller who asks again was sent. */
+    /** Where a request was found. */
     enum Found {
         /** This entry works on the request. */
         HERE,
-        /** A peer works on it, or has its copy. */
+        /** A peer works on it, or holds its copy. */
         AT_PEER,
-        /** This entry had its copy and took it up. */
+        /** This entry held its copy and resumed it. */
         TAKEN_UP,
         /** No entry that answered has it. */
         NOWHERE
     }
 
     /**
-     * A request was offered to an heir by an entry that stops.
+     * A stopping entry offered a request to a successor.
      *
-     * @param id the request
-     * @param sender the entry that stops
-     * @param heir the heir; empty if there is none
-     * @param choice why this heir
-     * @param tokens how many tokens the request has
-     * @param lastEvent the last event that any caller was sent; below 0 if none was
-     * @param answer how the heir answered
+     * @param id ID of the request
+     * @param sender the stopping entry
+     * @param heir the successor; empty if there is none
+     * @param choice why this successor was chosen
+     * @param tokens number of tokens that the answer has so far
+     * @param lastEvent last event sent to any caller; negative if none was
+     * @param answer how the successor answered
      */
     record HandOver(
             String id,
@@ -134,13 +134,13 @@
     }
 
     /**
-     * A request of another entry was to be gone on with here.
+     * This entry was to resume a request.
      *
-     * @param id the request
-     * @param from the entry that handed it over, or whose copy it is
-     * @param cause why
-     * @param tokens how many tokens it has
-     * @param result what became of it
+     * @param id ID of the request
+     * @param from the entry that handed it over, or that the copy belongs to
+     * @param cause why it was to be resumed
+     * @param tokens number of tokens that the answer has so far
+     * @param result whether it was resumed, and if not, why
      */
     record TakeUp(String id, String from, Cause cause, int tokens, Result result)
             implements Decision {
@@ -155,15 +155,15 @@
     }
 
     /**
-     * A request was looked for by its name.
+     * A request was looked up by its ID.
      *
-     * @param id the name
-     * @param fromEvent the first event that is wanted
-     * @param forPeer true if a peer passed the question on
+     * @param id the ID
+     * @param fromEvent first event that the caller lacks
+     * @param forPeer whether a peer relayed the look-up
      * @param found where it was found
-     * @param peer the peer that it was found at; empty unless found at a peer
-     * @param tries how often peers were asked
-     * @param tookMs time since it was asked for, in milliseconds
+     * @param peer the peer where it was found; empty unless it was found at a peer
+     * @param tries how often this entry and its peers were searched
+     * @param tookMs time since the look-up began, in milliseconds
      */
     record AskedAgain(
             String id,
@@ -187,9 +187,9 @@
     }
 
     /**
-     * Writes a line.
+     * Writes a record to the decision log.
      *
-     * @param move what it tells
+     * @param move the record
      */
     static void log(Decision move) {
         DecisionLog.write(move);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRecovery.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRecovery.java
@@ -26,13 +26,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Finds requests again by their names: for callers that ask, and for answers whose serving entry
- * was lost while this entry passed them on.
+ * Looks requests up by their IDs: for callers, and for answers whose serving entry was lost while
+ * this entry relayed them.
  *
  * @since 0.1
  */
 final class RequestRecovery {
-    /** Path below which requests are found again by their names. */
+    /** Path prefix under which requests are looked up by their IDs. */
     static final String REQUESTS_PATH = "/v1/requests/";
 
     private static final int MAX_RETRIES = 20;
@@ -45,17 +45,17 @@
 
     RequestRecovery(
             ScheduledExecutorService timer,
-            RequestRegistry book,
+            RequestRegistry registry,
             PeerRelay relay,
             RequestFinder finder) {
         this.timer = timer;
-        this.registry = book;
+        this.registry = registry;
         this.relay = relay;
         this.finder = finder;
         relay.onLost(this::resumeAnswer);
     }
 
-    /** A question for a request that is asked of this entry and then of its peers. */
+    /** A look-up of a request, at this entry and then at its peers. */
     private static final class Lookup {
         final IncomingRequest request;
         final List<String> requestIds;
@@ -67,18 +67,18 @@
 
         Lookup(
                 IncomingRequest request,
-                List<String> names,
+                List<String> requestIds,
                 CallerSink sink,
-                boolean begun,
-                int triesLeft) {
+                boolean answerStarted,
+                int retriesLeft) {
             this.request = request;
-            this.requestIds = names;
+            this.requestIds = requestIds;
             this.sink = sink;
-            this.answerStarted = begun;
-            this.retriesLeft = triesLeft;
+            this.answerStarted = answerStarted;
+            this.retriesLeft = retriesLeft;
         }
 
-        /** Writes a line that tells where the request was found. */
+        /** Writes to the decision log where the request was found. */
         void log(Found found, String peer) {
             RequestMoves.log(
                     new AskedAgain(
@@ -91,7 +91,10 @@
                             MonotonicClock.millis() - startedMillis));
         }
 
-        /** Brings the caller the rest from a runner of this entry, if there is one. */
+        /**
+         * Sends the caller the rest of the answer from a runner of this entry; returns whether
+         * there is one.
+         */
         boolean attach(Optional<GenerationRunner> runner, Found found) {
             CallerSink rest = answerStarted ? new ResumedAnswerSink(sink) : sink;
             runner.ifPresent(
@@ -102,7 +105,7 @@
             return runner.isPresent();
         }
 
-        /** Tells the caller that the request was not found. */
+        /** Tells the caller that the request was not found; aborts an answer that has started. */
         void answerNotFound() {
             log(Found.NOWHERE, "");
             if (answerStarted) {
@@ -113,79 +116,82 @@
         }
     }
 
-    /** Brings a caller the rest of a request's answer, wherever the request is. */
+    /** Sends a caller the rest of a request's answer, wherever the request is. */
     void find(IncomingRequest request, CallerSink sink) {
-        String name = request.path().substring(REQUESTS_PATH.length());
+        String id = request.path().substring(REQUESTS_PATH.length());
         String organisation = request.organisation();
-        List<String> names = List.of(name, RequestIds.fromKey(organisation, name));
-        Lookup question = new Lookup(request, names, sink, false, 1);
+        List<String> requestIds = List.of(id, RequestIds.fromKey(organisation, id));
+        Lookup lookup = new Lookup(request, requestIds, sink, false, 1);
         if (!request.relayed()) {
-            search(question);
-        } else if (!question.attach(findLocal(question), Found.HERE)
-                && !question.attach(registry.resumeFromCopy(name, organisation), Found.TAKEN_UP)) {
-            question.answerNotFound();
+            search(lookup);
+        } else if (!lookup.attach(findLocal(lookup), Found.HERE)
+                && !lookup.attach(registry.resumeFromCopy(id, organisation), Found.TAKEN_UP)) {
+            lookup.answerNotFound();
         }
     }
 
-    private Optional<GenerationRunner> findLocal(Lookup question) {
-        String organisation = question.request.organisation();
-        return question.requestIds.stream()
-                .flatMap(name -> registry.find(name, organisation).stream())
+    private Optional<GenerationRunner> findLocal(Lookup lookup) {
+        String organisation = lookup.request.organisation();
+        return lookup.requestIds.stream()
+                .flatMap(id -> registry.find(id, organisation).stream())
                 .findFirst();
     }
 
-    /** Looks for a request in this entry, then at its peers, under each of its names. */
-    private void search(Lookup question) {
-        question.tries++;
-        if (!question.attach(findLocal(question), Found.HERE)) {
-            queryPeers(question, 0);
+    /** Searches this entry for a request, then its peers, under each of its IDs. */
+    private void search(Lookup lookup) {
+        lookup.tries++;
+        if (!lookup.attach(findLocal(lookup), Found.HERE)) {
+            queryPeers(lookup, 0);
         }
     }
 
-    private void queryPeers(Lookup question, int nameIndex) {
-        String name = question.requestIds.get(nameIndex);
-        String organisation = question.request.organisation();
-        finder.find(name, organisation)
+    private void queryPeers(Lookup lookup, int index) {
+        String requestId = lookup.requestIds.get(index);
+        String organisation = lookup.request.organisation();
+        finder.find(requestId, organisation)
                 .thenAccept(
                         holder -> {
-                            if (holder.isPresent() && attachAt(holder.get(), name, question)) {
+                            if (holder.isPresent() && attachAt(holder.get(), requestId, lookup)) {
                                 return;
                             }
-                            if (question.attach(registry.resumeFromCopy(name, organisation), Found.TAKEN_UP)) {
+                            if (lookup.attach(
+                                    registry.resumeFromCopy(requestId, organisation),
+                                    Found.TAKEN_UP)) {
                                 return;
                             }
-                            if (nameIndex + 1 < question.requestIds.size()) {
-                                queryPeers(question, nameIndex + 1);
-                            } else if (question.retriesLeft-- > 0) {
-                                // it may be passing from a lost entry to its copy's keeper
+                            if (index + 1 < lookup.requestIds.size()) {
+                                queryPeers(lookup, index + 1);
+                            } else if (lookup.retriesLeft-- > 0) {
+                                // after the loss of its entry, it may not have been resumed yet
                                 timer.schedule(
-                                        () -> search(question),
+                                        () -> search(lookup),
                                         RETRY_DELAY_MILLIS,
                                         TimeUnit.MILLISECONDS);
                             } else {
-                                question.answerNotFound();
+                                lookup.answerNotFound();
                             }
                         });
     }
 
-    private boolean attachAt(String peer, String name, Lookup question) {
-        IncomingRequest request = question.request;
-        IncomingRequest lookUp =
+    private boolean attachAt(String peer, String requestId, Lookup lookup) {
+        IncomingRequest request = lookup.request;
+        IncomingRequest lookupRequest =
                 new IncomingRequest(
                         request.organisation(),
                         "GET",
-                        REQUESTS_PATH + name,
+                        REQUESTS_PATH + requestId,
                         request.headers(),
                         new byte[0],
                         true);
-        boolean sent = relay.forward(peer, name, lookUp, question.sink, question.answerStarted);
+        boolean sent =
+                relay.forward(peer, requestId, lookupRequest, lookup.sink, lookup.answerStarted);
         if (sent) {
-            question.log(Found.AT_PEER, peer);
+            lookup.log(Found.AT_PEER, peer);
         }
         return sent;
     }
 
-    /** Goes on with an answer whose peer was lost, at another entry that has the request. */
+    /** Continues an answer whose peer was lost, from another entry that has the request. */
     private boolean resumeAnswer(PeerRelay.LostAnswer lost) {
         if (lost.requestId().isEmpty()) {
             return false;
@@ -195,7 +201,7 @@
             String last = Integer.toString(lost.nextEvent() - 1);
             headers.add(new Header(IncomingRequest.LAST_EVENT_HEADER, last));
         }
-        IncomingRequest again =
+        IncomingRequest lookupRequest =
                 new IncomingRequest(
                         lost.request().organisation(),
                         "GET",
@@ -203,7 +209,13 @@
                         headers,
                         new byte[0],
                         false);
-        search(new Lookup(again, List.of(lost.requestId()), lost.sink(), lost.answerStarted(), MAX_RETRIES));
+        search(
+                new Lookup(
+                        lookupRequest,
+                        List.of(lost.requestId()),
+                        lost.sink(),
+                        lost.answerStarted(),
+                        MAX_RETRIES));
         return true;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRegistry.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRegistry.java
@@ -42,17 +42,19 @@
 import java.util.function.Predicate;
 
 /**
- * Knows the model requests this entry works on, and keeps copies of those that other entries work
+ * Holds the model requests that this entry works on, and copies of those that other entries work
  * on.
  *
- * <p>Before a request counts as accepted, another entry has a copy of it, in a data centre that the
- * row allows. The copy follows the answer every {@link #COPY_INTERVAL_MILLIS}. If the entry that works on
- * the request is lost or stops, the copy's keeper goes on from the tokens it has.
+ * <p>Before a repeatable request starts, another entry in a data centre that the row allows stores
+ * a copy of it. A request that no entry confirms in time starts without a copy and is counted. The
+ * copy receives the new tokens of the answer every {@link #COPY_INTERVAL_MILLIS}. If the entry that
+ * works on the request is lost, the copy holder resumes it from the tokens it has; an entry that
+ * stops hands its requests over.
  *
  * @since 0.1
  */
 public final class RequestRegistry {
-    /** How often tokens are copied, in milliseconds. */
+    /** Interval at which new tokens are sent to the copies, in milliseconds. */
     public static final long COPY_INTERVAL_MILLIS = 100;
 
     private static final long COPY_TIMEOUT_MILLIS = 150;
@@ -70,10 +72,10 @@
     private final RequestResumer resumer;
 
     /**
-     * Creates an empty book.
+     * Creates an empty registry.
      *
-     * @param context what serving code shares
-     * @param stopping tells whether a peer has said that it stops
+     * @param context objects shared by the serving code
+     * @param stopping whether a peer has announced that it stops
      */
     public RequestRegistry(ServingContext context, Predicate<String> stopping) {
         this.context = context;
@@ -83,40 +85,50 @@
         this.handOvers = new HandOvers(context, peerSelector);
         this.copySender = new CopySender(context, peerSelector);
         this.localRequests = new LocalRequests(context, copySender);
-        this.resumer = new RequestResumer(context, localRequests, copies, copySender, peerSelector, handOvers);
+        this.resumer =
+                new RequestResumer(
+                        context, localRequests, copies, copySender, peerSelector, handOvers);
         PeriodicTasks.repeat(
-                context.timer(), "copies", () -> copySender.sendUpdates(localRequests.all()), COPY_INTERVAL_MILLIS);
-        context.policies().onChange(table -> localRequests.all().forEach(h -> h.runner.recheckRow()));
+                context.timer(),
+                "copies",
+                () -> copySender.sendUpdates(localRequests.all()),
+                COPY_INTERVAL_MILLIS);
+        context.policies()
+                .onChange(table -> localRequests.all().forEach(local -> local.runner.recheckRow()));
     }
 
     /**
-     * Accepts a request: has it copied, then begins it. If the book already has the name, the
-     * request it has is attached to instead, unless its content differs.
+     * Accepts a request: sends a copy to another entry, then starts the request. If a request with
+     * the same ID is here already, the caller is attached to that one, or refused if the content
+     * differs.
      *
      * @param request the request
      * @param row the row that allows it
      * @param sink where the answer goes
      */
     public void accept(RequestRecord request, Row row, CallerSink sink) {
-        Optional<LocalRequest> known = localRequests.find(request.requestId());
-        if (known.isPresent()) {
-            attachToExisting(known.get(), request, sink);
+        Optional<LocalRequest> existing = localRequests.find(request.requestId());
+        if (existing.isPresent()) {
+            attachToExisting(existing.get(), request, sink);
             return;
         }
         if (!row.repeatable()) {
-            // nobody may go on with it, so nobody needs a copy
+            // no other entry may resume it, so it needs no copy
             begin(request, row, "", sink);
             return;
         }
-        String keeper = peerSelector.choose(request).orElse("");
+        String copyHolder = peerSelector.choose(request).orElse("");
         CompletableFuture<Void> copied =
                 pendingCopies.computeIfAbsent(request.requestId(), id -> new CompletableFuture<>());
-        if (keeper.isEmpty() || !context.links().send(keeper, new RecordPut(request))) {
-            copied.completeExceptionally(new IllegalStateException("no keeper"));
+        if (copyHolder.isEmpty() || !context.links().send(copyHolder, new RecordPut(request))) {
+            copied.completeExceptionally(
+                    new IllegalStateException("no peer available to hold a copy"));
         }
         context.timer()
                 .schedule(
-                        () -> copied.completeExceptionally(new TimeoutException("no copy in time")),
+                        () ->
+                                copied.completeExceptionally(
+                                        new TimeoutException("no peer confirmed the copy in time")),
                         COPY_TIMEOUT_MILLIS,
                         TimeUnit.MILLISECONDS);
         copied.whenComplete(
@@ -125,20 +137,20 @@
                     if (failure != null) {
                         context.metrics().count(Event.UNCOPIED);
                     }
-                    begin(request, row, keeper, sink);
+                    begin(request, row, copyHolder, sink);
                 });
     }
 
     /**
-     * Finds a request this entry works on.
+     * Finds a request that this entry works on, and resumes it if all its callers had left.
      *
-     * @param requestId its name
-     * @param organisation whose it must be
-     * @return its runner
+     * @param requestId its ID
+     * @param organisation the organisation that it must belong to
+     * @return its runner; empty if this entry does not work on it
      */
     public Optional<GenerationRunner> find(String requestId, String organisation) {
         return findLocal(requestId, organisation)
-                .map(h -> h.runner)
+                .map(local -> local.runner)
                 .flatMap(
                         runner ->
                                 runner.isAbandoned()
@@ -147,37 +159,38 @@
     }
 
     private Optional<LocalRequest> findLocal(String requestId, String organisation) {
-        return localRequests.find(requestId)
-                .filter(h -> h.runner.organisation().equals(organisation))
-                .filter(h -> !h.runner.isMovedAway());
+        return localRequests
+                .find(requestId)
+                .filter(local -> local.runner.organisation().equals(organisation))
+                .filter(local -> !local.runner.isMovedAway());
     }
 
     /**
-     * Goes on with a request this entry has a copy of.
+     * Resumes a request from the copy that this entry holds.
      *
-     * @param requestId its name
-     * @param organisation whose it must be
-     * @return its runner, if there is such a copy
+     * @param requestId its ID
+     * @param organisation the organisation that it must belong to
+     * @return its runner; empty if there is no copy or the request may not be resumed here
      */
     public Optional<GenerationRunner> resumeFromCopy(String requestId, String organisation) {
         return resumer.resumeForCaller(requestId, organisation);
     }
 
     /**
-     * Tells what this entry has of a request.
+     * Returns whether this entry works on a request, could resume it, or neither.
      *
-     * @param requestId its name
-     * @param organisation whose it must be
+     * @param requestId its ID
+     * @param organisation the organisation that it must belong to
      * @return its standing here
      */
     public Standing standing(String requestId, String organisation) {
-        Optional<LocalRequest> mine = findLocal(requestId, organisation);
-        if (mine.isPresent() && !mine.get().runner.isAbandoned()) {
+        Optional<LocalRequest> local = findLocal(requestId, organisation);
+        if (local.isPresent() && !local.get().runner.isAbandoned()) {
             return Standing.HOLDER;
         }
         boolean copy =
                 !localRequests.isClosed()
-                        && (mine.isPresent()
+                        && (local.isPresent()
                                 || copies.find(requestId, organisation)
                                         .flatMap(kept -> resumer.allowedRow(kept.request()))
                                         .isPresent());
@@ -185,34 +198,34 @@
     }
 
     /**
-     * Returns how many requests are in flight here.
+     * Returns the number of requests in flight here.
      *
-     * @return a count
+     * @return number of requests that have not ended
      */
     public int openCount() {
-        return (int) localRequests.all().stream().filter(h -> !h.runner.isEnded()).count();
+        return (int) localRequests.all().stream().filter(local -> !local.runner.isEnded()).count();
     }
 
     /**
-     * Returns how many copies are kept for other entries.
+     * Returns the number of copies held for other entries.
      *
-     * @return a count
+     * @return number of copies
      */
     public int copies() {
         return copies.size();
     }
 
     /**
-     * Is told that an upstream is leaving. Requests of heavier rows are moved first, at a pace that
-     * does not overrun the upstreams that stay.
+     * Moves requests away from an upstream that is leaving. Requests of heavier rows move first, at
+     * a rate that does not overload the remaining upstreams.
      *
      * @param upstream the upstream's name
-     * @param noticeMillis how long it will still run, in milliseconds
+     * @param noticeMillis time for which it still runs, in milliseconds
      */
     public void upstreamLeaving(String upstream, long noticeMillis) {
         List<GenerationRunner> runners =
                 localRequests.all().stream()
-                        .map(h -> h.runner)
+                        .map(local -> local.runner)
                         .filter(runner -> !runner.isEnded())
                         .sorted(Comparator.comparingInt(GenerationRunner::weight).reversed())
                         .toList();
@@ -223,62 +236,69 @@
             }
             long left = Math.max(0, noticeMillis - delay);
             context.timer()
-                    .schedule(() -> runner.upstreamLeaving(upstream, left), delay, TimeUnit.MILLISECONDS);
+                    .schedule(
+                            () -> runner.upstreamLeaving(upstream, left),
+                            delay,
+                            TimeUnit.MILLISECONDS);
             delay = Math.min(delay + MOVE_INTERVAL_MILLIS, noticeMillis / 2);
         }
     }
 
     /**
-     * Hands every request in flight to another entry, but those that run at most once and those
-     * that no other entry may have: these go on here until {@link #endUnfinished}. From now on this
-     * entry takes up none.
+     * Hands the requests in flight over to other entries. Those that run at most once and those
+     * that no other entry may serve continue here until {@link #endUnfinished}. From now on this
+     * entry neither starts nor resumes a request.
      */
     public void handOverAll() {
-        for (LocalRequest h : localRequests.close()) {
-            GenerationRunner runner = h.runner;
-            boolean mayMove = runner.isRepeatable() && peerSelector.choose(runner.request()).isPresent();
+        for (LocalRequest local : localRequests.close()) {
+            GenerationRunner runner = local.runner;
+            boolean mayMove =
+                    runner.isRepeatable() && peerSelector.choose(runner.request()).isPresent();
             if (mayMove) {
                 RequestRecord record = runner.suspend();
-                handOvers.offer(record, h.copyHolder, runner.lastEvent(), runner::redirectReceivers);
+                handOvers.offer(
+                        record, local.copyHolder, runner.lastEvent(), runner::redirectReceivers);
             }
         }
     }
 
     /**
-     * Ends what was not handed over: callers are told to ask again or, if nobody may go on with
-     * their requests, how these ended.
+     * Ends the requests that were not handed over. Callers whose request has a copy at another
+     * entry are redirected to look it up again; the others receive its final outcome.
      */
     public void endUnfinished() {
         handOvers.endAll();
-        for (LocalRequest h : localRequests.all()) {
-            if (!h.isActive()) {
+        for (LocalRequest local : localRequests.all()) {
+            if (!local.isActive()) {
                 continue;
             }
-            if (h.copyHolder.isEmpty()) {
-                h.runner.endUnfinished();
+            if (local.copyHolder.isEmpty()) {
+                local.runner.endUnfinished();
             } else {
-                h.runner.suspend();
-                h.runner.redirectReceivers();
+                local.runner.suspend();
+                local.runner.redirectReceivers();
             }
         }
     }
 
     /**
-     * Is told that a peer is lost: its requests go on here if this entry has their copies.
+     * Handles the loss of a peer: resumes those of its requests that this entry has copies of.
      *
      * @param peer the peer's name
      */
     public void peerLost(String peer) {
         handOvers.peerLost(peer);
-        localRequests.all().stream().filter(h -> h.copyHolder.equals(peer)).forEach(h -> h.copyHolder = "");
+        localRequests.all().stream()
+                .filter(local -> local.copyHolder.equals(peer))
+                .forEach(local -> local.copyHolder = "");
         resumer.peerLost(peer);
     }
 
     /**
-     * Tells a peer that asks what this entry has of a request.
+     * Answers a peer's query for a request.
      *
      * @param peer the peer's name
-     * @param find names the request
+     * @param find the query
      * @return its standing here
      */
     public Standing answerFind(String peer, RecordFind find) {
@@ -287,19 +307,20 @@
     }
 
     /**
-     * Takes a peer's answer to a question for a request.
+     * Handles a peer's answer to a query for a request.
      *
      * @param peer the peer's name
      * @param found its answer
      */
     public void findAnswered(String peer, RecordFound found) {
         handOvers.findAnswered(peer, found);
-        localRequests.find(found.requestId())
-                .ifPresent(h -> resumer.ownerAnswered(h, peer, found.standing()));
+        localRequests
+                .find(found.requestId())
+                .ifPresent(local -> resumer.ownerAnswered(local, peer, found.standing()));
     }
 
     /**
-     * Keeps a copy for a peer.
+     * Stores a copy for a peer and confirms it.
      *
      * @param from the peer
      * @param put the request
@@ -310,7 +331,7 @@
     }
 
     /**
-     * Is told that a copy is kept.
+     * Handles the confirmation that a peer has stored a copy.
      *
      * @param kept the confirmation
      */
@@ -322,7 +343,7 @@
     }
 
     /**
-     * Adds tokens to copies.
+     * Appends tokens to copies.
      *
      * @param tokens the tokens
      */
@@ -331,26 +352,28 @@
     }
 
     /**
-     * Gives a copy up, or a request that the peer had handed over and that another one has now. A
-     * peer that keeps a copy for this entry says so that it keeps it no more.
+     * Drops what this entry has from a peer: a copy, or a request that the peer handed over and
+     * that another entry has now. Sent by a copy holder, the message means that it no longer holds
+     * the copy.
      *
      * @param from the peer
-     * @param drop names the request
+     * @param drop identifies the request
      */
     public void dropReceived(EntryInfo from, RecordDrop drop) {
         copies.drop(drop.requestId(), from.id());
-        localRequests.find(drop.requestId())
+        localRequests
+                .find(drop.requestId())
                 .ifPresent(
-                        h -> {
-                            if (h.copyHolder.equals(from.id())) {
-                                h.copyHolder = "";
+                        local -> {
+                            if (local.copyHolder.equals(from.id())) {
+                                local.copyHolder = "";
                             }
-                            resumer.withdraw(h, from.id());
+                            resumer.withdraw(local, from.id());
                         });
     }
 
     /**
-     * Goes on with a request that a stopping peer hands over.
+     * Resumes a request that a stopping peer hands over.
      *
      * @param from the peer
      * @param handOver the request
@@ -359,41 +382,42 @@
         resumer.acceptHandOver(from.id(), handOver.request());
     }
 
-    private static boolean hasSameContent(RequestRecord known, RequestRecord request) {
-        return known.model().equals(request.model())
-                && known.prompt().equals(request.prompt())
-                && known.maxTokens() == request.maxTokens()
-                && known.stream() == request.stream()
-                && known.chat() == request.chat();
+    private static boolean hasSameContent(RequestRecord existing, RequestRecord request) {
+        return existing.model().equals(request.model())
+                && existing.prompt().equals(request.prompt())
+                && existing.maxTokens() == request.maxTokens()
+                && existing.stream() == request.stream()
+                && existing.chat() == request.chat();
     }
 
-    /** Brings the answer of a request that is here already, unless its content differs. */
-    private static void attachToExisting(LocalRequest known, RequestRecord request, CallerSink sink) {
-        if (hasSameContent(known.runner.request(), request)) {
-            known.runner.attach(sink, 0);
+    /** Attaches a caller to a request that is here already; refuses it if the content differs. */
+    private static void attachToExisting(
+            LocalRequest existing, RequestRecord request, CallerSink sink) {
+        if (hasSameContent(existing.runner.request(), request)) {
+            existing.runner.attach(sink, 0);
         } else {
             Answers.sendFailure(sink, "", Failure.notRun(Failure.Kind.CLAIM_MISMATCH, 0));
         }
     }
 
-    private void begin(RequestRecord request, Row row, String keeper, CallerSink sink) {
-        Optional<AddResult> holding = localRequests.add(request, row, keeper, known -> true);
-        if (holding.isEmpty()) {
-            copySender.drop(keeper, request.requestId());
+    private void begin(RequestRecord request, Row row, String copyHolder, CallerSink sink) {
+        Optional<AddResult> result = localRequests.add(request, row, copyHolder, existing -> true);
+        if (result.isEmpty()) {
+            copySender.drop(copyHolder, request.requestId());
             Answers.sendFailure(sink, request.requestId(), stoppingFailure(request));
-        } else if (holding.get().added()) {
-            GenerationRunner runner = holding.get().request().runner;
+        } else if (result.get().added()) {
+            GenerationRunner runner = result.get().request().runner;
             runner.attach(sink, 0);
             runner.start();
         } else {
-            attachToExisting(holding.get().request(), request, sink);
+            attachToExisting(result.get().request(), request, sink);
         }
     }
 
-    /** A request that its caller named may have run when it was sent before. */
+    /** A request whose ID is made from its caller's key may have run when it was sent before. */
     private static Failure stoppingFailure(RequestRecord request) {
-        boolean named = RequestIds.isFromKey(request.requestId());
-        Outcome outcome = named ? Outcome.UNKNOWN : Outcome.NOT_RUN;
+        boolean keyed = RequestIds.isFromKey(request.requestId());
+        Outcome outcome = keyed ? Outcome.UNKNOWN : Outcome.NOT_RUN;
         return new Failure(outcome, Failure.Kind.STOPPING, RETRY_AFTER_MILLIS);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestResumer.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestResumer.java
@@ -33,8 +33,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Goes on with requests of other entries: that hand them over, that were lost, or that a caller
- * does not find; and gives them back to an entry that works on them still.
+ * Resumes requests of other entries: requests that these hand over, requests of lost entries, and
+ * requests that a caller looks up. A request is returned to its former owner if that one still
+ * works on it.
  */
 final class RequestResumer {
     private static final long PASS_ON_DELAY_MILLIS = 50;
@@ -49,20 +50,20 @@
 
     RequestResumer(
             ServingContext context,
-            LocalRequests held,
+            LocalRequests localRequests,
             CopyStore copies,
             CopySender copySender,
-            PeerSelector keepers,
+            PeerSelector peerSelector,
             HandOvers handOvers) {
         this.context = context;
-        this.localRequests = held;
+        this.localRequests = localRequests;
         this.copies = copies;
         this.copySender = copySender;
-        this.peerSelector = keepers;
+        this.peerSelector = peerSelector;
         this.handOvers = handOvers;
     }
 
-    /** Goes on with a request whose copy is here, because a caller asks for it. */
+    /** Resumes a request whose copy is here, because a caller looks it up. */
     Optional<GenerationRunner> resumeForCaller(String requestId, String organisation) {
         if (localRequests.isClosed()) {
             copies.find(requestId, organisation)
@@ -72,12 +73,12 @@
         return copies.take(requestId, organisation).flatMap(copy -> resume(copy, Cause.ASKED_FOR));
     }
 
-    /** Goes on with a request of this entry whose callers had left, because one is back. */
+    /** Resumes a request of this entry whose callers had all left, because one looks it up. */
     Optional<GenerationRunner> resumeAbandoned(GenerationRunner abandoned) {
         return resume(new Copy(abandoned.record(), context.self().id()), Cause.ASKED_FOR);
     }
 
-    /** Goes on with the unfinished requests of a lost peer. */
+    /** Resumes the unfinished requests of a lost peer. */
     void peerLost(String peer) {
         if (localRequests.isClosed()) {
             copies.unfinishedOf(peer)
@@ -87,20 +88,21 @@
         }
     }
 
-    /** Goes on with a request that a peer hands over. */
+    /** Resumes a request that a peer hands over. */
     void acceptHandOver(String from, RequestRecord request) {
         Copy offered = new Copy(request, from);
         if (localRequests.isClosed()) {
             log(offered, Cause.HANDED_OVER, Result.STOPPING);
             refusedHandOvers.put(request.requestId(), offered);
-            context.timer().schedule(() -> passOn(offered), PASS_ON_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+            context.timer()
+                    .schedule(() -> passOn(offered), PASS_ON_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
         copies.drop(request.requestId());
         resume(offered, Cause.HANDED_OVER);
     }
 
-    /** Hands a refused request over to another entry unless its sender does so itself. */
+    /** Hands a refused request over to another entry, unless its sender does so itself. */
     private void passOn(Copy offered) {
         RequestRecord request = offered.request();
         if (refusedHandOvers.remove(request.requestId(), offered)) {
@@ -109,36 +111,40 @@
     }
 
     /**
-     * Is told that a peer asks for a request: it sees a refusal and chooses another heir itself.
+     * Handles a peer's query for a request: a sender that queries learns of the refusal and chooses
+     * another successor itself.
      */
     void findReceived(String peer, RecordFind find) {
         refusedHandOvers.computeIfPresent(
                 find.requestId(), (id, copy) -> copy.owner().equals(peer) ? null : copy);
     }
 
-    /** Gives a request back if the entry that it was taken up from says that it works on it. */
-    void ownerAnswered(LocalRequest h, String owner, Standing standing) {
-        if (!h.resumedFrom.equals(owner) || h.runner.isComplete()) {
+    /** Returns a request to the entry that it was resumed from if that one still works on it. */
+    void ownerAnswered(LocalRequest local, String owner, Standing standing) {
+        if (!local.resumedFrom.equals(owner) || local.runner.isComplete()) {
             return;
         }
-        h.resumedFrom = "";
+        local.resumedFrom = "";
         if (standing == Standing.HOLDER) {
             context.metrics().count(Event.GIVEN_BACK);
-            RequestRecord record = localRequests.release(h);
-            // has the owner send its copy anew
-            copySender.drop(owner, h.requestId());
+            RequestRecord record = localRequests.release(local);
+            // lets the owner choose a copy holder again and send it the whole request
+            copySender.drop(owner, local.requestId());
             log(new Copy(record, owner), Cause.HOLDER_LOST, Result.GIVEN_BACK);
         }
     }
 
-    /** Gives a request up that a peer had handed over and that another entry has now. */
-    void withdraw(LocalRequest h, String by) {
-        if (h.isActive() && h.handedOverBy.equals(by)) {
-            log(new Copy(localRequests.release(h), by), Cause.HANDED_OVER, Result.TAKEN_BACK);
+    /** Releases a request that a peer handed over and that another entry has now. */
+    void withdraw(LocalRequest local, String sender) {
+        if (local.isActive() && local.handedOverBy.equals(sender)) {
+            log(
+                    new Copy(localRequests.release(local), sender),
+                    Cause.HANDED_OVER,
+                    Result.TAKEN_BACK);
         }
     }
 
-    /** Finds the row of a request that may be handled here. */
+    /** Returns the row of a request; empty if there is none or it forbids this data centre. */
     Optional<Row> allowedRow(RequestRecord request) {
         return context.policies()
                 .table()
@@ -155,41 +161,42 @@
         }
         boolean mayRun = RequestIds.isRepeatable(request.requestId()) && row.get().repeatable();
         Row effective = mayRun ? row.get() : row.get().notRepeatable();
-        // who hands over is about to end, and who was lost may be
-        String keeper = mayRun ? peerSelector.choose(request, "", Set.of(copy.owner())).orElse("") : "";
-        Optional<AddResult> holding =
+        // an entry that hands over is about to end and a lost one may be: neither can hold the copy
+        String copyHolder =
+                mayRun ? peerSelector.choose(request, "", Set.of(copy.owner())).orElse("") : "";
+        Optional<AddResult> result =
                 localRequests.add(
                         request,
                         effective,
-                        keeper,
-                        known -> known.isActive() || known.runner.isComplete());
-        if (holding.isEmpty()) {
+                        copyHolder,
+                        existing -> existing.isActive() || existing.runner.isComplete());
+        if (result.isEmpty()) {
             log(copy, cause, Result.STOPPING);
             return Optional.empty();
         }
-        LocalRequest mine = holding.get().request();
-        if (!holding.get().added()) {
+        LocalRequest local = result.get().request();
+        if (!result.get().added()) {
             if (cause == Cause.HANDED_OVER) {
-                recordOrigin(mine, copy, cause);
+                recordOrigin(local, copy, cause);
             }
             log(copy, cause, Result.ALREADY_HERE);
-            return Optional.of(mine.runner);
+            return Optional.of(local.runner);
         }
         context.metrics().count(Event.ADOPTED);
-        recordOrigin(mine, copy, cause);
-        if (!keeper.isEmpty()) {
-            context.links().send(keeper, new RecordPut(request));
+        recordOrigin(local, copy, cause);
+        if (!copyHolder.isEmpty()) {
+            context.links().send(copyHolder, new RecordPut(request));
         }
-        mine.runner.resume();
+        local.runner.resume();
         boolean goesOn = mayRun || request.complete();
         log(copy, cause, goesOn ? Result.GOES_ON : Result.MAY_HAVE_RUN);
-        return Optional.of(mine.runner);
+        return Optional.of(local.runner);
     }
 
-    private static void recordOrigin(LocalRequest mine, Copy copy, Cause cause) {
-        boolean given = cause == Cause.HANDED_OVER;
-        mine.resumedFrom = given ? "" : copy.owner();
-        mine.handedOverBy = given ? copy.owner() : "";
+    private static void recordOrigin(LocalRequest local, Copy copy, Cause cause) {
+        boolean handedOver = cause == Cause.HANDED_OVER;
+        local.resumedFrom = handedOver ? "" : copy.owner();
+        local.handedOverBy = handedOver ? copy.owner() : "";
     }
 
     private static void log(Copy copy, Cause cause, Result result) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/ResumedAnswerSink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/ResumedAnswerSink.java
@@ -19,8 +19,8 @@
 import java.util.List;
 
 /**
- * A caller's answer that had begun at another entry and goes on here: its head is not sent again,
- * and one that turns out to be a failure breaks it off.
+ * Sends the rest of an answer whose head another entry has sent already. The head is not sent
+ * again; if it reports a failure, the caller's answer is aborted.
  */
 final class ResumedAnswerSink implements CallerSink {
     private static final int OK = 200;
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public void whenDisconnected(Runnable gone) {
-        sink.whenDisconnected(gone);
+    public void whenDisconnected(Runnable action) {
+        sink.whenDisconnected(action);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RowPolicies.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RowPolicies.java
@@ -34,7 +34,7 @@
 import java.util.function.Consumer;
 
 /**
- * Holds the table in force with the limiters and retry budgets that belong to its rows.
+ * Holds the current table with the rate limiters and retry budgets of its rows.
  *
  * @since 0.1
  */
@@ -50,16 +50,16 @@
     private volatile Table table = Table.empty();
 
     /**
-     * Asks to be told of every new table.
+     * Adds a listener for new tables.
      *
-     * @param listener called after the table is in force
+     * @param listener called after a new table has become current
      */
     public synchronized void onChange(Consumer<Table> listener) {
         listeners.add(listener);
     }
 
     /**
-     * Returns the table in force.
+     * Returns the current table.
      *
      * @return the table
      */
@@ -68,10 +68,10 @@
     }
 
     /**
-     * Offers changes, from the platform or a peer.
+     * Offers changes that were read from the platform or received from a peer.
      *
-     * @param changes in the order of their revisions
-     * @return {@code GAP} if changes before these are missing
+     * @param changes the changes, in the order of their revisions
+     * @return the result of the last change; {@code GAP} if changes before it are missing
      */
     public Offer offer(List<TableChange> changes) {
         Offer last = Offer.STALE;
@@ -88,7 +88,7 @@
     }
 
     /**
-     * Offers a whole table.
+     * Offers a complete table, which becomes current if its revision is higher.
      *
      * @param snapshot the table
      */
@@ -102,9 +102,9 @@
     }
 
     /**
-     * Returns the changes a peer lacks.
+     * Returns the changes after a revision, for a peer whose table is older.
      *
-     * @param revision the revision the peer has
+     * @param revision revision of the peer's table
      * @return the changes, or empty if they are no longer kept
      */
     public synchronized Optional<List<TableChange>> changesSince(long revision) {
@@ -112,10 +112,11 @@
     }
 
     /**
-     * Takes one request's part of its row's limit.
+     * Counts a request against the rate limit of its row.
      *
      * @param row the row
-     * @return 0 if the request may go on, else milliseconds until asking again may help
+     * @return 0 if the request is within the limit, otherwise the time in milliseconds after which
+     *     a retry may succeed
      */
     public synchronized long tryAcquire(Row row) {
         if (row.limitPerSecond() == 0) {
@@ -129,20 +130,22 @@
     }
 
     /**
-     * Measures this entry's demand of the last second.
+     * Updates the smoothed demand for each limited row from the requests since the last call. Must
+     * be called once a second.
      *
-     * @return the demand of limited rows
+     * @return this entry's demand for limited rows, in requests per second
      */
     public synchronized List<RowDemand> measureDemand() {
         List<RowDemand> demands = new ArrayList<>();
         for (Row row : table.rows()) {
             if (row.limitPerSecond() > 0) {
                 RowKey key = row.key();
-                double before = ownDemand.getOrDefault(key, 0.0);
-                double next =
-                        before * DEMAND_DECAY + requestCounts.getOrDefault(key, 0) * (1 - DEMAND_DECAY);
-                ownDemand.put(key, next);
-                demands.add(new RowDemand(key.organisation(), key.target(), next));
+                double previous = ownDemand.getOrDefault(key, 0.0);
+                double smoothed =
+                        previous * DEMAND_DECAY
+                                + requestCounts.getOrDefault(key, 0) * (1 - DEMAND_DECAY);
+                ownDemand.put(key, smoothed);
+                demands.add(new RowDemand(key.organisation(), key.target(), smoothed));
             }
         }
         requestCounts.clear();
@@ -150,10 +153,11 @@
     }
 
     /**
-     * Sets this entry's share of every limit.
+     * Sets this entry's share of each row's rate limit from its demand and that of the other
+     * entries.
      *
-     * @param peerDemand what the other entries were asked for
-     * @param peers how many other entries there are
+     * @param peerDemand total demand at the other entries by row, in requests per second
+     * @param peers number of other entries
      */
     public synchronized void updateShares(Map<RowKey, Double> peerDemand, int peers) {
         long now = MonotonicClock.millis();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/ServiceRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/ServiceRunner.java
@@ -36,8 +36,8 @@
 import java.util.function.Consumer;
 
 /**
- * Runs one call of a plain service. The answer is taken whole before any of it is passed on, so
- * that a caller never sees a cut one.
+ * Runs one call of a plain service. The answer is received completely before any of it is sent on,
+ * so that a caller never receives a truncated one.
  *
  * @since 0.1
  */
@@ -60,7 +60,7 @@
         ENDED
     }
 
-    /** How a call ended. */
+    /** The result of a call. */
     sealed interface Result {
         /** The service answered. */
         record Completed(HttpReply reply) implements Result {}
@@ -70,8 +70,8 @@
 
         /** Sends the result to a caller. */
         default void send(CallerSink sink, String requestId, String servedIn) {
-            if (this instanceof Completed whole) {
-                HttpReply reply = whole.reply();
+            if (this instanceof Completed completed) {
+                HttpReply reply = completed.reply();
                 String type = reply.contentType();
                 List<Header> headers =
                         List.of(
@@ -136,8 +136,8 @@
             context.placements().release(upstream.id());
             return;
         }
-        long waited = MonotonicClock.millis() - startedMillis;
-        context.metrics().queued(row.organisation(), KIND, waited);
+        long waitedMillis = MonotonicClock.millis() - startedMillis;
+        context.metrics().queued(row.organisation(), KIND, waitedMillis);
         state = State.SENT;
         context.client()
                 .call(call(upstream))
@@ -154,7 +154,7 @@
         }
     }
 
-    /** The wait for an upstream is over; a call that was sent is not given up here. */
+    /** Fails the call if it still waits for an upstream; a call that was sent is not affected. */
     private synchronized void failIfWaiting() {
         if (state == State.WAITING) {
             state = State.ENDED;
@@ -179,18 +179,19 @@
                 failure instanceof HttpFailureException http
                         ? http
                         : (HttpFailureException) failure.getCause();
-        Optional<Failure> last = machine.attemptFailed(upstream.id(), cause.sent(), kind(cause));
-        if (last.isEmpty()) {
+        Optional<Failure> finalFailure =
+                machine.attemptFailed(upstream.id(), cause.sent(), kind(cause));
+        if (finalFailure.isEmpty()) {
             place();
         } else {
-            Failure given = last.get();
-            finish(new Result.Failed(given), given.outcome().headerValue());
+            Failure reason = finalFailure.get();
+            finish(new Result.Failed(reason), reason.outcome().headerValue());
         }
     }
 
     private void finish(Result result, String outcome) {
-        long took = MonotonicClock.millis() - startedMillis;
-        context.metrics().ended(row.organisation(), KIND, outcome, took);
+        long durationMillis = MonotonicClock.millis() - startedMillis;
+        context.metrics().ended(row.organisation(), KIND, outcome, durationMillis);
         onResult.accept(result);
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/ServingContext.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/ServingContext.java
@@ -23,17 +23,17 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 /**
- * What all serving code shares.
+ * The dependencies shared by all serving code.
  *
  * @param self this entry
  * @param settings its settings
- * @param placements gives requests their upstreams
- * @param engines reaches model engines
- * @param client reaches plain services
- * @param links reaches peers
- * @param timer runs timed work
- * @param metrics counts
- * @param policies rows, limits and retry budgets
+ * @param placements assigns upstreams to requests
+ * @param engines calls model engines
+ * @param client calls plain services
+ * @param links sends messages to peers
+ * @param timer runs delayed tasks
+ * @param metrics records the metrics of this entry
+ * @param policies provides rows, rate limits and retry budgets
  * @since 0.1
  */
 public record ServingContext(
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/SseLines.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/SseLines.java
@@ -20,30 +20,33 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Finds the {@code data:} lines of server-sent events in bytes that arrive in parts.
+ * Extracts the {@code data:} lines of server-sent events from bytes that arrive in parts.
  *
  * @since 0.1
  */
 final class SseLines {
-    /** Longest line that is taken. */
+    /** Maximum length of a line, in bytes. */
     static final int MAX_LINE_BYTES = 64 * 1024;
 
     private static final String DATA = "data:";
 
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-    /** Takes the data of one event. */
+    /** Receives the data of one event. */
     interface Consumer {
         void accept(String data) throws IOException;
     }
 
-    /** Takes the next bytes and passes on the data of every line that they end. */
+    /**
+     * Adds the next bytes and passes the data of each line that they complete to the consumer.
+     * Throws an {@link IOException} if a line is too long.
+     */
     void add(byte[] bytes, Consumer consumer) throws IOException {
         for (byte next : bytes) {
             if (next != '\n') {
                 line.write(next);
                 if (line.size() > MAX_LINE_BYTES) {
-                    throw new IOException("a line of more than " + MAX_LINE_BYTES + " bytes");
+                    throw new IOException("event line longer than " + MAX_LINE_BYTES + " bytes");
                 }
                 continue;
             }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/package-info.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Serving accepted requests: upstream adapters, runners and records.
+ * Serves accepted requests: admission, placement at upstreams, adapters to upstreams, runners, and
+ * the copies of requests at other entries.
  *
  * @since 0.1
  */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/FleetSync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/FleetSync.java
@@ -239,7 +239,8 @@
         Collections.shuffle(all, ThreadLocalRandom.current());
         for (UpstreamState state : all.subList(0, Math.min(LOADS_PER_TICK, all.size()))) {
             String id = state.upstream().id();
-            engines.load(state.upstream()).thenAccept(report -> placements.loadReported(id, report));
+            engines.load(state.upstream())
+                    .thenAccept(report -> placements.loadReported(id, report));
         }
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ClusterViewTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ClusterViewTest.java
@@ -39,7 +39,7 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** What a process believes of peers that start again. */
+/** Tests what a process takes over from the digests of peers that restart. */
 class ClusterViewTest {
     private static final String ORGANISATION = "t";
     private static final double LIMIT = 1_000;
@@ -78,8 +78,8 @@
         return created;
     }
 
-    private void receiveDigest(int life, double used, double level) {
-        NodeHello peer = new NodeHello("peer", Integer.toString(life), "a", "h:1");
+    private void receiveDigest(int incarnation, double used, double level) {
+        NodeHello peer = new NodeHello("peer", Integer.toString(incarnation), "a", "h:1");
         view.received(
                 peer,
                 new NodeDigest(
@@ -104,8 +104,8 @@
         receiveDigest(1, 5_000, LIMIT);
         receiveDigest(1, 5_900, 100);
         receiveDigest(2, 10, LIMIT);
-        assertEquals(0, quotas.tryTake(ORGANISATION, 100, 0), "100 of the limit are left");
-        assertTrue(quotas.tryTake(ORGANISATION, 100, 0) > 0, "none is left");
+        assertEquals(0, quotas.tryTake(ORGANISATION, 100, 0), "100 units of the limit are left");
+        assertTrue(quotas.tryTake(ORGANISATION, 100, 0) > 0, "no units are left");
     }
 
     /** This process and one peer, linked to each other. */
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ConnectionSharesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ConnectionSharesTest.java
@@ -24,7 +24,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** All processes together let no more connections rest than an upstream accepts. */
+/** Tests that all processes together keep no more connections than an upstream accepts. */
 class ConnectionSharesTest {
     private static final Upstream UPSTREAM =
             new Upstream("w", "m", "a", "127.0.0.1:1", 8, false, false, 0);
@@ -33,15 +33,16 @@
     void idleConnectionsOfAllProcessesFitIntoTheAcceptedNumber(
             @ForAll @IntRange(min = 1, max = 340) int processes,
             @ForAll @IntRange(min = 1, max = 1_000) int accepted) {
-        int most = ConnectionShares.share(accepted - UPSTREAM.slots(), processes);
+        int maxIdle = ConnectionShares.share(accepted - UPSTREAM.slots(), processes);
         boolean oneEach = accepted - UPSTREAM.slots() < processes;
-        assertTrue(most >= 1 && most <= 64);
-        assertTrue(oneEach || most * processes + UPSTREAM.slots() <= accepted);
+        assertTrue(maxIdle >= 1 && maxIdle <= 64);
+        assertTrue(oneEach || maxIdle * processes + UPSTREAM.slots() <= accepted);
     }
 
     @Example
     void withoutABoundAFixedNumberOfIdleConnectionsIsKept() {
-        ConnectionShares shares = new ConnectionShares(new PolicyManager(new EmptyPlatformFormat()), () -> 340);
+        ConnectionShares shares =
+                new ConnectionShares(new PolicyManager(new EmptyPlatformFormat()), () -> 340);
         assertEquals(64, shares.maxIdle("m", UPSTREAM));
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashHistoriesTest.java
@@ -37,8 +37,9 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * A request that ends every upstream that runs it comes several times a second at any of 30
- * processes, with others beside it, while processes and links fail.
+ * Tests that a request that crashes every upstream that runs it is refused by all processes. It
+ * arrives several times a second at any of 30 processes, and other requests run at the same
+ * upstreams, while processes and links fail.
  */
 class CrashHistoriesTest {
     private static final int DATA_CENTRES = 3;
@@ -48,15 +49,22 @@
     private static final long ARRIVAL_INTERVAL_MILLIS = 260;
     private static final long RUN_MILLIS = 100;
 
-    /** How long a process must have been left alone to count as in touch, in milliseconds. */
+    /**
+     * How long a process and its links must have been without a failure to count as undisturbed, in
+     * milliseconds.
+     */
     private static final long UNDISTURBED_MILLIS = 3_000;
 
-    /** Tries in touch that the platform bears after the third end was known so long. */
+    /**
+     * Maximum number of attempts of undisturbed processes later than {@link #UNDISTURBED_MILLIS}
+     * after the third end.
+     */
     private static final int MAX_LATE_ATTEMPTS = 3;
 
     private static final RequestFingerprint CRASHING = new RequestFingerprint(-1);
 
-    private SimulatedCluster cluster = new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, 10_000);
+    private SimulatedCluster cluster =
+            new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, 10_000);
     private final Map<String, Long> disturbedMillis = new HashMap<>();
     private final List<Run> running = new ArrayList<>();
     private final Set<Integer> wronglyRefused = new HashSet<>();
@@ -67,7 +75,7 @@
     private int lateAttempts;
     private int upstreamsStarted;
 
-    /** The bad request runs at an upstream. */
+    /** One run of the crashing request at an upstream. */
     private record Run(String process, Upstream upstream, long sentMillis) {}
 
     private static final List<Consumer<CrashHistoriesTest>> EVENTS =
@@ -164,15 +172,17 @@
         if (cluster.process(process).crashes().refuses("t", identity(CRASHING))) {
             return;
         }
-        boolean inTouch = cluster.now() - disturbedMillis.getOrDefault(process, 0L) >= UNDISTURBED_MILLIS;
-        if (inTouch && cluster.now() - UNDISTURBED_MILLIS >= thirdEndMillis) {
+        boolean undisturbed =
+                cluster.now() - disturbedMillis.getOrDefault(process, 0L) >= UNDISTURBED_MILLIS;
+        if (undisturbed && cluster.now() - UNDISTURBED_MILLIS >= thirdEndMillis) {
             lateAttempts++;
         }
-        Upstream upstream = new Upstream("w" + upstreamsStarted++, "s", "dc0", "h:1", 8, false, false, 0);
+        Upstream upstream =
+                new Upstream("w" + upstreamsStarted++, "s", "dc0", "h:1", 8, false, false, 0);
         running.add(new Run(process, upstream, cluster.now()));
     }
 
-    /** An upstream ends: whoever had a request there sees it, if it runs itself. */
+    /** Ends an upstream; the processes that had a request there record it if they are running. */
     private void ends(Run run) {
         ends++;
         if (ends == CrashLedger.REFUSAL_MIN_ENDS) {
@@ -194,7 +204,9 @@
     private void recordEnd(
             String process, RequestFingerprint request, Upstream upstream, long ranMillis) {
         if (cluster.process(process).isRunning()) {
-            cluster.process(process).crashes().recordEnd("t", identity(request), upstream, ranMillis);
+            cluster.process(process)
+                    .crashes()
+                    .recordEnd("t", identity(request), upstream, ranMillis);
         }
     }
 
@@ -210,7 +222,8 @@
     }
 
     @Property(tries = 6, generation = GenerationMode.EXHAUSTIVE)
-    void crashingRequestIsRefusedByAllProcessesDespiteFailures(@ForAll @IntRange(max = 5) int event) {
+    void crashingRequestIsRefusedByAllProcessesDespiteFailures(
+            @ForAll @IntRange(max = 5) int event) {
         startRequests();
         cluster.advance(1_000);
         EVENTS.get(event).accept(this);
@@ -222,10 +235,12 @@
                         + ends
                         + " ends, "
                         + lateAttempts
-                        + " later in touch, "
+                        + " late attempts at undisturbed processes, "
                         + wronglyRefused.size()
-                        + " others refused for a while");
-        assertTrue(lateAttempts <= MAX_LATE_ATTEMPTS, lateAttempts + " tries later, at most " + MAX_LATE_ATTEMPTS);
+                        + " other requests refused temporarily");
+        assertTrue(
+                lateAttempts <= MAX_LATE_ATTEMPTS,
+                lateAttempts + " late attempts, expected at most " + MAX_LATE_ATTEMPTS);
         assertEquals(List.of(), processesServing(CRASHING));
     }
 
@@ -236,18 +251,28 @@
         cluster.advance(10_000);
         for (int other = 0; other < OTHER_REQUESTS; other++) {
             List<String> serving = processesServing(new RequestFingerprint(other));
-            assertEquals(DATA_CENTRES * PROCESSES_PER_DATA_CENTRE, serving.size(), "request " + other);
+            assertEquals(
+                    DATA_CENTRES * PROCESSES_PER_DATA_CENTRE, serving.size(), "request " + other);
         }
     }
 
-    /** The link between the regions carries sums only, and what is known of such requests. */
+    /** The link between regions carries only sums and the reports of crashing requests. */
     @Example
     void bothRegionsRefuseTheCrashingRequest() {
-        cluster = new SimulatedCluster(6, PROCESSES_PER_DATA_CENTRE / 2, 10_000, SimulatedCluster.REGIONS_OF_SIX);
+        cluster =
+                new SimulatedCluster(
+                        6, PROCESSES_PER_DATA_CENTRE / 2, 10_000, SimulatedCluster.REGIONS_OF_SIX);
         startRequests();
         cluster.advance(12_000);
-        System.out.println("two regions: " + ends + " ends, " + lateAttempts + " later in touch");
-        assertTrue(lateAttempts <= MAX_LATE_ATTEMPTS, lateAttempts + " tries later, at most " + MAX_LATE_ATTEMPTS);
+        System.out.println(
+                "two regions: "
+                        + ends
+                        + " ends, "
+                        + lateAttempts
+                        + " late attempts at undisturbed processes");
+        assertTrue(
+                lateAttempts <= MAX_LATE_ATTEMPTS,
+                lateAttempts + " late attempts, expected at most " + MAX_LATE_ATTEMPTS);
         assertEquals(List.of(), processesServing(CRASHING));
     }
 
@@ -256,13 +281,20 @@
         cluster.advance(10_000);
         long before = cluster.bytes();
         cluster.advance(10_000);
-        long usual = cluster.bytes() - before;
+        long usualBytes = cluster.bytes() - before;
         startRequests();
         cluster.advance(10_000);
         before = cluster.bytes();
         cluster.advance(10_000);
-        long more = (cluster.bytes() - before - usual) / (DATA_CENTRES * PROCESSES_PER_DATA_CENTRE) / 10;
-        System.out.println(usual / 300 + " bytes a second and process, " + more + " more with it");
-        assertTrue(more <= 2_000, more + " bytes a second and process more");
+        long additional =
+                (cluster.bytes() - before - usualBytes)
+                        / (DATA_CENTRES * PROCESSES_PER_DATA_CENTRE)
+                        / 10;
+        System.out.println(
+                usualBytes / 300
+                        + " bytes per second and process, "
+                        + additional
+                        + " more with the crashing request");
+        assertTrue(additional <= 2_000, additional + " additional bytes per second and process");
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashPartTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashPartTest.java
@@ -29,7 +29,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** What processes tell each other of requests that end upstreams. */
+/** Tests the digest section with reports of requests that end upstreams. */
 class CrashPartTest {
     private static final long NO_LONGER_RECENT_MILLIS = 60_000;
 
@@ -79,10 +79,10 @@
             recordEnds(own, request, 3);
         }
         now += NO_LONGER_RECENT_MILLIS;
-        int atRest = section(ownPart).body().length;
+        int withoutNewPeer = section(ownPart).body().length;
         ownPart.received("other", section(otherPart), now);
         DigestSection all = section(ownPart);
-        assertTrue(all.body().length > 10 * atRest, all.body().length + " bytes");
+        assertTrue(all.body().length > 10 * withoutNewPeer, all.body().length + " bytes");
         otherPart.received("own", all, now);
         for (int request = 1; request <= 20; request++) {
             assertTrue(other.refuses("t", request(request)));
@@ -116,8 +116,8 @@
         assertThrows(IOException.class, () -> ownPart.received("p", shortOne, now));
         byte[] tooManyEnds = new byte[8 + 13];
         tooManyEnds[8 + 12] = 100;
-        DigestSection unsound = new DigestSection("crashes", 1, 0, tooManyEnds);
-        assertThrows(IOException.class, () -> ownPart.received("p", unsound, now));
+        DigestSection invalid = new DigestSection("crashes", 1, 0, tooManyEnds);
+        assertThrows(IOException.class, () -> ownPart.received("p", invalid, now));
         assertEquals(0, own.ledger().size());
     }
 
@@ -133,28 +133,31 @@
 
     @Example
     void newlyRefusedRequestIsReportedOnce() throws IOException {
-        List<RequestFingerprint> found = new ArrayList<>();
-        other.onRefused(found::add);
+        List<RequestFingerprint> reported = new ArrayList<>();
+        other.onRefused(reported::add);
         recordEnds(own, 1, 3);
         otherPart.received("own", section(ownPart), now);
         otherPart.received("own", section(ownPart), now);
-        assertEquals(List.of(new RequestFingerprint(1)), found);
+        assertEquals(List.of(new RequestFingerprint(1)), reported);
     }
 
-    /** Each saw one end and the request run whole after it, before it was told of the others. */
+    /**
+     * Each of three processes records one end and then a complete run of the request, before it
+     * receives the reports of the others.
+     */
     @Example
     void completeRunsBetweenEndsKeepARequestServed() throws IOException {
-        List<CrashPart> tellers = new ArrayList<>();
+        List<CrashPart> reporters = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             CrashWatch watch = watch();
             watch.recordEnd("t", request(1), upstream("w" + i), 50);
             now += 20;
             watch.ranToCompletion(request(1));
             now += 20;
-            tellers.add(new CrashPart(watch, 10 + i));
+            reporters.add(new CrashPart(watch, 10 + i));
         }
-        for (CrashPart teller : tellers) {
-            otherPart.received("teller" + tellers.indexOf(teller), section(teller), now);
+        for (CrashPart reporter : reporters) {
+            otherPart.received("teller" + reporters.indexOf(reporter), section(reporter), now);
         }
         assertFalse(other.refuses("t", request(1)));
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashReportsProperties.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashReportsProperties.java
@@ -32,7 +32,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** The form in which reports of requests that end upstreams are told. */
+/** Tests the encoding of reports of requests that end upstreams. */
 class CrashReportsProperties {
     private static final long NOW_MILLIS = 5_000_000;
 
@@ -46,7 +46,8 @@
                         new UpstreamEnd(
                                 random.nextLong(), random.nextInt(9), at, random.nextInt(9_000)));
             }
-            long cleared = random.nextBoolean() ? CrashReport.NEVER : NOW_MILLIS - random.nextInt(99_999);
+            long cleared =
+                    random.nextBoolean() ? CrashReport.NEVER : NOW_MILLIS - random.nextInt(99_999);
             reports.add(new CrashReport(new RequestFingerprint(random.nextLong()), cleared, ends));
         }
         return reports;
@@ -62,14 +63,14 @@
     @Property(tries = 200, seed = "20261203")
     void asManyReportsAreWrittenAsFit(@ForAll long seed) throws IOException {
         List<CrashReport> reports = randomReports(new Random(seed));
-        int most = new Random(seed).nextInt(2_000);
-        byte[] bytes = CrashReportCodec.write(reports, most, NOW_MILLIS);
-        assertTrue(bytes.length <= most);
+        int maxBytes = new Random(seed).nextInt(2_000);
+        byte[] bytes = CrashReportCodec.write(reports, maxBytes, NOW_MILLIS);
+        assertTrue(bytes.length <= maxBytes);
         List<CrashReport> read = CrashReportCodec.read(ByteBuffer.wrap(bytes), NOW_MILLIS);
         assertEquals(reports.subList(0, read.size()), read);
     }
 
-    /** Whatever comes is read, or refused as unsound; nothing else is thrown. */
+    /** Any bytes are read or refused with an {@link IOException}; nothing else is thrown. */
     @Property(tries = 2_000, seed = "20261203")
     void anyBytesAreReadOrRefused(@ForAll byte[] bytes) {
         try {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/DirectoryKeeperTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/DirectoryKeeperTest.java
@@ -30,7 +30,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** The list of upstreams over an absence of the store, in virtual time. */
+/** Tests the upstream list during and after an outage of the store, in virtual time. */
 class DirectoryKeeperTest {
     private static final String READY = "ready";
     private static final String LEAVING = "leaving";
@@ -48,7 +48,7 @@
         manager.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 2);
     }
 
-    /** Entries whose whole text is their state. */
+    /** Reads entries whose value is only their state. */
     private static final class PlainFormat extends EmptyPlatformFormat {
         @Override
         public Either<String, Upstream> upstream(String id, byte[] value) {
@@ -142,7 +142,10 @@
         assertEquals(1, serving());
     }
 
-    /** Its upstream has not ended: nothing is moved away or put down to a request. */
+    /**
+     * The upstream of an invalid entry has not ended: it is not reported as leaving, so its
+     * requests are not moved and no end is attributed to them.
+     */
     @Example
     void invalidEntryIsNotServedUntilItIsValidAgain() {
         manager.changed(item("a", INVALID, 3));
@@ -159,7 +162,7 @@
         assertEquals(0, manager.unusable());
     }
 
-    // Guards against lists of a lost history that count as newer for their higher revision.
+    // Guards against a list of a lost history that counts as newer because its revision is higher.
     @Example
     void anyListOfANewHistoryReplacesTheCurrentOne() {
         manager.changed(item("a", READY, 400));
@@ -167,12 +170,12 @@
         assertTrue(manager.isKnown(), "upstreams stay known");
         manager.applyFromPeer(List.of(new UpstreamEntry("a", bytes(READY))), 20, "hub");
         assertEquals(20, manager.revision());
-        assertEquals(2, serving(), "one that is missing may come back");
+        assertEquals(2, serving(), "a missing upstream may return");
         advance(DirectoryManager.REAPPEARANCE_MILLIS);
         assertEquals(1, serving());
     }
 
-    // Guards against upstreams that went and that a copy lists as they were.
+    // Guards against removed upstreams that a store restored from a copy lists again.
     @Example
     void removedEntryOfARestoredStoreIsNotServedUntilItIsWrittenAgain() {
         manager.changed(removed("a", 400));
@@ -183,7 +186,7 @@
         assertEquals(2, serving());
     }
 
-    // Guards against an upstream being left out for good because its entry was doubted.
+    // Guards against an upstream being excluded for ever because its entry was doubted.
     @Example
     void doubtedEntryIsServedOnceOthersHaveLapsed() {
         manager.changed(removed("a", 400));
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/EmptyPlatformFormat.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/EmptyPlatformFormat.java
@@ -22,7 +22,7 @@
 import io.trailladder.entry.port.PlatformFormat;
 import io.vavr.control.Either;
 
-/** A platform that tells nothing, for tests of what does not depend on it. */
+/** A platform format that reads no entries, for tests that do not depend on the platform. */
 class EmptyPlatformFormat implements PlatformFormat {
     @Override
     public String policyKey() {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/EventSplitterProperties.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/EventSplitterProperties.java
@@ -28,27 +28,27 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** A stream is cut into whole events wherever the network cuts it. */
+/** Tests that a stream is split into complete events, whatever chunks the network delivers. */
 class EventSplitterProperties {
     private static final String STREAM =
             "id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\ndata: c\n\nid: 3\r\ndata: d\r\n\r\n";
 
     @Property
-    void chunkSizeDoesNotChangeEvents(@ForAll @IntRange(min = 1, max = 20) int part) {
+    void chunkSizeDoesNotChangeEvents(@ForAll @IntRange(min = 1, max = 20) int chunkSize) {
         EventSplitter splitter = new EventSplitter();
         List<String> ids = new ArrayList<>();
-        ByteArrayOutputStream whole = new ByteArrayOutputStream();
+        ByteArrayOutputStream joined = new ByteArrayOutputStream();
         byte[] bytes = STREAM.getBytes(StandardCharsets.UTF_8);
-        for (int from = 0; from < bytes.length; from += part) {
-            int to = Math.min(bytes.length, from + part);
-            byte[] piece = java.util.Arrays.copyOfRange(bytes, from, to);
-            for (StreamEvent event : splitter.append(piece)) {
+        for (int from = 0; from < bytes.length; from += chunkSize) {
+            int to = Math.min(bytes.length, from + chunkSize);
+            byte[] chunk = java.util.Arrays.copyOfRange(bytes, from, to);
+            for (StreamEvent event : splitter.append(chunk)) {
                 ids.add(event.id());
-                whole.writeBytes(event.bytes());
+                joined.writeBytes(event.bytes());
             }
         }
         assertEquals(List.of("1", "2", "3"), ids);
-        assertArrayEquals(bytes, whole.toByteArray());
+        assertArrayEquals(bytes, joined.toByteArray());
         assertEquals(0, splitter.remainder().length);
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LeavingHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LeavingHistoriesTest.java
@@ -31,23 +31,25 @@
 import net.jqwik.api.Example;
 
 /**
- * A wave of upstreams leaves while the store tells nobody. Each says so in an answer to one of 30
- * processes, and all others learn it from there, while processes and links fail.
+ * Tests that many upstreams leaving at once are known to all processes while the store reports
+ * nothing. Each upstream announces it in an answer to one of 30 processes, and the others receive
+ * it from that one, while processes and links fail.
  */
 class LeavingHistoriesTest {
     private static final int DATA_CENTRES = 3;
     private static final int PROCESSES_PER_DATA_CENTRE = 10;
 
-    /** The reclaimable part of a data centre of 825. */
+    /** The reclaimable upstreams of a data centre of 825. */
     private static final int LEAVING_UPSTREAMS = 355;
 
-    /** How long an upstream that leaves goes on serving, in milliseconds. */
+    /** How long a leaving upstream continues to serve, in milliseconds. */
     private static final long DRAIN_MILLIS = 2_000;
 
-    private final SimulatedCluster cluster = new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, 10_000);
+    private final SimulatedCluster cluster =
+            new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, 10_000);
 
-    private static String id(int leaver) {
-        return "i-" + (1_000_000 + leaver);
+    private static String id(int number) {
+        return "i-" + (1_000_000 + number);
     }
 
     private static Optional<LeavingUpstream> unlessRemoved(String id) {
@@ -83,15 +85,18 @@
         return unknown;
     }
 
-    private void assertAllKnowWithin(long millis, Consumer<SimulatedCluster> trouble) {
+    private void assertAllKnowWithin(long millis, Consumer<SimulatedCluster> failure) {
         listAll();
         announceLeaving();
-        trouble.accept(cluster);
-        long begun = cluster.now();
-        while (unknownPairs() > 0 && cluster.now() - begun < millis) {
+        failure.accept(cluster);
+        long startMillis = cluster.now();
+        while (unknownPairs() > 0 && cluster.now() - startMillis < millis) {
             cluster.advance(100);
         }
-        assertEquals(0, unknownPairs(), "pairs of process and leaver not known " + millis + " ms later");
+        assertEquals(
+                0,
+                unknownPairs(),
+                "pairs of process and leaving upstream not known " + millis + " ms later");
     }
 
     @Example
@@ -127,53 +132,60 @@
 
     @Example
     void digestsNameOnlyListedUpstreamsThatLeave() {
-        LeavingUpdates news = new LeavingUpdates(LeavingHistoriesTest::unlessRemoved);
-        assertTrue(news.next(0).isEmpty());
-        news.began("gone", 0);
-        assertTrue(news.next(0).isEmpty(), "one that is not listed any more");
-        news.began("listed", 0);
+        LeavingUpdates updates = new LeavingUpdates(LeavingHistoriesTest::unlessRemoved);
+        assertTrue(updates.next(0).isEmpty());
+        updates.began("gone", 0);
+        assertTrue(updates.next(0).isEmpty(), "an upstream that is no longer listed");
+        updates.began("listed", 0);
         assertEquals(
                 List.of(new LeavingUpstream("listed", 5)),
-                news.next(UpdateRotation.FRESH_MILLIS - 1));
+                updates.next(UpdateRotation.FRESH_MILLIS - 1));
     }
 
     @Example
     void everyLeavingUpstreamIsNamedInRotation() {
-        LeavingUpdates news = new LeavingUpdates(LeavingHistoriesTest::unlessRemoved);
+        LeavingUpdates updates = new LeavingUpdates(LeavingHistoriesTest::unlessRemoved);
         Set<LeavingUpstream> fresh = new HashSet<>();
         Set<LeavingUpstream> older = new HashSet<>();
         for (int i = 0; i < LEAVING_UPSTREAMS; i++) {
-            news.began(id(i), 0);
+            updates.began(id(i), 0);
         }
         for (int digest = 0; digest * LeavingUpdates.MAX_PER_DIGEST < LEAVING_UPSTREAMS; digest++) {
-            List<LeavingUpstream> told = news.next(0);
+            List<LeavingUpstream> reported = updates.next(0);
             assertTrue(
-                    told.size() <= LeavingUpdates.MAX_PER_DIGEST, told.size() + " in one digest");
-            fresh.addAll(told);
+                    reported.size() <= LeavingUpdates.MAX_PER_DIGEST,
+                    reported.size() + " in one digest");
+            fresh.addAll(reported);
         }
         for (int digest = 0; digest * LeavingUpdates.MAX_REPEATED < LEAVING_UPSTREAMS; digest++) {
-            List<LeavingUpstream> told = news.next(UpdateRotation.FRESH_MILLIS);
-            assertTrue(told.size() <= LeavingUpdates.MAX_REPEATED, told.size() + " at rest");
-            older.addAll(told);
+            List<LeavingUpstream> reported = updates.next(UpdateRotation.FRESH_MILLIS);
+            assertTrue(
+                    reported.size() <= LeavingUpdates.MAX_REPEATED,
+                    reported.size() + " older ones in one digest");
+            older.addAll(reported);
         }
         assertEquals(LEAVING_UPSTREAMS, fresh.size());
         assertEquals(LEAVING_UPSTREAMS, older.size());
     }
 
-    /** Builds without the section read the names; an unfitting section tells no lives. */
+    /**
+     * Builds without the section read only the names; a section that does not fit the names yields
+     * no incarnations.
+     */
     @Example
     void incarnationsAreSentBesideTheNamesThatAllBuildsRead() {
         List<LeavingUpstream> leaving =
                 List.of(new LeavingUpstream("a", 7), new LeavingUpstream("b", 0));
-        DigestSection lives = LeavingIncarnations.section(leaving).orElseThrow();
-        assertEquals(leaving, LeavingIncarnations.of(digest(List.of("a", "b"), List.of(lives))));
+        DigestSection incarnations = LeavingIncarnations.section(leaving).orElseThrow();
+        assertEquals(
+                leaving, LeavingIncarnations.of(digest(List.of("a", "b"), List.of(incarnations))));
         List<LeavingUpstream> unknown =
                 List.of(new LeavingUpstream("a", 0), new LeavingUpstream("b", 0));
         assertEquals(unknown, LeavingIncarnations.of(digest(List.of("a", "b"), List.of())));
         assertEquals(
                 List.of(new LeavingUpstream("a", 0)),
-                LeavingIncarnations.of(digest(List.of("a"), List.of(lives))));
-        assertTrue(LeavingIncarnations.section(unknown).isEmpty(), "nothing to tell");
+                LeavingIncarnations.of(digest(List.of("a"), List.of(incarnations))));
+        assertTrue(LeavingIncarnations.section(unknown).isEmpty(), "no incarnation is known");
     }
 
     private static NodeDigest digest(List<String> leaving, List<DigestSection> sections) {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitExchangeTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitExchangeTest.java
@@ -30,7 +30,7 @@
 import java.util.OptionalInt;
 import net.jqwik.api.Example;
 
-/** What a leaf may use of limits while it changes hubs. */
+/** Tests the share of limits that a leaf may use while it changes hubs. */
 class LimitExchangeTest {
     private static final String ORGANISATION = "t";
     private static final int PROCESSES = 77;
@@ -43,7 +43,7 @@
     private Peer hub = new Peer(hubHello, 0);
     private double usedByOthers;
 
-    /** A digest of a hub to its leaf. */
+    /** Returns a digest as a hub sends it to its leaf. */
     private NodeDigest digest(double used, double level) {
         return new NodeDigest(
                 1,
@@ -81,11 +81,11 @@
     }
 
     private double grantedUnits(long nowMillis, double units, int requests) {
-        double passed = 0;
+        double granted = 0;
         for (int i = 0; i < requests; i++) {
-            passed += quotas.tryTake(ORGANISATION, units, nowMillis) == 0 ? units : 0;
+            granted += quotas.tryTake(ORGANISATION, units, nowMillis) == 0 ? units : 0;
         }
-        return passed;
+        return granted;
     }
 
     @Example
@@ -94,13 +94,13 @@
         for (long now = 0; now <= HUB_CONTACT_MILLIS; now += STEP_MILLIS) {
             receiveHubDigest(100, now);
         }
-        double passed = grantedUnits(HUB_CONTACT_MILLIS, 100, 20);
-        assertTrue(passed > 0, "the level is used up");
+        double granted = grantedUnits(HUB_CONTACT_MILLIS, 100, 20);
+        assertTrue(granted > 0, "the bucket is used up");
         long end = HUB_CONTACT_MILLIS + LimitExchange.HUB_CHANGE_MILLIS;
         for (long now = HUB_CONTACT_MILLIS + STEP_MILLIS; now < end; now += STEP_MILLIS) {
             limits.share(true, true, 1, PROCESSES, now);
         }
-        // 500 a second are left by the others, 2.8 s long
+        // The others leave 500 units per second, for 2.8 s.
         assertEquals(1_000, grantedUnits(end - STEP_MILLIS, 100, 20), 1);
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitHistoriesTest.java
@@ -28,8 +28,8 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Whatever happens to the processes that share a limit, a window's length later nobody within the
- * limit is refused, and no window passes more than the limit allows.
+ * Tests a limit shared by all processes while processes and links fail: one window after an event
+ * no request within the limit is refused, and no window grants more than the limit allows.
  */
 class LimitHistoriesTest {
     private static final int DATA_CENTRES = 3;
@@ -40,10 +40,10 @@
 
     private SimulatedCluster cluster;
 
-    /** The event that changes the limit itself, which the check of windows cannot take. */
+    /** Index of the event that changes the limit, for which windows cannot be checked. */
     private static final int LIMIT_CHANGE_EVENT = 6;
 
-    /** What may happen, one of them after the other. */
+    /** Events, selected by index. */
     private static final List<Consumer<SimulatedCluster>> EVENTS =
             List.of(
                     LimitHistoriesTest::rollingRestartOfADataCentre,
@@ -127,10 +127,10 @@
         cluster.advance(SETTLE_MILLIS);
         cluster.demand(USUAL_DEMAND_PER_SECOND);
         cluster.advance(SETTLE_MILLIS);
-        assertEquals(0, cluster.refusedSince(0), "refused while all is calm");
+        assertEquals(0, cluster.refusedSince(0), "refused before any event");
     }
 
-    /** Tells how many are refused once a window has passed since now. */
+    /** Returns the number of requests refused in the second window from now. */
     private int refusedAWindowLater() {
         cluster.advance(SimulatedCluster.WINDOW_MILLIS);
         long since = cluster.now() + 1;
@@ -174,31 +174,32 @@
         }
         cluster.advance(SimulatedCluster.WINDOW_MILLIS);
         double fullest = cluster.fullestWindowShare();
-        assertTrue(fullest <= 1, "the fullest window passed " + fullest + " of what is allowed");
+        assertTrue(fullest <= 1, "the fullest window granted " + fullest + " of the allowed units");
     }
 
     /**
-     * Each of a third of the processes is cut off from all others, then one organisation asks much.
+     * A third of the processes are each cut off from all others, then the demand of one
+     * organisation surges.
      */
     @Example
     void isolatedProcessesDoNotEachSpendTheWholeBurst() {
         startWithUsualDemand();
-        List<String> single = cluster.names().stream().filter(n -> n.matches(".*[369]")).toList();
-        cluster.cut((one, other) -> single.contains(one) || single.contains(other));
+        List<String> isolated = cluster.names().stream().filter(n -> n.matches(".*[369]")).toList();
+        cluster.cut((one, other) -> isolated.contains(one) || isolated.contains(other));
         cluster.advance(500);
         cluster.demand(6 * USUAL_DEMAND_PER_SECOND);
         cluster.advance(12_000);
         double fullest = cluster.fullestWindowShare();
-        assertTrue(fullest <= 1, "the fullest window passed " + fullest + " of what is allowed");
+        assertTrue(fullest <= 1, "the fullest window granted " + fullest + " of the allowed units");
     }
 
-    /** Callers that spread evenly over all processes need no more than the part of each. */
+    /** Demand that is spread evenly over all processes stays within the share of each. */
     @Example
     void isolatedProcessesRefuseNothingWithinTheirShare() {
         startWithUsualDemand();
         long since = cluster.now() + 1;
-        List<String> single = cluster.names().stream().filter(n -> n.matches(".*[369]")).toList();
-        cluster.cut((one, other) -> single.contains(one) || single.contains(other));
+        List<String> isolated = cluster.names().stream().filter(n -> n.matches(".*[369]")).toList();
+        cluster.cut((one, other) -> isolated.contains(one) || isolated.contains(other));
         cluster.advance(12_000);
         assertEquals(0, cluster.refusedSince(since));
         cluster.cut((one, other) -> false);
@@ -206,15 +207,14 @@
     }
 
     /**
-     * More than half of a few processes are killed twice within one window while one organisation
-     * asks much.
+     * More than half of a small cluster is killed twice within one window under high demand.
      *
-     * <p>Such days passed 0.5 to 6 parts in 100 more than allowed. That does not come about here,
-     * where the fullest window stays below 0.95: what is missing is the way from limit to upstream.
+     * <p>Runs over a day with such kills exceeded the limit by 0.5 to 6 %. The simulation does not
+     * reproduce that, and its fullest window stays below 0.95 of the allowed units, because it does
+     * not model the path from the limit to the upstream.
      */
     @Property(tries = 8, generation = GenerationMode.EXHAUSTIVE)
-    void twoKillsWithinAWindowDoNotExceedTheLimit(
-            @ForAll @IntRange(max = 7) int steps) {
+    void twoKillsWithinAWindowDoNotExceedTheLimit(@ForAll @IntRange(max = 7) int steps) {
         cluster = new SimulatedCluster(DATA_CENTRES, 3, LIMIT_PER_SECOND);
         cluster.advance(SETTLE_MILLIS);
         cluster.demand(USUAL_DEMAND_PER_SECOND);
@@ -230,25 +230,26 @@
         }
         cluster.advance(SimulatedCluster.WINDOW_MILLIS);
         double fullest = cluster.fullestWindowShare();
-        assertTrue(fullest <= 1, "the fullest window passed " + fullest + " of what is allowed");
+        assertTrue(fullest <= 1, "the fullest window granted " + fullest + " of the allowed units");
     }
 
     /**
-     * Every process grants from what it knows, so that all together let pass what is asked until
-     * they have told each other: with digests alone 30,000 units in 200 ms, where 12,000 are
-     * allowed and 7,200 tolerated. Two such moments after kills broke the limit over a window.
+     * Guards against a surge that all processes grant from their own buckets until they receive the
+     * use of the others. With periodic digests alone they grant 30,000 units in 200 ms, where
+     * 12,000 are allowed and 7,200 tolerated; two such surges after kills exceed the limit over a
+     * window.
      */
     @Example
     void surgeIsReportedBeforeAllProcessesGrantTheWholeBurst() {
         cluster = new SimulatedCluster(DATA_CENTRES, 3, LIMIT_PER_SECOND);
         cluster.advance(SETTLE_MILLIS);
         cluster.demand(15 * LIMIT_PER_SECOND);
-        long begun = cluster.now();
+        long startMillis = cluster.now();
         cluster.advance(ClusterView.DIGEST_INTERVAL_MILLIS);
         double allowed = LIMIT_PER_SECOND * (1 + ClusterView.DIGEST_INTERVAL_MILLIS / 1_000.0);
-        double granted = cluster.grantedSince(begun);
+        double granted = cluster.grantedSince(startMillis);
         assertTrue(
                 granted <= allowed + SimulatedCluster.TOLERANCE_UNITS,
-                granted + " units, " + allowed + " are allowed");
+                granted + " units granted, " + allowed + " allowed");
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitReportsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitReportsTest.java
@@ -28,7 +28,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** The form in which limits are told. */
+/** Tests the encoding of limit reports. */
 class LimitReportsTest {
     private static final long NOW_MILLIS = 1_000_000;
     private static final int MAX_BYTES = 10_000;
@@ -44,7 +44,7 @@
         assertEquals(REPORTS, LimitReports.read(written, NOW_MILLIS));
     }
 
-    /** Peers of later builds must write so for this one to read it. */
+    /** Guards against a change of the encoding that peers of other builds cannot read. */
     @Example
     void encodingIsStable() {
         byte[] written = LimitReports.write(REPORTS.subList(0, 1), MAX_BYTES, NOW_MILLIS);
@@ -56,9 +56,9 @@
 
     @Example
     void writesNoMoreThanFits() throws IOException {
-        for (int most = 0; most < 120; most++) {
-            byte[] written = LimitReports.write(REPORTS, most, NOW_MILLIS);
-            assertTrue(written.length <= most);
+        for (int maxBytes = 0; maxBytes < 120; maxBytes++) {
+            byte[] written = LimitReports.write(REPORTS, maxBytes, NOW_MILLIS);
+            assertTrue(written.length <= maxBytes);
             List<LimitReport> read = LimitReports.read(written, NOW_MILLIS);
             assertEquals(REPORTS.subList(0, read.size()), read);
         }
@@ -69,14 +69,14 @@
         byte[] written = LimitReports.write(REPORTS, MAX_BYTES, NOW_MILLIS);
         for (int length = 1; length < written.length; length++) {
             byte[] cut = Arrays.copyOf(written, length);
-            boolean whole = length == 37 || length == 74;
-            if (!whole) {
+            boolean endsBetweenReports = length == 37 || length == 74;
+            if (!endsBetweenReports) {
                 assertThrows(IOException.class, () -> LimitReports.read(cut, NOW_MILLIS));
             }
         }
         for (double limit : new double[] {-2, Double.NaN, Double.POSITIVE_INFINITY}) {
-            LimitReport unsound = new LimitReport("w", 0, LimitNotice.of(limit), 0, 0, 0);
-            byte[] bytes = LimitReports.write(List.of(unsound), MAX_BYTES, NOW_MILLIS);
+            LimitReport invalid = new LimitReport("w", 0, LimitNotice.of(limit), 0, 0, 0);
+            byte[] bytes = LimitReports.write(List.of(invalid), MAX_BYTES, NOW_MILLIS);
             assertThrows(IOException.class, () -> LimitReports.read(bytes, NOW_MILLIS));
         }
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MemberFormatTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MemberFormatTest.java
@@ -24,6 +24,7 @@
 import java.nio.charset.StandardCharsets;
 import net.jqwik.api.Example;
 
+/** Tests the encoding of the members' store entries. */
 class MemberFormatTest {
     private static final GatewayMember MEMBER =
             new GatewayMember("edge-1", "baires-a", "10.0.0.1:7400", 140.5, 0.36);
@@ -33,12 +34,12 @@
         assertEquals(MEMBER, MemberFormat.read(MemberFormat.write(MEMBER)).get());
     }
 
-    /** Processes of the version before write their entries by a library. */
+    /** Processes of the previous version write their entries with Jackson. */
     @Example
     void entryIsCompatibleWithJackson() throws IOException {
-        ObjectMapper library = new ObjectMapper();
-        assertEquals(MEMBER, MemberFormat.read(library.writeValueAsBytes(MEMBER)).get());
-        assertEquals(MEMBER, library.readValue(MemberFormat.write(MEMBER), GatewayMember.class));
+        ObjectMapper mapper = new ObjectMapper();
+        assertEquals(MEMBER, MemberFormat.read(mapper.writeValueAsBytes(MEMBER)).get());
+        assertEquals(MEMBER, mapper.readValue(MemberFormat.write(MEMBER), GatewayMember.class));
     }
 
     @Example
@@ -52,7 +53,7 @@
     @Example
     void entryWithAnInvalidAddressIsRefused() {
         String entry = "{\"name\": \"g1\", \"dataCentre\": \"a\", \"address\": \"nowhere\"}";
-        String fault = MemberFormat.read(entry.getBytes(StandardCharsets.UTF_8)).getLeft();
-        assertTrue(fault.startsWith("address 'nowhere', expected HOST:PORT"), fault);
+        String error = MemberFormat.read(entry.getBytes(StandardCharsets.UTF_8)).getLeft();
+        assertTrue(error.startsWith("address 'nowhere', expected HOST:PORT"), error);
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MembershipTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MembershipTest.java
@@ -37,7 +37,7 @@
 import java.util.function.Consumer;
 import net.jqwik.api.Example;
 
-/** When a process asks the store for the others. */
+/** Tests when a process lists the other members from the store. */
 class MembershipTest {
     private final List<String> calls = new ArrayList<>();
 
@@ -64,7 +64,7 @@
         assertEquals(List.of("grant"), calls);
     }
 
-    /** Hears nobody. */
+    /** Ignores all links and messages. */
     private static final class NoPeers implements MeshListener {
         @Override
         public void linked(NodeHello peer) {}
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Records calls and answers none. */
+    /** Records calls and never answers them. */
     private final class CountingStore implements CoordinationStore {
         @Override
         public void onEpoch(EpochListener listener) {}
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MeshUseTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MeshUseTest.java
@@ -20,8 +20,9 @@
 import net.jqwik.api.Example;
 
 /**
- * What processes tell each other, in messages and bytes of virtual time, so that a part that is
- * added shows what it costs. The bounds are what was counted, and a tenth.
+ * Tests the number of messages and bytes that processes send each other, per second of virtual
+ * time, so that the cost of an added digest section is noticed. The bounds are 10 % above the
+ * reference figures.
  */
 class MeshUseTest {
     private static final int DATA_CENTRES = 6;
@@ -31,29 +32,36 @@
     private static final long SETTLE_MILLIS = 6_000;
     private static final double LIMIT_PER_SECOND = 10_000;
 
-    /** 17.5 were counted: five a second on each of 66 links between hubs and 60 of leaves. */
+    /**
+     * Maximum messages per second and process. The reference is 17.5: five a second in each
+     * direction on 66 links between hubs and 60 links of leaves.
+     */
     private static final double MAX_MESSAGES_PER_SECOND = 19.3;
 
-    /** 442.5 were counted. */
+    /** Maximum bytes per second and process without requests; the reference is 442.5. */
     private static final double MAX_IDLE_BYTES_PER_SECOND = 487;
 
-    /** 967.5 were counted. */
+    /** Maximum bytes per second and process under load; the reference is 967.5. */
     private static final double MAX_BUSY_BYTES_PER_SECOND = 1_064;
 
     private final SimulatedCluster cluster =
             new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, LIMIT_PER_SECOND);
 
-    private void assertTraffic(double mostMessages, double mostBytes) {
+    private void assertTraffic(double maxMessages, double maxBytes) {
         cluster.advance(SETTLE_MILLIS);
         long messages = cluster.messages();
         long bytes = cluster.bytes();
         cluster.advance(SECONDS * 1_000L);
-        double each = PROCESSES * SECONDS;
-        double sent = (cluster.messages() - messages) / each;
-        double size = (cluster.bytes() - bytes) / each;
-        String told = sent + " messages and " + size + " bytes a second and process";
-        assertTrue(sent <= mostMessages, told);
-        assertTrue(size <= mostBytes, told);
+        double processSeconds = PROCESSES * SECONDS;
+        double messagesPerSecond = (cluster.messages() - messages) / processSeconds;
+        double bytesPerSecond = (cluster.bytes() - bytes) / processSeconds;
+        String measured =
+                messagesPerSecond
+                        + " messages and "
+                        + bytesPerSecond
+                        + " bytes per second and process";
+        assertTrue(messagesPerSecond <= maxMessages, measured);
+        assertTrue(bytesPerSecond <= maxBytes, measured);
     }
 
     @Example
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/QuotasTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/QuotasTest.java
@@ -28,7 +28,7 @@
 import java.util.OptionalInt;
 import net.jqwik.api.Example;
 
-/** Limits of organisations over all processes, over restarts and over what peers tell. */
+/** Tests the limits of organisations across processes, restarts and reports of peers. */
 class QuotasTest {
     private static final String ORGANISATION = "t";
     private static final GatewaySettings.Tolerance EXACT = new GatewaySettings.Tolerance(0, 0);
@@ -42,11 +42,11 @@
     }
 
     private static double grantedAtOnce(Quotas quotas) {
-        double passed = 0;
+        double granted = 0;
         while (quotas.tryTake(ORGANISATION, 10, 0) == 0) {
-            passed += 10;
+            granted += 10;
         }
-        return passed;
+        return granted;
     }
 
     @Example
@@ -156,7 +156,7 @@
         assertEquals(600, grantedAtOnce(first));
     }
 
-    /** Uses of nothing are not told, so the first one that is told is an increase from nothing. */
+    /** A use of zero is not reported, so the first reported use is an increase from zero. */
     @Example
     void firstUseOfAKnownIncarnationIsCounted() {
         Quotas quotas = limited(1_000);
@@ -167,7 +167,7 @@
         assertEquals(400, grantedAtOnce(quotas));
     }
 
-    /** What it used before is in the level that it tells. */
+    /** The use before the first report is contained in the reported level. */
     @Example
     void firstUseOfAnUnknownIncarnationSetsTheLevel() {
         Quotas quotas = limited(1_000);
@@ -180,24 +180,24 @@
     @Example
     void earlyReportIsRequestedOnceMuchUseIsUnreported() {
         Quotas quotas = limited(1_000);
-        int[] told = {0};
-        quotas.onMuchUnreported(() -> told[0]++);
+        int[] requested = {0};
+        quotas.onMuchUnreported(() -> requested[0]++);
         for (int i = 0; i < 4; i++) {
             quotas.tryTake(ORGANISATION, 10, 0);
         }
-        assertEquals(0, told[0], "40 of 1,000 are little");
+        assertEquals(0, requested[0], "40 of 1,000 are not reported early");
         quotas.tryTake(ORGANISATION, 10, 0);
-        assertEquals(1, told[0], "50 are much");
+        assertEquals(1, requested[0], "50 of 1,000 are reported early");
         quotas.groupUses(0);
         quotas.tryTake(ORGANISATION, 10, 0);
-        assertEquals(1, told[0], "they were told");
+        assertEquals(1, requested[0], "the use before was reported");
     }
 
     @Example
     void limitWithoutABurstRequestsNoEarlyReport() {
         Quotas quotas = new Quotas(true, EXACT);
         quotas.applyPolicy(policy(1_000, 0), 0);
-        quotas.onMuchUnreported(() -> fail("10 of 1,000 a second are little"));
+        quotas.onMuchUnreported(() -> fail("10 units of 1,000 per second are not reported early"));
         quotas.tryTake(ORGANISATION, 10, 0);
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLimitsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLimitsTest.java
@@ -27,9 +27,9 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Limits over two regions of three data centres each, whatever happens to those who carry their
- * sums: a window's length later nobody within the limit is refused, and no window passes more than
- * the limit allows.
+ * Tests limits across two regions of three data centres each while the bridge hubs, which exchange
+ * the sums of the regions, fail: one window after an event no request within the limit is refused,
+ * and no window grants more than the limit allows.
  */
 class RegionLimitsTest {
     private static final int PROCESSES_PER_DATA_CENTRE = 5;
@@ -37,7 +37,7 @@
     private static final double USUAL_DEMAND_PER_SECOND = LIMIT_PER_SECOND / 1.8;
     private static final long SETTLE_MILLIS = 10_000;
 
-    /** The processes that carry the sums of the two regions while all is calm. */
+    /** The bridge hubs of the two regions as long as nothing fails. */
     private static final List<String> BRIDGES = List.of("p000", "p002", "p001", "p003");
 
     private static final List<Consumer<SimulatedCluster>> EVENTS =
@@ -122,11 +122,16 @@
     }
 
     private void startWithUsualDemand() {
-        cluster = new SimulatedCluster(6, PROCESSES_PER_DATA_CENTRE, LIMIT_PER_SECOND, SimulatedCluster.REGIONS_OF_SIX);
+        cluster =
+                new SimulatedCluster(
+                        6,
+                        PROCESSES_PER_DATA_CENTRE,
+                        LIMIT_PER_SECOND,
+                        SimulatedCluster.REGIONS_OF_SIX);
         cluster.advance(SETTLE_MILLIS);
         cluster.demand(USUAL_DEMAND_PER_SECOND);
         cluster.advance(SETTLE_MILLIS);
-        assertEquals(0, cluster.refusedSince(0), "refused while all is calm");
+        assertEquals(0, cluster.refusedSince(0), "refused before any event");
     }
 
     @Example
@@ -135,8 +140,8 @@
         cluster.demand(6 * USUAL_DEMAND_PER_SECOND);
         cluster.advance(20_000);
         double fullest = cluster.fullestWindowShare();
-        assertTrue(fullest <= 1, "the fullest window passed " + fullest + " of what is allowed");
-        assertTrue(fullest >= 0.8, "the fullest window passed only " + fullest);
+        assertTrue(fullest <= 1, "the fullest window granted " + fullest + " of the allowed units");
+        assertTrue(fullest >= 0.8, "the fullest window granted only " + fullest);
     }
 
     @Property(tries = 8, generation = GenerationMode.EXHAUSTIVE)
@@ -157,6 +162,6 @@
         EVENTS.get(event).accept(cluster);
         cluster.advance(SimulatedCluster.WINDOW_MILLIS);
         double fullest = cluster.fullestWindowShare();
-        assertTrue(fullest <= 1, "the fullest window passed " + fullest + " of what is allowed");
+        assertTrue(fullest <= 1, "the fullest window granted " + fullest + " of the allowed units");
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
@@ -29,16 +29,17 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * What processes of two regions know of each other over links in two levels, in virtual time: 12 to
- * 96 processes in six data centres, a message takes 20 ms.
+ * Tests what processes of two regions know of each other over two levels of links, in virtual time.
+ * There are 12 to 96 processes in six data centres, and a message takes 20 ms.
  */
 class RegionLinksTest {
     private static final double LIMIT_PER_SECOND = 10_000;
     private static final Map<String, String> REGIONS = SimulatedCluster.REGIONS_OF_SIX;
     private static final long SETTLE_MILLIS = 8_000;
 
-    private static SimulatedCluster settled(int ofEach, Map<String, String> regions) {
-        SimulatedCluster cluster = new SimulatedCluster(6, ofEach, LIMIT_PER_SECOND, regions);
+    private static SimulatedCluster settled(int perDataCentre, Map<String, String> regions) {
+        SimulatedCluster cluster =
+                new SimulatedCluster(6, perDataCentre, LIMIT_PER_SECOND, regions);
         cluster.advance(SETTLE_MILLIS);
         return cluster;
     }
@@ -47,7 +48,8 @@
         cluster.names().forEach(name -> cluster.process(name).upstreams().changed(upstream));
     }
 
-    private static List<String> processesUnawareOfLeaving(SimulatedCluster cluster, String upstream) {
+    private static List<String> processesUnawareOfLeaving(
+            SimulatedCluster cluster, String upstream) {
         return cluster.names().stream()
                 .filter(name -> cluster.process(name).isRunning())
                 .filter(name -> !cluster.process(name).upstreams().isLeaving(upstream))
@@ -63,23 +65,25 @@
     }
 
     @Property(tries = 4, seed = "20261203")
-    void everyProcessIsCountedOnceByEveryOther(@ForAll @IntRange(min = 2, max = 16) int ofEach) {
-        assertAllReceiveFrom(settled(ofEach, REGIONS), 6 * ofEach);
+    void everyProcessIsCountedOnceByEveryOther(
+            @ForAll @IntRange(min = 2, max = 16) int perDataCentre) {
+        assertAllReceiveFrom(settled(perDataCentre, REGIONS), 6 * perDataCentre);
     }
 
     @Example
     void trafficBetweenRegionsIsSmallAndDoesNotGrowWithTheProcesses() {
-        long few = bytesPerSecond(2, REGIONS);
-        long many = bytesPerSecond(12, REGIONS);
-        long without = bytesPerSecond(12, Map.of());
-        String seen = few + " of 12, " + many + " of 72, " + without + " of 72 without levels";
-        assertTrue(many < 60_000, seen);
-        assertTrue(many < 2 * few + 1_000, seen);
-        assertTrue(many < without / 4, seen);
+        long small = bytesPerSecond(2, REGIONS);
+        long large = bytesPerSecond(12, REGIONS);
+        long oneLevel = bytesPerSecond(12, Map.of());
+        String measured =
+                small + " of 12, " + large + " of 72, " + oneLevel + " of 72 without levels";
+        assertTrue(large < 60_000, measured);
+        assertTrue(large < 2 * small + 1_000, measured);
+        assertTrue(large < oneLevel / 4, measured);
     }
 
-    private static long bytesPerSecond(int ofEach, Map<String, String> regions) {
-        SimulatedCluster cluster = settled(ofEach, regions);
+    private static long bytesPerSecond(int perDataCentre, Map<String, String> regions) {
+        SimulatedCluster cluster = settled(perDataCentre, regions);
         cluster.demand(LIMIT_PER_SECOND / 2);
         cluster.advance(2_000);
         long before = cluster.bytesBetweenRegions();
@@ -88,8 +92,8 @@
     }
 
     /**
-     * The load of 72 processes: 480 requests a second of 16 organisations that begin to run, and 63
-     * upstreams that every process has work at.
+     * At least the load of 72 processes, which is 480 requests a second of 16 organisations: 500 a
+     * second start, and every process has requests at 63 upstreams.
      */
     @Example
     void trafficBetweenRegionsStaysSmallUnderTheLoadOfManyOrganisationsAndUpstreams() {
@@ -98,17 +102,18 @@
             addToAll(cluster, new Upstream("w" + i, "s", "dc" + i % 6, "h:1", 8, false, false, 0));
         }
         cluster.demand(LIMIT_PER_SECOND / 2);
-        long begun = 0;
+        long startBytes = 0;
         for (int step = 0; step < 600; step++) {
-            begun = step == 100 ? cluster.bytesBetweenRegions() : begun;
+            startBytes = step == 100 ? cluster.bytesBetweenRegions() : startBytes;
             applyLoad(cluster, step);
             cluster.advance(20);
         }
-        long aSecond = (cluster.bytesBetweenRegions() - begun) / 10;
-        assertTrue(aSecond < 2 * 60_000, aSecond + " bytes a second, both ways together");
+        long perSecond = (cluster.bytesBetweenRegions() - startBytes) / 10;
+        assertTrue(
+                perSecond < 2 * 60_000, perSecond + " bytes per second, both directions together");
     }
 
-    /** Ten requests begin to run, and each process sends one to another upstream. */
+    /** Starts ten requests, and sends one of each process to the next upstream. */
     private static void applyLoad(SimulatedCluster cluster, int step) {
         List<String> names = cluster.names();
         for (int i = 0; i < 10; i++) {
@@ -166,8 +171,8 @@
         cluster.losePower("p000");
         cluster.advance(1_200);
         for (String name : cluster.namesOf("dc1")) {
-            int heard = cluster.process(name).view().totalProcesses();
-            assertTrue(heard >= 36 + 24, name + " hears " + heard);
+            int received = cluster.process(name).view().totalProcesses();
+            assertTrue(received >= 36 + 24, name + " receives from " + received);
         }
         cluster.advance(10_000);
         assertAllReceiveFrom(cluster, 71);
@@ -246,7 +251,7 @@
             var loads = cluster.process(name).loads();
             assertEquals(6, loads.requests("n1") + loads.requests("n2"), name);
             assertEquals(600, loads.promptTokens("n1") + loads.promptTokens("n2"), name);
-            assertEquals(3, loads.requests("n1"), name + " hears no more than the sum");
+            assertEquals(3, loads.requests("n1"), name + " receives no more than the sum");
             assertEquals(1, loads.requests("m"), name);
         }
         for (String name : cluster.namesOf("dc4")) {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RolloutKeeperTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RolloutKeeperTest.java
@@ -29,7 +29,7 @@
 import java.util.SplittableRandom;
 import net.jqwik.api.Example;
 
-/** What a process knows of roll-outs when the store comes back from a copy. */
+/** Tests what a process knows of roll-outs after the store was restored from a copy. */
 class RolloutKeeperTest {
     private static final RolloutOrder ORDER = new RolloutOrder("m", "v2", 20_000, 400);
 
@@ -52,8 +52,8 @@
         return manager.lostRecord(rollout).map(RolloutStatus::state);
     }
 
-    // Guards against a leader that has heard the result from a peer only, and writes again the
-    // record before it.
+    // Guards against a leader that received the result only from a peer and writes the previous
+    // record again.
     @Example
     void resultReportedOnlyByAPeerIsRecordedAgain() {
         receiveUpdate(ORDER, RolloutPhase.SAMPLING);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SendSlotOrdersTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SendSlotOrdersTest.java
@@ -29,7 +29,7 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** Which turns are whose. */
+/** Tests how the send slots of a limited upstream are shared among processes. */
 class SendSlotOrdersTest {
     private static final Map<String, String> REGIONS = Map.of("a", "r1", "b", "r1", "c", "r2");
 
@@ -42,10 +42,14 @@
     }
 
     private static SendSlotOrder order(
-            int self, String dataCentre, List<GatewayMember> listed, int processes, String where) {
+            int self,
+            String dataCentre,
+            List<GatewayMember> listed,
+            int processes,
+            String upstreamDataCentre) {
         Topology topology = Topology.of(dataCentre, REGIONS);
         return new SendSlotOrders("g" + self, topology, () -> listed, () -> processes, () -> 0)
-                .of(upstream(where));
+                .of(upstream(upstreamDataCentre));
     }
 
     @Example
@@ -58,7 +62,9 @@
         for (int i = 0; i < 12; i++) {
             places.add(order(i, List.of("a", "b", "c").get(i % 3), listed, 12, "a"));
         }
-        assertTrue(places.remove(SendSlotOrder.NO_SHARE), "the other region's have none");
+        assertTrue(
+                places.remove(SendSlotOrder.NO_SHARE),
+                "processes of the other region have no share");
         assertEquals(8, places.size());
         places.forEach(place -> assertEquals(8, place.count()));
     }
@@ -69,7 +75,10 @@
         assertEquals(new SendSlotOrder(1, 3), order(1, "a", listed, 3, "a"));
     }
 
-    /** Or all would take every turn when the store has told nothing after a start of all. */
+    /**
+     * Guards against all processes taking every send slot when all have started and the store has
+     * reported no members yet.
+     */
     @Example
     void processTakesAShareWhileOthersAreUnknown() {
         assertEquals(10, order(1, "a", List.of(), 1, "a").count());
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SettingsReaderTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SettingsReaderTest.java
@@ -22,7 +22,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Wrong settings are named all at once, with value and expected form. */
+/** Tests that all invalid settings are reported together, with value and expected form. */
 class SettingsReaderTest {
     private static final String VALID =
             """
@@ -46,12 +46,12 @@
 
     @Example
     void reportsEveryInvalidOption() {
-        String bad =
+        String invalid =
                 VALID.replace("\"n\"", "\"\"")
                         .replace("127.0.0.1:6", "nowhere")
                         .replace("0.2", "\"much\"");
         SettingsException e =
-                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", bad));
+                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", invalid));
         assertTrue(e.getMessage().contains("option node.name is ''"), e.getMessage());
         assertTrue(e.getMessage().contains("option store is 'nowhere'"), e.getMessage());
         assertTrue(e.getMessage().contains("option retries.ratio is 'much'"), e.getMessage());
@@ -59,9 +59,9 @@
 
     @Example
     void keyOfThePreviousVersionIsRefusedWithItsNewName() {
-        String old = VALID.replace("data_centre", "zone");
+        String previous = VALID.replace("data_centre", "zone");
         SettingsException e =
-                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", old));
+                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", previous));
         assertTrue(
                 e.getMessage()
                         .contains(
@@ -98,8 +98,8 @@
 
     @Example
     void regionTableWithoutTheOwnRegionIsIgnoredWithANote() {
-        String bad = TWO_REGIONS.replace("\"z\": \"r\"", "\"x\": \"r\"");
-        GatewaySettings settings = SettingsReader.parse("f", bad);
+        String invalid = TWO_REGIONS.replace("\"z\": \"r\"", "\"x\": \"r\"");
+        GatewaySettings settings = SettingsReader.parse("f", invalid);
         assertEquals(GatewaySettings.Regions.ONE, settings.regions());
         assertEquals(
                 List.of(
@@ -111,9 +111,9 @@
 
     @Example
     void negativeMemoryIsRefused() {
-        String bad = TWO_REGIONS.replace("330", "-1");
+        String invalid = TWO_REGIONS.replace("330", "-1");
         SettingsException e =
-                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", bad));
+                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", invalid));
         assertTrue(e.getMessage().contains("option capacity.memory_mb is '-1'"), e.getMessage());
     }
 
@@ -127,9 +127,9 @@
         assertEquals(
                 new GatewaySettings.Rollouts(true, 0.1, 50),
                 SettingsReader.parse("f", ordered).rollouts());
-        String bad = ordered.replace("0.1", "1.5");
+        String invalid = ordered.replace("0.1", "1.5");
         SettingsException e =
-                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", bad));
+                assertThrows(SettingsException.class, () -> SettingsReader.parse("f", invalid));
         assertTrue(e.getMessage().contains("option rollouts.share is '1.5'"), e.getMessage());
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedCluster.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedCluster.java
@@ -41,14 +41,14 @@
 import java.util.function.BiPredicate;
 
 /**
- * Gateway processes in virtual time that share one organisation's limit: their real views of each
- * other, limits and plans of links, over links and a store that this class plays.
+ * Simulates gateway processes in virtual time that share the limit of one organisation. The cluster
+ * views, limits and link plans are the production classes; links and store are simulated.
  *
- * <p>Callers send requests of {@link #UNITS_PER_REQUEST} units at a steady rate, in equal parts to all
- * processes that run.
+ * <p>Callers send requests of {@link #UNITS_PER_REQUEST} units at a steady rate, in equal parts to
+ * all running processes.
  */
 final class SimulatedCluster {
-    /** Size of each request. */
+    /** Size of each request, in units. */
     static final double UNITS_PER_REQUEST = 10;
 
     static final String ORGANISATION = "t";
@@ -59,7 +59,7 @@
                     "dc0", "north", "dc1", "south", "dc2", "north", "dc3", "south", "dc4", "north",
                     "dc5", "south");
 
-    /** Over how long the limit is measured, in milliseconds. */
+    /** Length of the windows over which the limit is checked, in milliseconds. */
     static final long WINDOW_MILLIS = 8_000;
 
     private static final long STEP_MILLIS = 20;
@@ -67,7 +67,10 @@
     private static final long RENEWAL_INTERVAL_MILLIS = 2_000;
     private static final double TOLERANCE = 0.1;
 
-    /** Units on top: what the largest limits of the users' deployments have in proportion. */
+    /**
+     * Absolute tolerance of the limit, in units. It is in the same proportion as for the largest
+     * limits of the users' deployments.
+     */
     static final double TOLERANCE_UNITS = 7_200;
 
     private final Map<String, SimulatedProcess> processes = new TreeMap<>();
@@ -89,7 +92,7 @@
     private long messages;
     private long bytes;
 
-    /** A link between two processes, named in the order of their names; one of them dialled. */
+    /** A link between two processes, of which {@code dialler} opened it. */
     private record Link(String one, String other, String dialler) {
         boolean joins(String first, String second) {
             return (one.equals(first) && other.equals(second))
@@ -97,19 +100,22 @@
         }
     }
 
-    /** A message that arrives with the next step. */
+    /** A message that is delivered in the next step. */
     private record Message(NodeHello from, String to, NodeMessage content) {}
 
-    SimulatedCluster(int dataCentres, int processesOfEach, double perSecond) {
-        this(dataCentres, processesOfEach, perSecond, Map.of());
+    SimulatedCluster(int dataCentres, int processesPerDataCentre, double perSecond) {
+        this(dataCentres, processesPerDataCentre, perSecond, Map.of());
     }
 
-    /** Creates processes that know the regions of their data centres. */
+    /** Creates a cluster whose processes know the regions of their data centres. */
     SimulatedCluster(
-            int dataCentres, int processesOfEach, double perSecond, Map<String, String> regions) {
+            int dataCentres,
+            int processesPerDataCentre,
+            double perSecond,
+            Map<String, String> regions) {
         this.regions = regions;
         limit(perSecond);
-        for (int i = 0; i < dataCentres * processesOfEach; i++) {
+        for (int i = 0; i < dataCentres * processesPerDataCentre; i++) {
             String dataCentre = "dc" + i % dataCentres;
             String name = String.format(Locale.ROOT, "p%03d", i);
             double linkMbps = i < 2 * dataCentres ? 100 : 10;
@@ -129,7 +135,7 @@
         return processes.get(name);
     }
 
-    /** Tells whether two processes stand in different regions, whether they know it or not. */
+    /** Whether two processes are in different regions, also if they do not know the regions. */
     boolean isBetweenRegions(String one, String other) {
         return !regionOf(one).equals(regionOf(other));
     }
@@ -138,7 +144,7 @@
         return SimulatedCluster.REGIONS_OF_SIX.getOrDefault(entries.get(name).dataCentre(), "");
     }
 
-    /** Returns how many bytes went from one region to another, both ways together. */
+    /** Returns the number of bytes sent between regions, in both directions together. */
     long bytesBetweenRegions() {
         return bytesBetweenRegions;
     }
@@ -151,7 +157,7 @@
         return policy;
     }
 
-    /** Sets the limit; the burst is what the rate gives in a second. */
+    /** Sets the limit, in units per second; the burst is the rate of one second. */
     void limit(double perSecond) {
         RateSpec limit = new RateSpec(perSecond, perSecond, true, 1);
         OrganisationSpec organisation =
@@ -173,14 +179,14 @@
         return new GatewaySettings.Tolerance(TOLERANCE, TOLERANCE_UNITS);
     }
 
-    /** Sets what callers ask for, in units a second over all processes. */
+    /** Sets the units per second that callers request from all processes together. */
     void demand(double perSecond) {
         demand = perSecond;
     }
 
     /** Sets which processes cannot reach each other. */
-    void cut(BiPredicate<String, String> between) {
-        cut = (one, other) -> between.test(one, other) || between.test(other, one);
+    void cut(BiPredicate<String, String> partitioned) {
+        cut = (one, other) -> partitioned.test(one, other) || partitioned.test(other, one);
         for (Link link : List.copyOf(links)) {
             if (cut.test(link.one(), link.other())) {
                 links.remove(link);
@@ -199,17 +205,17 @@
                 .toList();
     }
 
-    /** Has the store tell a change of the list of upstreams to all that follow it now. */
+    /** Delivers a change of the upstream list to all processes that follow the store now. */
     void deliverStoreChange(StoreItem item) {
         followers().forEach(name -> processes.get(name).storeChanged(item));
     }
 
-    /** Has the store answer a process, or not. */
+    /** Sets whether the store answers a process. */
     void setStoreReachable(String name, boolean answers) {
         processes.get(name).setStoreReachable(answers);
     }
 
-    /** Returns the processes that follow the store themselves. */
+    /** Returns the running processes that follow the store themselves. */
     List<String> followers() {
         return processes.values().stream()
                 .filter(process -> process.isRunning() && process.followsStore())
@@ -217,7 +223,7 @@
                 .toList();
     }
 
-    /** Returns the processes whose list of upstreams is older than a revision. */
+    /** Returns the running processes whose upstream list is older than a revision. */
     List<String> behind(long revision) {
         return processes.values().stream()
                 .filter(process -> process.isRunning() && process.directoryRevision() < revision)
@@ -225,7 +231,7 @@
                 .toList();
     }
 
-    /** Ends a process; its peers see their links close. */
+    /** Ends a process; its peers notice that their links close. */
     void kill(String name) {
         processes.get(name).stop();
         for (Link link : List.copyOf(links)) {
@@ -237,12 +243,12 @@
         }
     }
 
-    /** Ends a process whose peers see nothing of it: their links stay open until it is back. */
+    /** Ends a process without notice to its peers: their links stay open until it restarts. */
     void losePower(String name) {
         processes.get(name).stop();
     }
 
-    /** Starts a process that has ended; links of its former life are dead. */
+    /** Restarts a process that has ended; links of its previous incarnation are closed. */
     void restart(String name) {
         links.removeIf(link -> link.one().equals(name) || link.other().equals(name));
         processes.get(name).start(false);
@@ -252,12 +258,12 @@
         processes.get(name).freeze(frozen);
     }
 
-    /** Has a task run after each step of time. */
+    /** Sets a task that runs after each time step. */
     void onStep(Runnable task) {
         onStep = task;
     }
 
-    /** Has time pass. */
+    /** Advances the virtual time. */
     void advance(long millis) {
         long end = now + millis;
         while (now < end) {
@@ -269,31 +275,34 @@
         }
     }
 
-    /** Returns how many requests were refused from a time on. */
+    /** Returns the number of requests refused since a time, inclusive. */
     int refusedSince(long millis) {
         return refused.tailMap(millis, true).values().stream().mapToInt(count -> count).sum();
     }
 
-    /** Returns the units that were let pass from a time on. */
+    /** Returns the units granted since a time, exclusive. */
     double grantedSince(long millis) {
         return UNITS_PER_REQUEST
                 * granted.tailMap(millis, false).values().stream().mapToInt(count -> count).sum();
     }
 
-    /** Returns the part of what one window allows that the fullest window passed; at most 1. */
+    /**
+     * Returns the units granted in the fullest window, as a share of the units that one window
+     * allows; at most 1 if the limit is kept.
+     */
     double fullestWindowShare() {
-        double most = 0;
+        double maxUnits = 0;
         for (long end : granted.keySet()) {
             int requests =
                     granted.subMap(end - WINDOW_MILLIS, false, end, true).values().stream()
                             .mapToInt(count -> count)
                             .sum();
-            most = Math.max(most, requests * UNITS_PER_REQUEST);
+            maxUnits = Math.max(maxUnits, requests * UNITS_PER_REQUEST);
         }
-        return most / maxAllowedUnits;
+        return maxUnits / maxAllowedUnits;
     }
 
-    /** Returns the processes that the store lists. */
+    /** Returns the members that the store lists. */
     Collection<GatewayMember> listed() {
         List<GatewayMember> listed = new ArrayList<>();
         leaseEnds.forEach(
@@ -305,7 +314,7 @@
         return listed;
     }
 
-    /** Has an entry stand in the store although there is no such process. */
+    /** Adds a store entry for a process that does not exist. */
     void addEntryWithoutProcess(String name, String dataCentre, long forMillis) {
         entries.put(name, new GatewayMember(name, dataCentre, name + ":1", 1, 1));
         leaseEnds.put(name, now + forMillis);
@@ -315,7 +324,7 @@
         return links.stream().anyMatch(link -> link.joins(one, other));
     }
 
-    /** Opens a link; returns false if the other one cannot be reached. */
+    /** Opens a link; returns false if the other process cannot be reached. */
     boolean dial(SimulatedProcess dialler, String address) {
         String name = address.substring(0, address.indexOf(':'));
         String own = dialler.member().name();
@@ -329,19 +338,19 @@
         return true;
     }
 
-    /** Closes the links that a process opened and does not want any more. */
-    void closeUnplanned(String dialler, Set<String> wantedAddresses) {
+    /** Closes the links that a process opened and no longer plans. */
+    void closeUnplanned(String dialler, Set<String> plannedAddresses) {
         links.removeIf(
                 link ->
                         link.dialler().equals(dialler)
-                                && !wantedAddresses.contains(link.other() + ":1"));
+                                && !plannedAddresses.contains(link.other() + ":1"));
     }
 
     void close(String one, String other) {
         links.removeIf(link -> link.joins(one, other));
     }
 
-    /** Has some processes be of a build that neither tells nor reads epochs of the store. */
+    /** Makes processes run an older build, which neither sends nor reads store epochs. */
     void olderBuildNames(Collection<String> names) {
         olderBuildNames = Set.copyOf(names);
     }
@@ -351,8 +360,9 @@
     }
 
     private NodeMessage withoutUnknownSections(NodeHello from, String to, NodeMessage message) {
-        boolean between = olderBuildNames.contains(from.name()) || olderBuildNames.contains(to);
-        if (!between || !(message instanceof NodeDigest digest)) {
+        boolean involvesOlderBuild =
+                olderBuildNames.contains(from.name()) || olderBuildNames.contains(to);
+        if (!involvesOlderBuild || !(message instanceof NodeDigest digest)) {
             return message;
         }
         return new NodeDigest(
@@ -383,20 +393,20 @@
         bytes += PeerCodec.encode(message).length;
     }
 
-    /** Returns how many messages were sent so far. */
+    /** Returns the number of messages sent so far. */
     long messages() {
         return messages;
     }
 
-    /** Returns how many bytes the messages had that were sent so far. */
+    /** Returns the number of bytes sent so far. */
     long bytes() {
         return bytes;
     }
 
     private void deliver() {
-        List<Message> due = List.copyOf(inFlight);
+        List<Message> messagesDue = List.copyOf(inFlight);
         inFlight.clear();
-        for (Message message : due) {
+        for (Message message : messagesDue) {
             SimulatedProcess target = processes.get(message.to());
             if (target != null && linked(message.from().name(), message.to())) {
                 target.received(message.from(), message.content());
@@ -418,7 +428,9 @@
         List<SimulatedProcess> running =
                 processes.values().stream().filter(SimulatedProcess::isRunning).toList();
         for (SimulatedProcess process : running) {
-            int requests = process.wholeRequests(demand / running.size() * STEP_MILLIS / 1000.0 / UNITS_PER_REQUEST);
+            int requests =
+                    process.wholeRequests(
+                            demand / running.size() * STEP_MILLIS / 1000.0 / UNITS_PER_REQUEST);
             for (int i = 0; i < requests; i++) {
                 TreeMap<Long, Integer> counts = process.tryTake(now) ? granted : refused;
                 counts.merge(now, 1, Integer::sum);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
@@ -55,7 +55,7 @@
     private static final long STARTUP_LIST_INTERVAL_MILLIS = 1_000;
     private static final long LIST_INTERVAL_MILLIS = 3_000;
 
-    /** Length of the windows of usage, in milliseconds. */
+    /** Length of the usage windows, in milliseconds. */
     static final long USAGE_WINDOW_MILLIS = 5_000;
 
     private final SimulatedCluster cluster;
@@ -145,8 +145,8 @@
         running = false;
     }
 
-    void freeze(boolean now) {
-        frozen = now;
+    void freeze(boolean newState) {
+        frozen = newState;
     }
 
     boolean isRunning() {
@@ -206,15 +206,15 @@
         quotas.applyPolicy(cluster.policy(), cluster.now());
     }
 
-    /** Tells how many requests come now, if so many are expected on average. */
-    int wholeRequests(double requests) {
-        fractionalRequests += requests;
+    /** Returns the whole number of requests due now; fractions are carried over to later calls. */
+    int wholeRequests(double expectedRequests) {
+        fractionalRequests += expectedRequests;
         int whole = (int) fractionalRequests;
         fractionalRequests -= whole;
         return whole;
     }
 
-    /** Tells peers what could not wait, once the requests of this moment are decided. */
+    /** Sends an early digest if one was requested, once the requests of this step are decided. */
     void sendRequestedDigest() {
         if (earlyDigestRequested) {
             earlyDigestRequested = false;
@@ -223,7 +223,9 @@
     }
 
     boolean tryTake(long now) {
-        return quotas.tryTake(SimulatedCluster.ORGANISATION, SimulatedCluster.UNITS_PER_REQUEST, now) == 0;
+        return quotas.tryTake(
+                        SimulatedCluster.ORGANISATION, SimulatedCluster.UNITS_PER_REQUEST, now)
+                == 0;
     }
 
     void step(long now) {
@@ -241,14 +243,14 @@
         }
     }
 
-    /** Tells a change of the list of upstreams as the store would. */
+    /** Delivers a change of the upstream list as the store does. */
     void storeChanged(StoreItem item) {
         if (isRunning()) {
             directory.changed(item);
         }
     }
 
-    /** Has the store lost to this process, or answering it again. */
+    /** Sets whether the store answers this process. */
     void setStoreReachable(boolean answers) {
         if (answers) {
             health.answered();
@@ -257,12 +259,12 @@
         }
     }
 
-    /** Returns what this process knows of the store. */
+    /** Returns the store health as this process sees it. */
     StoreHealth health() {
         return health;
     }
 
-    /** Tells whether this process would follow the store itself. */
+    /** Whether this process follows the store itself instead of receiving changes from peers. */
     boolean followsStore() {
         suppliedByPeers = view.isFed(suppliedByPeers);
         return !suppliedByPeers;
@@ -290,22 +292,23 @@
     }
 
     private void maintainLinks(long now) {
-        for (Map.Entry<String, Long> heard : Map.copyOf(lastReceivedMillis).entrySet()) {
-            String address = heard.getKey() + ":1";
+        for (Map.Entry<String, Long> received : Map.copyOf(lastReceivedMillis).entrySet()) {
+            String address = received.getKey() + ":1";
             boolean ownHub = !plan.hub() && plan.dial().contains(address);
-            long most = ownHub ? PeerMesh.HEARD_MILLIS : PEER_TIMEOUT_MILLIS;
-            if (cluster.linked(member.name(), heard.getKey()) && now - heard.getValue() > most) {
+            long timeoutMillis = ownHub ? PeerMesh.HEARD_MILLIS : PEER_TIMEOUT_MILLIS;
+            if (cluster.linked(member.name(), received.getKey())
+                    && now - received.getValue() > timeoutMillis) {
                 planner.unreachable(address, now);
-                cluster.close(member.name(), heard.getKey());
-                lastReceivedMillis.remove(heard.getKey());
+                cluster.close(member.name(), received.getKey());
+                lastReceivedMillis.remove(received.getKey());
             }
         }
         if (planned) {
             plan = planner.plan(view.isNeeded(), now);
         }
-        boolean few =
+        boolean fullMesh =
                 planner.size() <= HubTopology.FULL_MESH_MAX_PROCESSES && topology.isOneRegion();
-        if (planned && !few) {
+        if (planned && !fullMesh) {
             cluster.closeUnplanned(member.name(), plan.dial());
         }
         for (String address : plan.dial()) {
@@ -316,7 +319,7 @@
         }
     }
 
-    /** Policies of which only the version is written. */
+    /** Reads policies whose value is only their version. */
     private static final class VersionFormat extends EmptyPlatformFormat {
         @Override
         public Either<String, ServingPolicy> policy(byte[] value) {
@@ -327,7 +330,7 @@
         }
     }
 
-    /** The links as the view sees them. */
+    /** The simulated links as a {@link Mesh} for the view. */
     private final class Links implements Mesh {
         @Override
         public int size() {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedStore.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedStore.java
@@ -28,9 +28,9 @@
 import java.util.TreeMap;
 
 /**
- * The platform's store as the processes of a {@link SimulatedCluster} see it: those that follow it
- * list the upstreams and watch them, all others call it now and then. It can come back from a copy,
- * and watches can wait on unheard.
+ * Simulates the platform's store for a {@link SimulatedCluster}. Processes that follow the store
+ * list and watch the upstreams; all others call it periodically. The store can be restored from a
+ * copy, and watches can stall, so that they stay open but deliver no changes.
  */
 final class SimulatedStore {
     private static final long LOST_REVISIONS = 400;
@@ -49,7 +49,7 @@
     private long epoch;
     private int listCalls;
 
-    /** What a process that follows the store has asked it. */
+    /** State of the list and watch calls of one process. */
     private static final class Follower {
         private long epoch;
         private long revision;
@@ -61,7 +61,7 @@
     /**
      * Creates a store with some upstreams.
      *
-     * @param epoch the epoch that it names; 0 for none
+     * @param epoch the epoch that its answers name; 0 for none
      */
     SimulatedStore(SimulatedCluster cluster, long epoch) {
         this.cluster = cluster;
@@ -79,18 +79,18 @@
         return epoch;
     }
 
-    /** Returns how often it was asked for all upstreams. */
+    /** Returns the number of list calls for all upstreams. */
     int listCalls() {
         return listCalls;
     }
 
-    /** Has no call of some processes reach it. */
+    /** Disconnects processes from the store: none of their calls reaches it. */
     void cutOff(List<String> names) {
         names.forEach(name -> cluster.setStoreReachable(name, false));
         cutOff.addAll(names);
     }
 
-    /** Has a process's watch wait on unheard. */
+    /** Stalls the watch of a process: it stays open but delivers no changes. */
     void stallWatch(String name) {
         followers.get(name).stalled = true;
     }
@@ -99,7 +99,7 @@
         followers.get(name).watching = false;
     }
 
-    /** Returns the processes whose watches wait. */
+    /** Returns the names of the processes with an open watch, sorted. */
     List<String> watching() {
         return followers.entrySet().stream()
                 .filter(entry -> entry.getValue().watching)
@@ -117,11 +117,11 @@
     void remove(String id) {
         items.remove(id);
         revision++;
-        StoreItem gone = new StoreItem("upstream/" + id, new byte[0], revision, 0, true);
-        followers.forEach((name, follower) -> notifyFollower(name, follower, gone));
+        StoreItem removed = new StoreItem("upstream/" + id, new byte[0], revision, 0, true);
+        followers.forEach((name, follower) -> notifyFollower(name, follower, removed));
     }
 
-    /** Copies what it holds, then has upstreams write, so that a return loses revisions. */
+    /** Copies the items, then writes more, so that a restore from the copy loses revisions. */
     void copyAndWrite() {
         savedItems = new TreeMap<>(items);
         copiedRevision = revision;
@@ -131,7 +131,7 @@
         cluster.advance(1_000);
     }
 
-    /** Comes back; no call fails, and who waits for a change hears of none. */
+    /** Restores the copy in a new epoch; no call fails, and open watches deliver no changes. */
     void restoreFromCopy() {
         items.clear();
         items.putAll(savedItems);
@@ -140,7 +140,7 @@
         followers.forEach(
                 (name, follower) -> {
                     follower.stalled = true;
-                    // refused: it asks for changes after a revision that is not there
+                    // The store refuses a watch after a revision that does not exist.
                     follower.watching &= !cluster.isOlderBuild(name);
                 });
     }
@@ -154,8 +154,9 @@
             if (!process.isRunning() || cutOff.contains(name)) {
                 continue;
             }
-            long pause = process.isHub() ? HUB_CALL_INTERVAL_MILLIS : LEAF_CALL_INTERVAL_MILLIS;
-            if ((now + number * 140L) % pause < 20) {
+            long intervalMillis =
+                    process.isHub() ? HUB_CALL_INTERVAL_MILLIS : LEAF_CALL_INTERVAL_MILLIS;
+            if ((now + number * 140L) % intervalMillis < 20) {
                 recordAnswer(process);
             }
             follow(name, process, now);
@@ -176,8 +177,8 @@
             follower.listDueMillis = -1;
             return;
         }
-        boolean same = follower.epoch == process.health().history().epoch();
-        if (follower.watching && (same || cluster.isOlderBuild(name))) {
+        boolean sameEpoch = follower.epoch == process.health().history().epoch();
+        if (follower.watching && (sameEpoch || cluster.isOlderBuild(name))) {
             watch(name, follower);
             return;
         }
@@ -214,20 +215,20 @@
         }
     }
 
-    /** Returns the processes that do not hold what the store does. */
+    /** Returns the processes whose upstream list or epoch differs from that of the store. */
     List<String> behind() {
         List<String> behind = new ArrayList<>();
         for (String name : cluster.names()) {
             SimulatedProcess process = cluster.process(name);
-            Map<String, String> held = new TreeMap<>();
+            Map<String, String> actual = new TreeMap<>();
             for (UpstreamEntry entry : process.directory().entries()) {
-                held.put(entry.id(), new String(entry.value(), UTF_8));
+                actual.put(entry.id(), new String(entry.value(), UTF_8));
             }
             Map<String, String> expected = new TreeMap<>();
             items.forEach((id, item) -> expected.put(id, new String(item.value(), UTF_8)));
-            boolean onHistory =
+            boolean onCurrentEpoch =
                     process.health().history().epoch() == epoch || cluster.isOlderBuild(name);
-            if (!onHistory || !held.equals(expected)) {
+            if (!onCurrentEpoch || !actual.equals(expected)) {
                 behind.add(name);
             }
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StalledWatchTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StalledWatchTest.java
@@ -22,8 +22,9 @@
 import net.jqwik.api.Example;
 
 /**
- * A process that follows the store for others hears nothing of it any more, though its watch waits
- * and its other calls are answered: what changes is known to all within two seconds all the same.
+ * Tests that changes are known to all processes within two seconds when the watch of a process that
+ * follows the store for others stalls: it stays open but delivers nothing, while other calls are
+ * answered.
  */
 class StalledWatchTest {
     private static final long SETTLE_MILLIS = 4_000;
@@ -32,8 +33,8 @@
     private SimulatedCluster cluster;
     private SimulatedStore store;
 
-    private void start(int dataCentres, int ofEach) {
-        cluster = new SimulatedCluster(dataCentres, ofEach, 10_000);
+    private void start(int dataCentres, int perDataCentre) {
+        cluster = new SimulatedCluster(dataCentres, perDataCentre, 10_000);
         store = new SimulatedStore(cluster, 0);
         cluster.advance(SETTLE_MILLIS);
         store.put("u0");
@@ -46,12 +47,13 @@
         while (cluster.now() < until && !store.behind().isEmpty()) {
             cluster.advance(100);
         }
-        assertEquals(List.of(), store.behind(), "not known after " + millis + " ms");
+        assertEquals(
+                List.of(), store.behind(), "processes without the change after " + millis + " ms");
     }
 
-    // Guards against leaves that wait with their hub for a watch that hears nothing.
-    private void assertChangesAreKnownDespiteAStalledWatch(int dataCentres, int ofEach) {
-        start(dataCentres, ofEach);
+    // Guards against leaves that depend on a hub whose watch is stalled and miss changes.
+    private void assertChangesAreKnownDespiteAStalledWatch(int dataCentres, int perDataCentre) {
+        start(dataCentres, perDataCentre);
         for (String follower : store.watching()) {
             store.stallWatch(follower);
             store.remove("u1");
@@ -82,17 +84,17 @@
         assertChangesAreKnownDespiteAStalledWatch(8, 42);
     }
 
-    // Guards against lists of the store that are read anew because others were.
+    // Guards against list calls that cause list calls of other processes.
     @Example
     void restartOfAFollowerCausesFewLists() {
         start(3, 10);
-        int before = store.listCalls();
+        int listsBefore = store.listCalls();
         String follower = store.watching().get(0);
         cluster.kill(follower);
         cluster.restart(follower);
         cluster.advance(20_000);
-        int more = store.listCalls() - before;
-        assertTrue(more <= 6, more + " lists");
+        int additional = store.listCalls() - listsBefore;
+        assertTrue(additional <= 6, additional + " additional list calls");
         assertEquals(List.of(), store.behind());
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StartupRequestQueueTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StartupRequestQueueTest.java
@@ -23,7 +23,7 @@
 import java.util.TreeMap;
 import net.jqwik.api.Example;
 
-/** What becomes of requests that a process takes before it knows policy and upstreams. */
+/** Tests requests that arrive before a process knows policy and upstreams. */
 class StartupRequestQueueTest {
     private final TreeMap<Long, List<Runnable>> timers = new TreeMap<>();
     private final List<String> accepted = new ArrayList<>();
@@ -40,7 +40,7 @@
                     () -> informed,
                     new Outcome());
 
-    /** Notes what becomes of requests. */
+    /** Records the outcome of requests. */
     private final class Outcome implements StartupRequestQueue.Outcome<String> {
         @Override
         public void accepted(String request) {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreCallsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreCallsTest.java
@@ -24,7 +24,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Counts of calls to the store. */
+/** Tests the counts of calls to the store. */
 class StoreCallsTest {
     private final StoreCalls calls = new StoreCalls(new GatewayMetrics());
 
@@ -33,10 +33,10 @@
         calls.countCall(Purpose.MEMBERS, Kind.RENEWAL);
         calls.countCall(Purpose.MEMBERS, Kind.RENEWAL);
         calls.countCall(Purpose.POLICY, Kind.FRESH_READ);
-        List<Count> told = calls.takeUnreported();
-        assertEquals(2, told.size());
-        assertTrue(told.contains(new Count(Purpose.MEMBERS, Kind.RENEWAL, 2)));
-        assertTrue(told.contains(new Count(Purpose.POLICY, Kind.FRESH_READ, 1)));
+        List<Count> reported = calls.takeUnreported();
+        assertEquals(2, reported.size());
+        assertTrue(reported.contains(new Count(Purpose.MEMBERS, Kind.RENEWAL, 2)));
+        assertTrue(reported.contains(new Count(Purpose.POLICY, Kind.FRESH_READ, 1)));
         assertTrue(calls.takeUnreported().isEmpty());
     }
 }
