--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreEpochHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreEpochHistoriesTest.java
@@ -24,27 +24,30 @@
 import net.jqwik.api.Example;
 
 /**
- * A store that comes back from a copy, before 2 to 340 processes in virtual time: all are on its
- * new history within two seconds and hear what changes from then on, though no call has failed and
- * watches of before wait on unheard.
+ * Tests a store that is restored from a copy, with 2 to 340 processes in virtual time: all
+ * processes are on its new history within two seconds and receive later changes, although no call
+ * fails and the earlier watches stay open without delivering anything.
  */
 class StoreEpochHistoriesTest {
     private static final long SETTLE_MILLIS = 4_000;
 
-    /** Within which time each process is on the new history. */
+    /** Time within which every process is on the new history, in milliseconds. */
     private static final long EPOCH_PROPAGATION_MILLIS = 2_000;
 
-    /** The same where only older builds could tell it: each process makes a call in 3 s. */
+    /**
+     * The same, in milliseconds, where only older builds could report the epoch: each process then
+     * learns it from its own calls, of which it makes one in 3 s.
+     */
     private static final long EPOCH_PROPAGATION_WITH_OLDER_BUILDS_MILLIS = 4_000;
 
-    /** Within which time a change is known to all in calm times. */
+    /** Time within which a change is known to all without failures, in milliseconds. */
     private static final long CHANGE_PROPAGATION_MILLIS = 1_000;
 
     private SimulatedCluster cluster;
     private SimulatedStore store;
 
-    private void start(int dataCentres, int ofEach) {
-        cluster = new SimulatedCluster(dataCentres, ofEach, 10_000);
+    private void start(int dataCentres, int perDataCentre) {
+        cluster = new SimulatedCluster(dataCentres, perDataCentre, 10_000);
         run();
     }
 
@@ -67,16 +70,16 @@
                 "not on epoch " + store.epoch() + " after " + millis + " ms");
     }
 
-    private void assertChangesAreReceivedAfterRestore(int dataCentres, int ofEach) {
-        start(dataCentres, ofEach);
+    private void assertChangesAreReceivedAfterRestore(int dataCentres, int perDataCentre) {
+        start(dataCentres, perDataCentre);
         store.copyAndWrite();
-        int before = store.listCalls();
+        int listsBefore = store.listCalls();
         store.restoreFromCopy();
         assertAllCurrentWithin(EPOCH_PROPAGATION_MILLIS);
-        int processes = dataCentres * ofEach;
+        int processes = dataCentres * perDataCentre;
         assertTrue(
-                store.listCalls() - before <= 2 * processes,
-                store.listCalls() - before + " lists of " + processes);
+                store.listCalls() - listsBefore <= 2 * processes,
+                store.listCalls() - listsBefore + " list calls of " + processes);
         store.put("later");
         cluster.advance(CHANGE_PROPAGATION_MILLIS);
         store.remove("u1");
@@ -140,7 +143,7 @@
         assertAllCurrentWithin(CHANGE_PROPAGATION_MILLIS);
     }
 
-    /** The processes with the fastest links, two of each data centre, are the hubs. */
+    /** The hubs are the processes with the fastest links, two per data centre. */
     private void assertChangesAreReceivedWithOlderBuilds(boolean hubsAreOlder) {
         cluster = new SimulatedCluster(3, 10, 10_000);
         List<String> hubs = cluster.names().subList(0, 6);
@@ -154,13 +157,13 @@
         assertAllCurrentWithin(CHANGE_PROPAGATION_MILLIS);
     }
 
-    // Guards against words of a hub that names no epoch being taken for those of the lost history.
+    // Guards against digests of a hub that names no epoch being attributed to the lost history.
     @Example
     void leavesFollowHubsOfAnOlderBuild() {
         assertChangesAreReceivedWithOlderBuilds(true);
     }
 
-    // Guards against leaves of an older build that wait for revisions to pass those they hold.
+    // Guards against leaves of an older build that wait for revisions above their own.
     @Example
     void leavesOfAnOlderBuildReadTheStoreThemselves() {
         assertChangesAreReceivedWithOlderBuilds(false);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreFollowersTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreFollowersTest.java
@@ -24,8 +24,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Few processes follow the store for all, and the others miss nothing when these are lost, cut off
- * or turned away by the store.
+ * Tests that a few processes follow the store for all, and that the others miss no change when
+ * these are lost, cut off or refused by the store.
  */
 class StoreFollowersTest {
     private static final int DATA_CENTRES = 6;
@@ -33,13 +33,17 @@
     private static final int MAX_FOLLOWERS = 3;
     private static final long SETTLE_MILLIS = 4_000;
 
-    /** What a follower's loss may take to be noticed: a stale digest, and a look at the roles. */
+    /**
+     * Time within which the loss of a follower is noticed, in milliseconds: its last digest becomes
+     * stale, and the roles are checked.
+     */
     private static final long DETECTION_MILLIS = 1_200;
 
-    /** Two messages, from follower to hub to leaf, in steps of 20 ms. */
+    /** Time for two messages, from follower to hub to leaf, in steps of 20 ms; in milliseconds. */
     private static final long FORWARDING_MILLIS = 60;
 
-    private final SimulatedCluster cluster = new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, 10_000);
+    private final SimulatedCluster cluster =
+            new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, 10_000);
     private long revision = 100;
 
     private void change() {
@@ -83,7 +87,7 @@
             cluster.losePower(lost);
         }
         cluster.advance(DETECTION_MILLIS);
-        assertTrue(!cluster.followers().isEmpty(), "nobody follows the store");
+        assertTrue(!cluster.followers().isEmpty(), "no process follows the store");
         change();
         cluster.advance(DETECTION_MILLIS);
         assertEquals(List.of(), cluster.behind(revision));
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreHistoryTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreHistoryTest.java
@@ -21,7 +21,7 @@
 
 import net.jqwik.api.Example;
 
-/** Which answers of the store and words of peers count. */
+/** Tests which answers of the store and reports of peers belong to the current history. */
 class StoreHistoryTest {
     private final StoreHistory history = new StoreHistory(new GatewayMetrics());
     private int replaced;
@@ -39,7 +39,7 @@
         assertEquals(1, replaced);
     }
 
-    // Guards against a spoiled field that makes all answers count for nothing.
+    // Guards against an invalid epoch field that causes all answers to be ignored.
     @Example
     void answerWithAnInvalidEpochCountsAsOneWithout() {
         assertTrue(history.isCurrent(-1));
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/TimePartTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/TimePartTest.java
@@ -27,7 +27,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** The agreed time as digests carry it. */
+/** Tests the digest section with the agreed time. */
 class TimePartTest {
     private static final long TRUE_MILLIS = 1_700_000_000_000L;
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/UpstreamLimitUpdatesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/UpstreamLimitUpdatesTest.java
@@ -26,19 +26,20 @@
 import java.util.function.Consumer;
 import net.jqwik.api.Example;
 
-/** How soon limits that one process each has heard of are known to all, over hubs. */
+/** Tests how soon limits that only one process each has received are known to all, over hubs. */
 class UpstreamLimitUpdatesTest {
     private static final int DATA_CENTRES = 3;
     private static final int PROCESSES_PER_DATA_CENTRE = 10;
     private static final int LIMITED = 100;
 
-    /** How long the others may not know of a limit, or of its end, in milliseconds. */
+    /** Time within which the others know of a limit or of its end, in milliseconds. */
     private static final long PROPAGATION_MILLIS = 2_000;
 
-    /** What control may tell a second and process, in bytes. */
+    /** Maximum control traffic per second and process, in bytes. */
     private static final double MAX_BYTES_PER_SECOND = 4_000;
 
-    private final SimulatedCluster cluster = new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, 10_000);
+    private final SimulatedCluster cluster =
+            new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, 10_000);
 
     private static Upstream upstream(int number) {
         return new Upstream("i-" + number, "s", "dc0", "h:1", 8, false, false, 0, "", 0, 5);
@@ -65,22 +66,25 @@
     }
 
     private void assertAllKnow(boolean limited, long withinMillis) {
-        long begun = cluster.now();
-        while (differing(limited) > 0 && cluster.now() - begun < withinMillis) {
+        long startMillis = cluster.now();
+        while (differing(limited) > 0 && cluster.now() - startMillis < withinMillis) {
             cluster.advance(100);
         }
-        long took = cluster.now() - begun;
-        assertEquals(0, differing(limited), "pairs of process and upstream after " + took + " ms");
+        long elapsedMillis = cluster.now() - startMillis;
+        assertEquals(
+                0,
+                differing(limited),
+                "pairs of process and upstream after " + elapsedMillis + " ms");
     }
 
-    private void assertLearned(long withinMillis, Consumer<SimulatedCluster> trouble) {
+    private void assertLearned(long withinMillis, Consumer<SimulatedCluster> failure) {
         cluster.advance(5_000);
         announceLimit(LimitNotice.of(4), LIMITED);
-        trouble.accept(cluster);
+        failure.accept(cluster);
         assertAllKnow(true, withinMillis);
         cluster.advance(2_000);
         announceLimit(LimitNotice.ABSENT, LIMITED);
-        trouble.accept(cluster);
+        failure.accept(cluster);
         assertAllKnow(false, withinMillis);
     }
 
@@ -110,7 +114,7 @@
         cluster.kill(last);
         cluster.advance(3_000);
         cluster.restart(last);
-        assertEquals(LIMITED, differing(true), "it knows nothing at first");
+        assertEquals(LIMITED, differing(true), "the restarted process knows no limits at first");
         assertAllKnow(true, 3_000);
     }
 
@@ -121,7 +125,8 @@
         cluster.advance(5_000);
         long bytes = cluster.bytes();
         cluster.advance(10_000);
-        double each = (cluster.bytes() - bytes) / (10.0 * cluster.names().size());
-        assertTrue(each <= MAX_BYTES_PER_SECOND, each + " bytes a second and process");
+        double perProcess = (cluster.bytes() - bytes) / (10.0 * cluster.names().size());
+        assertTrue(
+                perProcess <= MAX_BYTES_PER_SECOND, perProcess + " bytes per second and process");
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/UsageHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/UsageHistoriesTest.java
@@ -28,17 +28,20 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** What is known of the usage of processes that are lost, at those that are not. */
+/** Tests that the usage counted by lost processes is known to the surviving ones. */
 class UsageHistoriesTest {
     private static final int DATA_CENTRES = 3;
     private static final int PROCESSES = 30;
     private static final int REQUESTS_PER_PROCESS = 7;
     private static final int SURVIVORS = 6;
 
-    /** Within this time, in milliseconds, counts have gone to a hub, to all hubs and to keepers. */
+    /** Time in which counts reach a hub, all hubs and the usage replicas, in milliseconds. */
     private static final long PROPAGATION_MILLIS = 700;
 
-    /** Until survivors have found each other: leases of the lost, a list of the store, links. */
+    /**
+     * Time until the surviving processes are linked, in milliseconds: the leases of the lost ones
+     * expire, the members are listed again, and links open.
+     */
     private static final long RECONNECTION_MILLIS = 12_000;
 
     private final SimulatedCluster cluster =
@@ -74,11 +77,11 @@
     @Example
     void leavesOfEachDataCentreStoreTheUsageOfAll() {
         for (int i = 0; i < DATA_CENTRES; i++) {
-            assertTrue(replicas("dc" + i).size() >= 2, "keepers in dc" + i);
+            assertTrue(replicas("dc" + i).size() >= 2, "usage replicas in dc" + i);
         }
     }
 
-    /** All hubs and all but a few leaves lose power; one of the few keeps what all had counted. */
+    /** All hubs and all but a few leaves lose power; one of the few is a usage replica. */
     @Property(tries = 10, seed = "20261203")
     void fewSurvivingLeavesKnowTheUsageOfAll(@ForAll @IntRange(max = 1_000) int seed) {
         UsageHistoriesTest fresh = new UsageHistoriesTest();
@@ -86,21 +89,26 @@
     }
 
     private void loseAllButAFew(Random random) {
-        List<String> keepers = new ArrayList<>(replicas("dc" + random.nextInt(DATA_CENTRES)));
-        assertTrue(!keepers.isEmpty(), "a leaf keeps what all had counted");
-        String keeper = keepers.get(random.nextInt(keepers.size()));
+        List<String> candidates = new ArrayList<>(replicas("dc" + random.nextInt(DATA_CENTRES)));
+        assertTrue(!candidates.isEmpty(), "a leaf is a usage replica");
+        String replica = candidates.get(random.nextInt(candidates.size()));
         List<String> leaves =
                 new ArrayList<>(cluster.names().stream().filter(name -> !isHub(name)).toList());
         Collections.shuffle(leaves, random);
-        leaves.remove(keeper);
-        List<String> left = new ArrayList<>(leaves.subList(0, SURVIVORS - 1));
-        left.add(keeper);
-        cluster.names().stream().filter(name -> !left.contains(name)).forEach(cluster::losePower);
+        leaves.remove(replica);
+        List<String> survivors = new ArrayList<>(leaves.subList(0, SURVIVORS - 1));
+        survivors.add(replica);
+        cluster.names().stream()
+                .filter(name -> !survivors.contains(name))
+                .forEach(cluster::losePower);
         cluster.advance(RECONNECTION_MILLIS);
-        List<String> hubs = left.stream().filter(this::isHub).toList();
-        assertTrue(!hubs.isEmpty(), "some are hubs now");
+        List<String> hubs = survivors.stream().filter(this::isHub).toList();
+        assertTrue(!hubs.isEmpty(), "some survivors are hubs");
         for (String hub : hubs) {
-            assertEquals(Map.of("t", PROCESSES * REQUESTS_PER_PROCESS), total(hub), hub + " of " + left);
+            assertEquals(
+                    Map.of("t", PROCESSES * REQUESTS_PER_PROCESS),
+                    total(hub),
+                    hub + " of " + survivors);
         }
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ValidFiguresTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ValidFiguresTest.java
@@ -26,6 +26,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
+/** Tests that invalid figures in digests of peers are removed. */
 class ValidFiguresTest {
     private static final EngineEvidence VALID = EngineEvidence.none("s");
 
@@ -55,17 +56,17 @@
 
     @Example
     void invalidFiguresAreRemovedAndTheOthersKept() {
-        FitSums absurd = new FitSums(1, Double.NaN, 1, 1, 1);
+        FitSums invalid = new FitSums(1, Double.NaN, 1, 1, 1);
         List<ServiceDemand> demands =
                 List.of(
                         new ServiceDemand("negative", -1, 2),
                         new ServiceDemand("infinite", Double.POSITIVE_INFINITY, 2),
                         new ServiceDemand("s", 1, 2));
         List<EngineEvidence> evidence =
-                List.of(VALID, new EngineEvidence("bad", absurd, FitSums.NONE, 1, 1));
-        NodeDigest sound = ValidFigures.of("peer", digest(demands, evidence));
-        assertEquals(List.of(new ServiceDemand("s", 1, 2)), sound.demands());
-        assertEquals(List.of(VALID), sound.evidence());
-        assertEquals(List.of("left"), sound.leaving());
+                List.of(VALID, new EngineEvidence("bad", invalid, FitSums.NONE, 1, 1));
+        NodeDigest valid = ValidFigures.of("peer", digest(demands, evidence));
+        assertEquals(List.of(new ServiceDemand("s", 1, 2)), valid.demands());
+        assertEquals(List.of(VALID), valid.evidence());
+        assertEquals(List.of("left"), valid.leaving());
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowCallerTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowCallerTest.java
@@ -19,9 +19,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.memory.MemoryBudget;
+import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.entry.loop.EventLoop;
 import io.trailladder.platform.http.HostPort;
 import java.io.IOException;
--- a/trailladder-entry/src/test/java/io/trailladder/entry/serve/HttpEngineApiTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/serve/HttpEngineApiTest.java
@@ -29,13 +29,16 @@
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
 
-/** Two entries that work on the same request at one engine do not stop each other's attempts. */
+/**
+ * Guards against an entry that stops another entry's attempt at the same request. After a hand-over
+ * both entries may run the request at one engine under the same attempt number.
+ */
 class HttpEngineApiTest {
     private static final int TOKENS = 300;
     private static final long TIMEOUT_SECONDS = 20;
     private static final long IDLE_TIMEOUT_MILLIS = 10_000;
 
-    /** Waits for the first token and for the end of one attempt. */
+    /** Records the first token and the end of one attempt. */
     private static final class Recorder implements EngineApi.Listener {
         private final CountDownLatch firstToken = new CountDownLatch(1);
         private final CompletableFuture<Integer> end = new CompletableFuture<>();
@@ -56,7 +59,7 @@
         }
 
         void awaitFirstToken() throws InterruptedException {
-            assertTrue(firstToken.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "no token came");
+            assertTrue(firstToken.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "no token received");
         }
     }
 
@@ -80,14 +83,15 @@
                             "",
                             0);
             Recorder stopping = new Recorder();
-            Recorder heir = new Recorder();
+            Recorder successor = new Recorder();
             EngineApi.RunningAttempt handedOver =
-                    new HttpEngineApi(client, IDLE_TIMEOUT_MILLIS).generate(upstream, attempt, stopping);
+                    new HttpEngineApi(client, IDLE_TIMEOUT_MILLIS)
+                            .generate(upstream, attempt, stopping);
             stopping.awaitFirstToken();
-            new HttpEngineApi(client, IDLE_TIMEOUT_MILLIS).generate(upstream, attempt, heir);
-            heir.awaitFirstToken();
+            new HttpEngineApi(client, IDLE_TIMEOUT_MILLIS).generate(upstream, attempt, successor);
+            successor.awaitFirstToken();
             handedOver.cancel();
-            assertEquals(TOKENS, heir.end.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            assertEquals(TOKENS, successor.end.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         } finally {
             timer.shutdownNow();
         }
