--- a/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
@@ -367,7 +367,7 @@
                 () -> {
                     callers.closing();
                     callers.stopListening();
-                    callers.closeResting();
+                    callers.closeIdle();
                 });
         pause(LAST_ANSWERS_MILLIS);
         closeCallers();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/caller/ExchangeSink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/caller/ExchangeSink.java
@@ -90,6 +90,6 @@
 
     @Override
     public void whenGone(Runnable action) {
-        loop.execute(() -> exchange.onGone(action));
+        loop.execute(() -> exchange.onDisconnect(action));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
@@ -305,7 +305,7 @@
     public boolean isFed(boolean fedBefore) {
         long oldest = nowMillis.getAsLong() - FED_MAX_AGE_MILLIS;
         return peers.counted().stream()
-                .filter(peer -> !peer.isLeaf() && mesh.isFedBy(peer.hello()))
+                .filter(peer -> !peer.isLeaf() && mesh.receivesUpdatesFrom(peer.hello()))
                 .filter(peer -> peer.isStoreReachable() && peer.digestMillis() >= oldest)
                 .filter(peer -> store.history().mayBeOf(peer.storeEpoch()))
                 .anyMatch(peer -> fedBefore || snapshots.isAsRecentAs(peer));
@@ -338,7 +338,7 @@
             usage.merge(history.life(), history.usage(), peers.isLeaf(hello.name()));
         } else if (message instanceof SnapshotAsk request) {
             snapshots.requestReceived(mesh, peers.of(hello), request);
-        } else if (message instanceof UpstreamNews update && mesh.isFedBy(hello)) {
+        } else if (message instanceof UpstreamNews update && mesh.receivesUpdatesFrom(hello)) {
             upstreamUpdate(peers.of(hello), update);
         } else if (message instanceof Snapshot snapshot) {
             snapshots.snapshotReceived(mesh, peers.of(hello), snapshot);
@@ -370,7 +370,7 @@
         long now = nowMillis.getAsLong();
         Peer peer = peers.of(sender);
         epochUpdates.received(peer, StoreEpochSection.of(digest.digest()));
-        if (view.isElsewhere(sender)) {
+        if (view.isOtherRegion(sender)) {
             peer.messageReceived(now);
             snapshots.digest(mesh, peer, digest.digest());
         }
@@ -386,7 +386,7 @@
         evidenceReceived |= !digest.evidence().isEmpty();
         LeavingIncarnations.of(digest)
                 .forEach(upstream -> directory.leavingSeenBy(upstream, peer.name()));
-        boolean feeds = mesh.isFedBy(peer.hello());
+        boolean feeds = mesh.receivesUpdatesFrom(peer.hello());
         if (peer.revisionDecreased() && feeds) {
             directory.historyReplaced();
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ConnectionShares.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ConnectionShares.java
@@ -55,12 +55,12 @@
                         .map(ServiceSpec::maxConnections)
                         .orElse(0);
         return accepted <= 0
-                ? OutgoingCall.MOST_RESTING
+                ? OutgoingCall.MAX_IDLE_CONNECTIONS
                 : share(accepted - upstream.slots(), processes.getAsInt());
     }
 
     static int share(int connections, int processes) {
         int evenShare = connections / Math.max(1, processes);
-        return Math.max(1, Math.min(OutgoingCall.MOST_RESTING, evenShare));
+        return Math.max(1, Math.min(OutgoingCall.MAX_IDLE_CONNECTIONS, evenShare));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashRecords.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashRecords.java
@@ -136,7 +136,7 @@
     private void takeOver(StoreItem item) {
         revision = item.revision();
         ByteBuffer value = ByteBuffer.wrap(item.value());
-        if (item.gone() || value.remaining() < Long.BYTES) {
+        if (item.removed() || value.remaining() < Long.BYTES) {
             return;
         }
         long age = Math.max(0, clock.millis() - value.getLong());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryKeeper.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryKeeper.java
@@ -175,7 +175,7 @@
         long before = revision;
         revision = Math.max(revision, item.revision());
         String id = idOf(item.key());
-        byte[] value = item.gone() ? NO_BYTES : item.value();
+        byte[] value = item.removed() ? NO_BYTES : item.value();
         apply(id, value);
         onNews.accept(new UpstreamNews(before, revision, new UpstreamEntry(id, value)));
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DutyRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DutyRunner.java
@@ -192,7 +192,7 @@
 
     @Override
     public void changed(StoreItem item) {
-        if (item.gone()) {
+        if (item.removed()) {
             keyGone(item.revision());
         } else {
             election.keySeen(LeaderKey.token(item));
@@ -301,14 +301,14 @@
     }
 
     private void displaced(StoreItem item) {
-        boolean none = item.gone();
+        boolean none = item.removed();
         long token = none ? 0 : LeaderKey.token(item);
         election.displaced(none ? 0 : item.revision(), token, loop.nowMillis());
         step();
     }
 
     private boolean isOwn(StoreItem item) {
-        return !item.gone() && LeaderKey.read(item.value()).life().equals(life);
+        return !item.removed() && LeaderKey.read(item.value()).life().equals(life);
     }
 
     private void renew(long sentMillis) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
@@ -637,7 +637,7 @@
         if (elapsedMillis >= MIN_DRAIN_MILLIS) {
             callerServer.stopListening();
             intake.refuseNew();
-            callerServer.closeResting();
+            callerServer.closeIdle();
         }
         boolean idle = elapsedMillis >= MIN_DRAIN_MILLIS && callerServer.open() == 0;
         boolean timedOut = elapsedMillis >= settings.timing().graceMillis() - END_MARGIN_MILLIS;
@@ -661,7 +661,7 @@
 
         @Override
         public void changed(StoreItem item) {
-            if (item.gone()) {
+            if (item.removed()) {
                 Logger.warn("policy removed from the store; the policy in force is kept");
             } else {
                 policyManager.offer(item.value(), "store");
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderKey.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderKey.java
@@ -49,7 +49,7 @@
 
     /** Returns the token of the leader whose key it is. */
     static long token(StoreItem item) {
-        return Math.max(item.made(), read(item.value()).above() + 1);
+        return Math.max(item.createdRevision(), read(item.value()).above() + 1);
     }
 
     /** Returns a token, or 0 for a number that cannot be one. */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderTokens.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderTokens.java
@@ -79,8 +79,8 @@
             return;
         }
         health.answered();
-        revision = result.get().gone() ? 0 : result.get().revision();
-        if (!result.get().gone()) {
+        revision = result.get().removed() ? 0 : result.get().revision();
+        if (!result.get().removed()) {
             String text = new String(result.get().value(), StandardCharsets.US_ASCII);
             election.tokenSeen(LeaderKey.number(text));
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
@@ -108,7 +108,7 @@
      * its hub.
      */
     static boolean isElsewhere(Mesh mesh, RegionView view, Peer peer) {
-        return view.isElsewhere(peer.hello()) && !peer.isLeaf() && !mesh.isOwnHub(peer.hello());
+        return view.isOtherRegion(peer.hello()) && !peer.isLeaf() && !mesh.isOwnHub(peer.hello());
     }
 
     /**
@@ -214,7 +214,7 @@
         if (origin.name().equals(sender.name())) {
             remoteViews.put(sender.name(), new RemoteView(message.hears(), nowMillis));
         }
-        if (!view.isElsewhere(origin) || !message.speaks()) {
+        if (!view.isOtherRegion(origin) || !message.speaks()) {
             return;
         }
         boolean direct = origin.name().equals(sender.name());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
@@ -88,7 +88,7 @@
         exchange.answerOwner(new AnswerOwner(request.id(), request.organisation(), resumable));
         this.responseTimeout = new ResponseTimeoutWatch(context, request, history);
         this.selector = new BodyCapacitySelector(context, request);
-        exchange.onGone(this::callerDisconnected);
+        exchange.onDisconnect(this::callerDisconnected);
         long remainingMillis = request.deadlineMillis() - context.loop().nowMillis();
         this.deadline = context.loop().schedule(remainingMillis, this::deadlineReached);
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutKeeper.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutKeeper.java
@@ -389,7 +389,7 @@
 
         private void read(StoreItem item, Written written, boolean certain) {
             String service = serviceOf(item.key(), format.rolloutOrderPrefix());
-            if (item.gone()) {
+            if (item.removed()) {
                 withdrawn(service);
                 return;
             }
@@ -412,7 +412,7 @@
 
         private void take(StoreItem item, boolean certain) {
             String service = serviceOf(item.key(), format.rolloutStatusPrefix());
-            if (!item.gone()) {
+            if (!item.removed()) {
                 read(service, item, certain);
             }
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRunner.java
@@ -235,7 +235,7 @@
             return;
         }
         health.answered();
-        if (!read.get().gone()) {
+        if (!read.get().removed()) {
             keeper.read(service, read.get(), false);
         }
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UsageReporter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UsageReporter.java
@@ -167,7 +167,7 @@
         store.read(
                 USAGE_PREFIX + window,
                 result -> {
-                    if (result.isRight() && !result.get().gone()) {
+                    if (result.isRight() && !result.get().removed()) {
                         stored.put(window, result.get().value());
                         report(window, decode(result.get().value()));
                     } else if (result.isRight() && window <= uncertainUntil) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/AnswerWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/AnswerWriter.java
@@ -30,21 +30,24 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * Writes one answer to its caller. One write is under way at a time: what comes meanwhile waits
- * here, where it is counted and can still be dropped, and leaves in larger writes. A caller that
- * reads as fast as the answer comes costs no queue and nothing in the account.
+ * Writes one answer to its caller. One write is in progress at a time. Further pieces are queued
+ * here, where they are counted and can still be dropped, and are sent in larger writes. For a
+ * caller that reads as fast as the answer arrives, no queue is made and no memory is reserved.
  */
 final class AnswerWriter extends EmptyCompletionHandler<WriteResult<HttpContent, SocketAddress>> {
     /**
-     * Waiting pieces leave in writes of at least this many bytes, if there are as many: small
-     * enough that an answer which is cut ends soon, large against the head of a chunk.
+     * Target size of a write of queued pieces: small enough that an answer which is cut ends soon,
+     * and large compared with the head of a chunk.
      */
     private static final int WRITE_BYTES = 16 * 1024;
 
-    /** What a waiting piece takes beside its bytes: the array's head and its place in the queue. */
+    /**
+     * Memory that a queued piece uses in addition to its bytes: the array header and its place in
+     * the queue.
+     */
     private static final int PIECE_BYTES = 24;
 
-    /** Held bytes from which the producer of an answer that can wait is to wait. */
+    /** Number of unsent bytes from which a producer that can wait should wait. */
     private static final int WRITABLE_BYTES = 64 * 1024;
 
     private static final byte[] NO_BYTES = {};
@@ -62,8 +65,8 @@
     private boolean writingLast;
     private boolean ended;
     private boolean cut;
-    private boolean brokenOff;
-    private volatile int heldBytes;
+    private boolean aborted;
+    private volatile int unsentBytes;
     private boolean progressed;
     private int leftAtCheck;
     private long progressMillis;
@@ -76,24 +79,27 @@
 
     void write(byte[] bytes, boolean last) {
         if (writing) {
-            keep(bytes);
+            enqueue(bytes);
             ended |= last;
         } else {
             send(bytes, last);
         }
-        account();
-        if (heldBytes > owner.server().account().budget().answerBytes()) {
+        updateAccount();
+        if (unsentBytes > owner.server().account().budget().answerBytes()) {
             owner.server().unread().overBound(exchange);
         }
     }
 
-    /** Returns what is held of the answer, in bytes. May be called on any thread. */
-    int heldBytes() {
-        return heldBytes;
+    /**
+     * Returns how much of the answer is not yet sent, in bytes, with the overhead of the queue. May
+     * be called on any thread.
+     */
+    int unsentBytes() {
+        return unsentBytes;
     }
 
     boolean isWritable() {
-        return heldBytes < WRITABLE_BYTES;
+        return unsentBytes < WRITABLE_BYTES;
     }
 
     void whenWritable(Runnable task) {
@@ -107,7 +113,10 @@
         whenWritable.add(task);
     }
 
-    /** Returns since when nothing was read of what is held, in milliseconds; to be called often. */
+    /**
+     * Returns for how long the caller has read nothing of the unsent bytes, in milliseconds.
+     * Progress is noticed only between calls, so this must be called often.
+     */
     long idleMillis(long nowMillis) {
         int left = leftInSocketQueue();
         if (!writing || progressed || left != leftAtCheck) {
@@ -118,36 +127,39 @@
         return nowMillis - progressMillis;
     }
 
-    /** Drops what waits, and closes once the write under way is done; its end is not sent. */
+    /**
+     * Drops the queued pieces, and closes after the write in progress. The end of the answer is not
+     * sent.
+     */
     void cut() {
         cut = true;
         waiting = null;
         waitingBytes = 0;
         if (writing) {
-            account();
+            updateAccount();
         } else {
             owner.close();
         }
     }
 
-    /** Closes without an end once all that was written has left. */
-    void breakOff() {
-        brokenOff = true;
+    /** Closes after all written bytes have been sent, without the end of the answer. */
+    void abort() {
+        aborted = true;
         if (!writing) {
             owner.close();
         }
     }
 
-    /** Gives back what is held: the connection is closed, or all is written. */
+    /** Releases the reserved memory, after the connection was closed or everything was written. */
     void release() {
         waiting = null;
         waitingBytes = 0;
         writingBytes = 0;
-        heldBytes = 0;
+        unsentBytes = 0;
         if (holding != null) {
             holding.close();
         }
-        tellWritable();
+        notifyWritable();
     }
 
     @Override
@@ -165,8 +177,8 @@
             owner.close();
         } else if (ended || waitingBytes > 0) {
             sendWaiting();
-            account();
-        } else if (brokenOff) {
+            updateAccount();
+        } else if (aborted) {
             owner.close();
         }
     }
@@ -176,7 +188,7 @@
         owner.terminate();
     }
 
-    private void keep(byte[] bytes) {
+    private void enqueue(byte[] bytes) {
         if (cut || bytes.length == 0) {
             return;
         }
@@ -198,7 +210,7 @@
         send(bytes, ended && waiting.isEmpty());
     }
 
-    /** Joins whole pieces up to the size of a write. */
+    /** Joins complete pieces up to the size of a write. */
     private byte[] joined(byte[] first) {
         List<byte[]> pieces = new ArrayList<>();
         pieces.add(first);
@@ -235,35 +247,35 @@
         writingLast = last;
         writingBytes = bytes.length;
         connection.write(null, content, this);
-        // An end that needs no bytes is never told as written.
+        // Grizzly does not report the completion of an end that needs no bytes.
         if (mayBeEmpty && writing && leftInSocketQueue() == 0) {
             completed(null);
         }
     }
 
-    /** Returns what the socket has not yet taken, in bytes. */
+    /** Returns the bytes that the socket has not yet accepted. */
     private int leftInSocketQueue() {
         return ((NIOConnection) owner.connection()).getAsyncWriteQueue().spaceInBytes();
     }
 
-    /** Brings the account up to date; costs nothing while the caller keeps up. */
-    private void account() {
-        int held = writingBytes + waitingBytes;
-        if (held == heldBytes) {
+    /** Updates the memory account. Costs nothing while the caller keeps up. */
+    private void updateAccount() {
+        int bytes = writingBytes + waitingBytes;
+        if (bytes == unsentBytes) {
             return;
         }
         if (holding == null) {
             holding = owner.server().account().open(HeldKind.ANSWERS_WAITING);
             progressMillis = owner.server().nowMillis();
         }
-        heldBytes = held;
-        holding.set(held);
+        unsentBytes = bytes;
+        holding.set(bytes);
         if (whenWritable != null && isWritable()) {
-            tellWritable();
+            notifyWritable();
         }
     }
 
-    private void tellWritable() {
+    private void notifyWritable() {
         if (whenWritable != null) {
             List<Runnable> tasks = whenWritable;
             whenWritable = null;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/ClientCall.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/ClientCall.java
@@ -18,7 +18,7 @@
 import org.glassfish.grizzly.Connection;
 
 /**
- * One call under way.
+ * A call in progress.
  *
  * @since 0.2
  */
@@ -31,7 +31,7 @@
     private boolean requestWritten;
     private boolean reusable = true;
     private boolean endsWithConnection;
-    private long keptMillis = KeepAlive.NOT_TOLD;
+    private long reuseMillis = KeepAlive.NOT_SPECIFIED;
     private Runnable onWritten;
 
     ClientCall(OutgoingCall request, CallListener listener) {
@@ -39,7 +39,7 @@
         this.listener = listener;
     }
 
-    /** Breaks the call off: its connection is closed, and its listener is told nothing more. */
+    /** Cancels the call: closes its connection, and calls its listener no more. */
     public void cancel() {
         over();
         closeConnection();
@@ -53,7 +53,7 @@
         return over;
     }
 
-    /** Begins on a connection; returns false, with the call over, if it is no longer wanted. */
+    /** Begins on a connection. Returns false, with the call failed, if it is no longer wanted. */
     boolean begin(Connection<?> opened) {
         connection = opened;
         if (!listener.isWanted()) {
@@ -66,24 +66,26 @@
 
     void written() {
         requestWritten = true;
-        tellWritten();
+        notifyWritten();
     }
 
     boolean isWritten() {
         return requestWritten;
     }
 
-    /** Sets what is done once the request has left, or never will; at most once. */
+    /**
+     * Sets the task that runs once the request has been sent, or never will be. Runs at most once.
+     */
     void onWritten(Runnable task) {
         onWritten = task;
     }
 
     private void over() {
         over = true;
-        tellWritten();
+        notifyWritten();
     }
 
-    private void tellWritten() {
+    private void notifyWritten() {
         if (onWritten != null) {
             Runnable task = onWritten;
             onWritten = null;
@@ -92,12 +94,12 @@
     }
 
     boolean canKeepConnection() {
-        return requestWritten && reusable && keptMillis > 0;
+        return requestWritten && reusable && reuseMillis > 0;
     }
 
-    /** Returns how long the server lets the connection be used again, in milliseconds. */
-    long keptMillis() {
-        return keptMillis;
+    /** Returns how long the connection may be idle and still be reused, in milliseconds. */
+    long reuseMillis() {
+        return reuseMillis;
     }
 
     void head(int status, HeaderList headers, long length) {
@@ -111,11 +113,11 @@
         if (closes) {
             reusable = false;
         }
-        keptMillis = KeepAlive.restMillis(headers);
+        reuseMillis = KeepAlive.reuseMillis(headers);
         listener.head(status, headers, length);
     }
 
-    /** Tells whether the answer has no length and ends together with its connection. */
+    /** Returns whether the answer has no length and ends with its connection. */
     boolean endsWithConnection() {
         return endsWithConnection;
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
@@ -293,7 +293,7 @@
         for (Map.Entry<String, Long> heard : Map.copyOf(heardMillis).entrySet()) {
             String address = heard.getKey() + ":1";
             boolean ownHub = !plan.hub() && plan.dial().contains(address);
-            long most = ownHub ? PeerMesh.HEARD_MILLIS : SILENT_MILLIS;
+            long most = ownHub ? PeerMesh.PEER_REACHABLE_MILLIS : SILENT_MILLIS;
             if (cluster.linked(member.name(), heard.getKey()) && now - heard.getValue() > most) {
                 planner.unreachable(address, now);
                 cluster.close(member.name(), heard.getKey());
@@ -367,7 +367,7 @@
         }
 
         @Override
-        public boolean isFedBy(NodeHello peer) {
+        public boolean receivesUpdatesFrom(NodeHello peer) {
             boolean follower = isStoreFollower(peer.name()) && !followsStoreForHubs();
             return plan.hub() ? follower : isOwnHub(peer);
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpConnectorTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpConnectorTest.java
@@ -316,7 +316,7 @@
         first.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
         assertEquals("200 a", result());
         HostPort target = new HostPort("127.0.0.1", listener.getLocalPort());
-        loop.execute(() -> connector.closeResting(target));
+        loop.execute(() -> connector.closeIdle(target));
         call("/2");
         try (RawSocket second = accept("/2")) {
             second.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nb");
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpServerTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpServerTest.java
@@ -109,7 +109,7 @@
         try (RawSocket caller = RawSocket.to(server.port())) {
             caller.send(get("/1"));
             ServerExchange exchange = next();
-            loop.execute(() -> exchange.onGone(gone::countDown));
+            loop.execute(() -> exchange.onDisconnect(gone::countDown));
         }
         assertTrue(gone.await(PATIENCE_SECONDS, TimeUnit.SECONDS));
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/KeepAliveTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/KeepAliveTest.java
@@ -23,10 +23,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** How long connections are kept that a server says it keeps for some time. */
+/** Guards against reusing connections for longer than their server announces to keep them. */
 class KeepAliveTest {
     private static long rest(String value) {
-        return KeepAlive.restMillis(HeaderList.of("Keep-Alive", value));
+        return KeepAlive.reuseMillis(HeaderList.of("Keep-Alive", value));
     }
 
     @Example
@@ -46,9 +46,9 @@
 
     @Example
     void whatIsNotUnderstoodTellsNothing() {
-        assertEquals(KeepAlive.NOT_TOLD, KeepAlive.restMillis(HeaderList.EMPTY));
+        assertEquals(KeepAlive.NOT_SPECIFIED, KeepAlive.reuseMillis(HeaderList.EMPTY));
         for (String value : List.of("", "max=100", "timeout=", "timeout=x", "-1", "1.5", "soon")) {
-            assertEquals(KeepAlive.NOT_TOLD, rest(value), value);
+            assertEquals(KeepAlive.NOT_SPECIFIED, rest(value), value);
         }
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowCallerTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowCallerTest.java
@@ -43,7 +43,7 @@
 
 /** What becomes of answers whose callers read late, slowly, or not at all. */
 class SlowCallerTest {
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
     private static final long LONG_MILLIS = 60_000;
     private static final int RECEIVE_BYTES = 4 * 1024;
 
@@ -121,7 +121,7 @@
             CompletableFuture<String> answers = readAside(caller);
             ServerExchange second = next();
             onLoop(() -> respond(second, 1));
-            assertTrue(answers.get(PATIENCE_SECONDS, TimeUnit.SECONDS).length() > LARGE);
+            assertTrue(answers.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).length() > LARGE);
         }
     }
 
@@ -136,7 +136,7 @@
                 onLoop(() -> write(exchange, EVENT.getBytes(ascii())));
             }
             onLoop(() -> cut(exchange));
-            assertTrue(gone.await(PATIENCE_SECONDS, TimeUnit.SECONDS), "the sender was not told");
+            assertTrue(gone.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the sender was not told");
             String answer = text(caller.getInputStream());
             assertFalse(answer.endsWith(END), "it looks whole");
             assertTrue(answer.endsWith("\n\n\r\n"), "it ends inside an event");
@@ -215,7 +215,7 @@
     }
 
     private void awaitEmptyAccount() throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (onLoop(account::total) != 0) {
             assertTrue(System.nanoTime() < end, () -> "still held: " + account.total());
             Thread.sleep(20);
@@ -230,14 +230,14 @@
     private Socket caller(String fields) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(RECEIVE_BYTES);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
         socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), server.port()));
         socket.getOutputStream().write(request(fields));
         return socket;
     }
 
     private ServerExchange next() throws InterruptedException {
-        ServerExchange exchange = requests.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        ServerExchange exchange = requests.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(exchange != null, "no request came");
         return exchange;
     }
@@ -245,7 +245,7 @@
     private <T> T onLoop(Supplier<T> task) throws Exception {
         CompletableFuture<T> result = new CompletableFuture<>();
         loop.execute(() -> result.complete(task.get()));
-        return result.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private static boolean respond(ServerExchange exchange, int bytes) {
@@ -280,7 +280,7 @@
     }
 
     private static boolean onGone(ServerExchange exchange, CountDownLatch gone) {
-        exchange.onGone(gone::countDown);
+        exchange.onDisconnect(gone::countDown);
         return true;
     }
 
@@ -290,7 +290,7 @@
     }
 
     private boolean closeResting() {
-        server.closeResting();
+        server.closeIdle();
         return true;
     }
 
