--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpConnectorTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpConnectorTest.java
@@ -36,7 +36,8 @@
 import net.jqwik.api.lifecycle.BeforeTry;
 
 /**
- * The client tells whole answers from cut ones, and unsent requests from those that may have run.
+ * Guards against truncated answers that look complete, and against requests reported as unsent that
+ * may have run.
  */
 class HttpConnectorTest {
     private static final long PATIENCE_SECONDS = 10;
@@ -48,7 +49,7 @@
     private HttpConnector connector;
     private ServerSocket listener;
 
-    /** Turns what a call brings into one line. */
+    /** Records the events of a call as one line. */
     private final class Recorder implements CallListener {
         private final StringBuilder body = new StringBuilder();
         private int status;
@@ -126,9 +127,12 @@
         }
     }
 
-    /** A server that accepts few connections from many is not kept from accepting others. */
+    /**
+     * Guards against idle connections that keep a server with few connections from accepting
+     * others.
+     */
     @Example
-    void noMoreConnectionsRestThanMay() throws Exception {
+    void idleConnectionsStayWithinTheLimit() throws Exception {
         HostPort target = new HostPort("127.0.0.1", listener.getLocalPort());
         HeaderList headers = HeaderList.of("Host", target.toString());
         List<RawSocket> servers = new ArrayList<>();
@@ -152,9 +156,12 @@
         servers.get(5).close();
     }
 
-    /** A request sent as the server closes may or may not have run. */
+    /**
+     * Guards against a request sent while the server closes the connection, which may or may not
+     * have run.
+     */
     @Example
-    void connectionIsNotUsedAgainLongerThanItsServerKeepsIt() throws Exception {
+    void connectionIsNotReusedAfterItsServersKeepAliveTime() throws Exception {
         call("/first");
         RawSocket first = accept("/first");
         first.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: timeout=0\r\n\r\n");
@@ -167,7 +174,10 @@
         assertTrue(second.readUntil("\r\n\r\n").startsWith("GET /third "));
     }
 
-    /** No byte of it may arrive, also on a connection that another call has left behind. */
+    /**
+     * Guards against any byte of such a call arriving, also on a connection reused from another
+     * call.
+     */
     @Example
     void callThatIsNoLongerWantedSendsNothing() throws Exception {
         call("/kept");
@@ -193,7 +203,7 @@
     }
 
     @Example
-    void answerWithoutLengthThatIsResetIsNotWhole() throws Exception {
+    void answerWithoutLengthThatIsResetIsIncomplete() throws Exception {
         call("/x");
         RawSocket server = accept("/x");
         server.send("HTTP/1.1 200 OK\r\nA: b\r\n\r\nabc");
@@ -202,7 +212,7 @@
     }
 
     @Example
-    void answerShorterThanItsLengthIsNotWhole() throws Exception {
+    void answerShorterThanItsLengthIsIncomplete() throws Exception {
         call("/x");
         try (RawSocket server = accept("/x")) {
             server.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc");
@@ -211,7 +221,7 @@
     }
 
     @Example
-    void chunksWithoutEndAreNotWhole() throws Exception {
+    void chunksWithoutEndAreIncomplete() throws Exception {
         call("/x");
         try (RawSocket server = accept("/x")) {
             server.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
@@ -220,7 +230,7 @@
     }
 
     @Example
-    void bytesThatAreNoAnswerFailTheCall() throws Exception {
+    void malformedAnswerFailsTheCall() throws Exception {
         call("/x");
         try (RawSocket server = accept("/x")) {
             server.send("garbage bytes\r\n\r\n");
@@ -238,7 +248,7 @@
     }
 
     @Example
-    void keptConnectionIsUsedAgain() throws Exception {
+    void idleConnectionIsReused() throws Exception {
         call("/1");
         try (RawSocket server = accept("/1")) {
             server.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
@@ -310,7 +320,7 @@
     }
 
     @Example
-    void restingConnectionsAreNotUsedAgainOnceTheyAreClosed() throws Exception {
+    void idleConnectionsAreNotReusedAfterTheyAreClosed() throws Exception {
         call("/1");
         RawSocket first = accept("/1");
         first.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpServerTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpServerTest.java
@@ -32,7 +32,10 @@
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
 
-/** The server answers in order, refuses what can be read in two ways, and sees callers leave. */
+/**
+ * Guards against answers out of order, ambiguous requests that are served, and disconnects of
+ * callers that go unnoticed.
+ */
 class HttpServerTest {
     private static final long PATIENCE_SECONDS = 10;
     private static final long HEAD_MILLIS = 400;
@@ -104,7 +107,7 @@
     }
 
     @Example
-    void callerThatLeavesIsSeenWhileItsRequestIsWorkedOn() throws Exception {
+    void disconnectOfTheCallerIsNoticedWhileItsRequestIsProcessed() throws Exception {
         CountDownLatch gone = new CountDownLatch(1);
         try (RawSocket caller = RawSocket.to(server.port())) {
             caller.send(get("/1"));
@@ -148,7 +151,7 @@
     }
 
     @Example
-    void oldestRestingConnectionsOfTheCallerThatKeepsMostGiveRoom() throws Exception {
+    void longestIdleConnectionsOfTheCallerWithMostAreClosedAtTheLimit() throws Exception {
         loop.execute(() -> server.maxConnections(4));
         try (RawSocket oldest = RawSocket.to(server.port());
                 RawSocket busy = RawSocket.to(server.port());
@@ -170,10 +173,10 @@
         }
     }
 
-    // Guards against connections that begin to rest in the same millisecond being closed in any
+    // Guards against closing connections that become idle in the same millisecond in arbitrary
     // order.
     @Property(tries = 30)
-    void connectionThatBeganToRestFirstGivesRoomWithinAMillisecond() throws Exception {
+    void longestIdleConnectionIsClosedAlsoWithinAMillisecond() throws Exception {
         loop.execute(() -> server.maxConnections(2));
         try (RawSocket first = RawSocket.to(server.port());
                 RawSocket second = RawSocket.to(server.port())) {
@@ -197,7 +200,7 @@
     }
 
     @Example
-    void connectionBesideBusyOnesOnlyIsClosedUnread() throws Exception {
+    void newConnectionIsClosedUnreadIfAllOthersAreBusy() throws Exception {
         loop.execute(() -> server.maxConnections(1));
         try (RawSocket busy = RawSocket.to(server.port())) {
             busy.send(get("/busy"));
@@ -217,7 +220,7 @@
     }
 
     @Example
-    void brokenOffAnswerDoesNotLookWhole() throws Exception {
+    void abortedAnswerDoesNotLookComplete() throws Exception {
         try (RawSocket caller = RawSocket.to(server.port())) {
             caller.send(get("/1"));
             ServerExchange exchange = next();
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/KeepAliveTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/KeepAliveTest.java
@@ -30,7 +30,7 @@
     }
 
     @Example
-    void halfOfTheTimeToldIsUsed() {
+    void halfOfTheAnnouncedTimeIsUsed() {
         for (String value :
                 List.of(
                         "4",
@@ -45,7 +45,7 @@
     }
 
     @Example
-    void whatIsNotUnderstoodTellsNothing() {
+    void unknownFormCountsAsNotSpecified() {
         assertEquals(KeepAlive.NOT_SPECIFIED, KeepAlive.reuseMillis(HeaderList.EMPTY));
         for (String value : List.of("", "max=100", "timeout=", "timeout=x", "-1", "1.5", "soon")) {
             assertEquals(KeepAlive.NOT_SPECIFIED, rest(value), value);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowCallerTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowCallerTest.java
@@ -41,13 +41,16 @@
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
 
-/** What becomes of answers whose callers read late, slowly, or not at all. */
+/**
+ * Guards against truncated answers that look complete, and memory that is not released, when
+ * callers read late, slowly, or not at all.
+ */
 class SlowCallerTest {
     private static final long TIMEOUT_SECONDS = 20;
     private static final long LONG_MILLIS = 60_000;
     private static final int RECEIVE_BYTES = 4 * 1024;
 
-    /** More than the sockets of both ends take. */
+    /** More bytes than the socket buffers of both ends hold. */
     private static final int LARGE = 24 << 20;
 
     private static final String EVENT = "id: 1\ndata: " + "x".repeat(1 << 20) + "\n\n";
@@ -75,7 +78,7 @@
     }
 
     @Example
-    void readyAnswerIsDeliveredWholeAlsoLate() throws Exception {
+    void readyAnswerIsDeliveredCompletelyAlsoLate() throws Exception {
         try (Socket caller = caller("Connection: close\r\n")) {
             ServerExchange exchange = next();
             onLoop(() -> respond(exchange, LARGE));
@@ -88,7 +91,7 @@
     }
 
     @Example
-    void piecesThatWaitedArriveInOrderWithTheEnd() throws Exception {
+    void queuedPiecesArriveInOrderWithTheEnd() throws Exception {
         int pieces = 4_000;
         try (Socket caller = caller("Connection: close\r\n")) {
             ServerExchange exchange = next();
@@ -126,7 +129,7 @@
     }
 
     @Example
-    void cutStreamEndsAtAWholeEventAndDoesNotLookWhole() throws Exception {
+    void cutStreamEndsAtACompleteEventAndDoesNotLookComplete() throws Exception {
         CountDownLatch gone = new CountDownLatch(1);
         try (Socket caller = caller("")) {
             ServerExchange exchange = next();
@@ -145,7 +148,7 @@
     }
 
     @Example
-    void cutAnswerThatCannotBeResumedDoesNotLookWhole() throws Exception {
+    void cutAnswerThatCannotBeResumedDoesNotLookComplete() throws Exception {
         try (Socket caller = caller("")) {
             ServerExchange exchange = next();
             onLoop(() -> respond(exchange, LARGE));
@@ -176,7 +179,7 @@
     }
 
     @Example
-    void answerThatBreaksOffStillBringsWhatWasWrittenBefore() throws Exception {
+    void abortedAnswerStillDeliversWhatWasWrittenBefore() throws Exception {
         try (Socket caller = caller("")) {
             ServerExchange exchange = next();
             onLoop(() -> begin(exchange, false));
@@ -192,7 +195,7 @@
     }
 
     @Example
-    void callerThatLeavesGivesBackWhatWasHeldForIt() throws Exception {
+    void disconnectOfTheCallerReleasesTheReservedMemory() throws Exception {
         try (Socket caller = caller("")) {
             ServerExchange exchange = next();
             onLoop(() -> respond(exchange, LARGE));
@@ -226,7 +229,7 @@
         return ("GET / HTTP/1.1\r\nHost: h\r\n" + fields + "\r\n").getBytes(ascii());
     }
 
-    /** Sends a request over a socket that takes little before it is read. */
+    /** Sends a request over a socket with a small receive buffer. */
     private Socket caller(String fields) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(RECEIVE_BYTES);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowUpstreamTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowUpstreamTest.java
@@ -34,13 +34,16 @@
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
 
-/** What is kept of bodies that a server does not take, and when it is let go. */
+/**
+ * Guards against request bodies that a server does not read being left uncounted, or counted for
+ * too long.
+ */
 class SlowUpstreamTest {
     private static final long PATIENCE_SECONDS = 20;
     private static final int RECEIVE_BYTES = 4 * 1024;
     private static final long REST_MILLIS = 60_000;
 
-    /** More than the sockets of both ends take. */
+    /** More bytes than the socket buffers of both ends hold. */
     private static final int LARGE = 24 << 20;
 
     private final BlockingQueue<String> results = new LinkedBlockingQueue<>();
@@ -49,7 +52,7 @@
     private ServerSocket listener;
     private HostPort target;
 
-    /** Tells how a call ended. */
+    /** Records how a call ended. */
     private final class Recorder implements CallListener {
         private int status;
 
@@ -90,7 +93,7 @@
     }
 
     @Example
-    void bodyThatIsTakenLeavesNothingBehind() throws Exception {
+    void bodyThatIsWrittenIsNotCounted() throws Exception {
         onLoop(() -> post(100));
         try (RawSocket server = new RawSocket(listener.accept())) {
             server.readUntil("\r\n\r\n");
@@ -101,7 +104,7 @@
     }
 
     @Example
-    void bodyThatIsNotTakenCountsUntilTheCallIsCancelled() throws Exception {
+    void unwrittenBodyCountsUntilTheCallIsCancelled() throws Exception {
         ClientCall call = onLoop(() -> post(LARGE));
         try (RawSocket server = new RawSocket(listener.accept())) {
             server.readUntil("\r\n\r\n");
@@ -116,7 +119,7 @@
     }
 
     @Example
-    void answerBeforeTheBodyIsReadLetsTheRestOfItGo() throws Exception {
+    void answerBeforeTheBodyIsReadReleasesTheRestOfIt() throws Exception {
         onLoop(() -> post(LARGE));
         try (RawSocket server = new RawSocket(listener.accept())) {
             server.readUntil("\r\n\r\n");
@@ -128,7 +131,7 @@
     }
 
     @Example
-    void serverThatLeavesWhileItReadsFailsTheCall() throws Exception {
+    void disconnectOfTheServerWhileItReadsFailsTheCall() throws Exception {
         onLoop(() -> post(LARGE));
         try (RawSocket server = new RawSocket(listener.accept())) {
             server.readUntil("\r\n\r\n");
