--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnection.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnection.java
@@ -114,8 +114,8 @@
         }
         if (content.isLast()) {
             reading = null;
-            byte[] whole = takeBody();
-            accept(new ServerExchange(this, request, headers, whole));
+            byte[] bytes = takeBody();
+            accept(new ServerExchange(this, request, headers, bytes));
             updateAccount();
         }
     }
@@ -217,9 +217,9 @@
         if (body.size() == 0) {
             return NO_BYTES;
         }
-        byte[] whole = body.toByteArray();
+        byte[] bytes = body.toByteArray();
         body = new ByteArrayOutputStream();
-        return whole;
+        return bytes;
     }
 
     /** Updates the memory account with the bytes that the requests of this connection use. */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnections.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnections.java
@@ -79,7 +79,7 @@
     /** Returns the idle connections of the caller that has most of them. */
     private List<ServerConnection> idleOfLargestCaller() {
         Map<InetAddress, List<ServerConnection>> byCaller = new HashMap<>();
-        List<ServerConnection> most = new ArrayList<>();
+        List<ServerConnection> largest = new ArrayList<>();
         for (ServerConnection connection : all) {
             if (connection.isIdle()) {
                 InetSocketAddress caller =
@@ -87,9 +87,9 @@
                 List<ServerConnection> idle =
                         byCaller.computeIfAbsent(caller.getAddress(), address -> new ArrayList<>());
                 idle.add(connection);
-                most = idle.size() > most.size() ? idle : most;
+                largest = idle.size() > largest.size() ? idle : largest;
             }
         }
-        return most;
+        return largest;
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpServerTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpServerTest.java
@@ -37,7 +37,7 @@
  * callers that go unnoticed.
  */
 class HttpServerTest {
-    private static final long PATIENCE_SECONDS = 10;
+    private static final long TIMEOUT_SECONDS = 10;
     private static final long HEAD_MILLIS = 400;
 
     private final BlockingQueue<ServerExchange> requests = new LinkedBlockingQueue<>();
@@ -59,7 +59,7 @@
     }
 
     private ServerExchange next() throws InterruptedException {
-        ServerExchange exchange = requests.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        ServerExchange exchange = requests.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(exchange != null, "no request came");
         return exchange;
     }
@@ -108,13 +108,13 @@
 
     @Example
     void disconnectOfTheCallerIsNoticedWhileItsRequestIsProcessed() throws Exception {
-        CountDownLatch gone = new CountDownLatch(1);
+        CountDownLatch disconnected = new CountDownLatch(1);
         try (RawSocket caller = RawSocket.to(server.port())) {
             caller.send(get("/1"));
             ServerExchange exchange = next();
-            loop.execute(() -> exchange.onDisconnect(gone::countDown));
+            loop.execute(() -> exchange.onDisconnect(disconnected::countDown));
         }
-        assertTrue(gone.await(PATIENCE_SECONDS, TimeUnit.SECONDS));
+        assertTrue(disconnected.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     @Example
@@ -128,7 +128,7 @@
             respond(exchange, "done");
             caller.readUntil("done");
         }
-        assertTrue(requests.isEmpty(), "the rest was taken for a request");
+        assertTrue(requests.isEmpty(), "the remaining bytes were read as a request");
     }
 
     @Example
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowCallerTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowCallerTest.java
@@ -84,7 +84,8 @@
             onLoop(() -> respond(exchange, LARGE));
             assertTrue(onLoop(() -> account.held(HeldKind.ANSWERS_WAITING)) > 0);
             onLoop(this::closeResting);
-            assertEquals(1, onLoop(server::open), "an answer not yet read is not at rest");
+            assertEquals(
+                    1, onLoop(server::open), "a connection with an unread answer counts as open");
             assertTrue(caller.getInputStream().readAllBytes().length > LARGE);
         }
         awaitEmptyAccount();
@@ -130,18 +131,20 @@
 
     @Example
     void cutStreamEndsAtACompleteEventAndDoesNotLookComplete() throws Exception {
-        CountDownLatch gone = new CountDownLatch(1);
+        CountDownLatch disconnected = new CountDownLatch(1);
         try (Socket caller = caller("")) {
             ServerExchange exchange = next();
             onLoop(() -> begin(exchange, true));
-            onLoop(() -> onGone(exchange, gone));
+            onLoop(() -> onDisconnect(exchange, disconnected));
             for (int event = 0; event < 24; event++) {
                 onLoop(() -> write(exchange, EVENT.getBytes(ascii())));
             }
             onLoop(() -> cut(exchange));
-            assertTrue(gone.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the sender was not told");
+            assertTrue(
+                    disconnected.await(TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                    "the sender was not notified");
             String answer = text(caller.getInputStream());
-            assertFalse(answer.endsWith(END), "it looks whole");
+            assertFalse(answer.endsWith(END), "it looks complete");
             assertTrue(answer.endsWith("\n\n\r\n"), "it ends inside an event");
         }
         awaitEmptyAccount();
@@ -189,7 +192,7 @@
             onLoop(() -> abort(exchange));
             String answer = text(caller.getInputStream());
             assertTrue(answer.length() > 24 * EVENT.length(), "events are missing");
-            assertFalse(answer.endsWith(END), "it looks whole");
+            assertFalse(answer.endsWith(END), "it looks complete");
         }
         awaitEmptyAccount();
     }
@@ -220,7 +223,7 @@
     private void awaitEmptyAccount() throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (onLoop(account::total) != 0) {
-            assertTrue(System.nanoTime() < end, () -> "still held: " + account.total());
+            assertTrue(System.nanoTime() < end, () -> "still reserved: " + account.total());
             Thread.sleep(20);
         }
     }
@@ -282,8 +285,8 @@
         return true;
     }
 
-    private static boolean onGone(ServerExchange exchange, CountDownLatch gone) {
-        exchange.onDisconnect(gone::countDown);
+    private static boolean onDisconnect(ServerExchange exchange, CountDownLatch disconnected) {
+        exchange.onDisconnect(disconnected::countDown);
         return true;
     }
 
