--- a/trailladder-entry/src/main/java/io/trailladder/entry/caller/ExchangeSink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/caller/ExchangeSink.java
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void whenGone(Runnable action) {
+    public void whenDisconnected(Runnable action) {
         loop.execute(() -> exchange.onDisconnect(action));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ConnectionShares.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ConnectionShares.java
@@ -27,7 +27,7 @@
  * that have none yet.
  */
 final class ConnectionShares {
-    private final PolicyKeeper policies;
+    private final PolicyManager policies;
     private final IntSupplier processes;
 
     /**
@@ -36,7 +36,7 @@
      * @param policies returns how many connections services accept
      * @param processes returns the number of processes, this one included
      */
-    ConnectionShares(PolicyKeeper policies, IntSupplier processes) {
+    ConnectionShares(PolicyManager policies, IntSupplier processes) {
         this.policies = policies;
         this.processes = processes;
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/AnswerWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/AnswerWriter.java
@@ -15,8 +15,8 @@
  */
 package io.trailladder.entry.http;
 
-import io.trailladder.core.memory.HeldKind;
-import io.trailladder.core.memory.MemoryAccount.Holding;
+import io.trailladder.core.memory.ReservationKind;
+import io.trailladder.core.memory.MemoryAccount.Reservation;
 import java.net.SocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -57,7 +57,7 @@
     private final HttpResponsePacket head;
     private ArrayDeque<byte[]> waiting;
     private List<Runnable> whenWritable;
-    private Holding holding;
+    private Reservation holding;
     private int waitingBytes;
     private int writingBytes;
     private boolean headSent;
@@ -265,7 +265,7 @@
             return;
         }
         if (holding == null) {
-            holding = owner.server().account().open(HeldKind.ANSWERS_WAITING);
+            holding = owner.server().account().open(ReservationKind.ANSWERS_WAITING);
             progressMillis = owner.server().nowMillis();
         }
         unsentBytes = bytes;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnection.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnection.java
@@ -15,7 +15,7 @@
  */
 package io.trailladder.entry.http;
 
-import io.trailladder.core.memory.HeldKind;
+import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.memory.MemoryLevel;
 import java.io.ByteArrayOutputStream;
@@ -38,7 +38,7 @@
 
     private final HttpServer server;
     private final Connection<?> connection;
-    private final MemoryAccount.Holding holding;
+    private final MemoryAccount.Reservation holding;
     private final Deque<ServerExchange> waiting = new ArrayDeque<>();
     private HttpRequestPacket reading;
 
@@ -57,7 +57,7 @@
     ServerConnection(HttpServer server, Connection<?> connection) {
         this.server = server;
         this.connection = connection;
-        this.holding = server.account().open(HeldKind.REQUESTS);
+        this.holding = server.account().open(ReservationKind.REQUESTS);
         markIdle();
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowCallerTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowCallerTest.java
@@ -19,7 +19,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.trailladder.core.memory.HeldKind;
+import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.memory.MemoryBudget;
 import io.trailladder.entry.loop.EventLoop;
@@ -82,7 +82,7 @@
         try (Socket caller = caller("Connection: close\r\n")) {
             ServerExchange exchange = next();
             onLoop(() -> respond(exchange, LARGE));
-            assertTrue(onLoop(() -> account.held(HeldKind.ANSWERS_WAITING)) > 0);
+            assertTrue(onLoop(() -> account.reserved(ReservationKind.ANSWERS_WAITING)) > 0);
             onLoop(this::closeResting);
             assertEquals(
                     1, onLoop(server::open), "a connection with an unread answer counts as open");
