--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryManager.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryManager.java
@@ -177,7 +177,7 @@
         long before = revision;
         revision = Math.max(revision, item.revision());
         String id = idOf(item.key());
-        byte[] value = item.gone() ? NO_BYTES : item.value();
+        byte[] value = item.removed() ? NO_BYTES : item.value();
         apply(id, value);
         onUpdate.accept(new UpstreamNews(before, revision, new UpstreamEntry(id, value)));
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DutyRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DutyRunner.java
@@ -193,7 +193,7 @@
 
     @Override
     public void changed(StoreItem item) {
-        if (item.gone()) {
+        if (item.removed()) {
             keyRemoved(item.revision());
         } else {
             election.keySeen(LeaderKey.token(item));
@@ -302,14 +302,14 @@
     }
 
     private void displaced(StoreItem item) {
-        boolean removed = item.gone();
+        boolean removed = item.removed();
         long token = removed ? 0 : LeaderKey.token(item);
         election.displaced(removed ? 0 : item.revision(), token, loop.nowMillis());
         step();
     }
 
     private boolean isOwn(StoreItem item) {
-        return !item.gone() && LeaderKey.read(item.value()).incarnation().equals(incarnation);
+        return !item.removed() && LeaderKey.read(item.value()).incarnation().equals(incarnation);
     }
 
     private void renew(long sentMillis) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderKey.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderKey.java
@@ -51,7 +51,7 @@
 
     /** Returns the fencing token of the leader that wrote the key. */
     static long token(StoreItem item) {
-        return Math.max(item.made(), read(item.value()).tokenLowerBound() + 1);
+        return Math.max(item.createdRevision(), read(item.value()).tokenLowerBound() + 1);
     }
 
     /** Returns the token if it is in the valid range, otherwise 0. */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutManager.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutManager.java
@@ -404,7 +404,7 @@
 
         private void read(StoreItem item, Written written, boolean certain) {
             String service = serviceOf(item.key(), format.rolloutOrderPrefix());
-            if (item.gone()) {
+            if (item.removed()) {
                 withdraw(service);
                 return;
             }
@@ -427,7 +427,7 @@
 
         private void apply(StoreItem item, boolean certain) {
             String service = serviceOf(item.key(), format.rolloutStatusPrefix());
-            if (!item.gone()) {
+            if (!item.removed()) {
                 read(service, item, certain);
             }
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRunner.java
@@ -248,7 +248,7 @@
             return;
         }
         health.answered();
-        if (!read.get().gone()) {
+        if (!read.get().removed()) {
             manager.read(service, read.get(), false);
         }
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
@@ -295,7 +295,7 @@
         for (Map.Entry<String, Long> received : Map.copyOf(lastReceivedMillis).entrySet()) {
             String address = received.getKey() + ":1";
             boolean ownHub = !plan.hub() && plan.dial().contains(address);
-            long timeoutMillis = ownHub ? PeerMesh.HEARD_MILLIS : PEER_TIMEOUT_MILLIS;
+            long timeoutMillis = ownHub ? PeerMesh.PEER_REACHABLE_MILLIS : PEER_TIMEOUT_MILLIS;
             if (cluster.linked(member.name(), received.getKey())
                     && now - received.getValue() > timeoutMillis) {
                 planner.unreachable(address, now);
@@ -370,7 +370,7 @@
         }
 
         @Override
-        public boolean isFedBy(NodeHello peer) {
+        public boolean receivesUpdatesFrom(NodeHello peer) {
             boolean follower = isStoreFollower(peer.name()) && !followsStoreForHubs();
             return plan.hub() ? follower : isOwnHub(peer);
         }
