--- a/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
@@ -56,25 +56,25 @@
 import org.tinylog.Logger;
 
 /**
- * One entry: puts all its parts together, starts and stops them.
+ * The entry daemon. Creates the components of one entry, starts and stops them.
  *
  * <pre>{@code
  * EntryDaemon entry = new EntryDaemon(settings);
  * entry.start();
- * entry.stop(); // finishes requests in flight, hands the rest over
+ * entry.stop(); // finishes requests in flight, hands over those that remain
  * }</pre>
  *
  * @since 0.1
  */
 public final class EntryDaemon {
-    private static final long HEARTBEAT_MILLIS = 1_000;
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 1_000;
     private static final int MAX_CLAIMS = 300_000;
-    private static final long HEAD_MILLIS = 10_000;
-    private static final long LAST_ANSWERS_MILLIS = 200;
+    private static final long HEAD_TIMEOUT_MILLIS = 10_000;
+    private static final long LAST_ANSWERS_DELAY_MILLIS = 200;
     private static final int TIMER_THREADS = 2;
     private static final long DRAIN_POLL_MILLIS = 50;
-    private static final long HAND_OVER_MILLIS = 300;
-    private static final long RANGES_MILLIS = 5_000;
+    private static final long HAND_OVER_DELAY_MILLIS = 300;
+    private static final long RANGE_HAND_OVER_TIMEOUT_MILLIS = 5_000;
     private static final long NOTICE_MARGIN_MILLIS = 700;
 
     private final EntrySettings settings;
@@ -104,16 +104,16 @@
     private volatile boolean stopping;
 
     /**
-     * Puts an entry together.
+     * Creates an entry. Nothing is started before {@link #start()}.
      *
-     * @param settings its settings
+     * @param settings the settings of the entry
      */
     public EntryDaemon(EntrySettings settings) {
         this.settings = settings;
-        this.self = presentation(settings);
+        this.self = selfInfo(settings);
         this.timer = PeriodicTasks.newTimer(TIMER_THREADS);
         this.client = new HttpClient(timer);
-        this.links = new PeerLinks(self, settings.peerKey(), new LateHandler());
+        this.links = new PeerLinks(self, settings.peerKey(), new DelegatingPeerHandler());
         this.placements =
                 new Placements(
                         settings.dataCentre(), ThreadLocalRandom.current().nextLong(), timer);
@@ -171,7 +171,7 @@
                                 relay,
                                 new PeerServer(links, dispatcher, book),
                                 claims,
-                                new Greeter()));
+                                new InitialStateSender()));
         this.heartbeats =
                 new HeartbeatSender(
                         self,
@@ -190,13 +190,13 @@
                         this::status,
                         placements,
                         this::isReady);
-        policies.onChange(table -> tableInForce());
+        policies.onChange(table -> tableChanged());
     }
 
     /**
-     * Starts everything.
+     * Starts all servers, peer links and periodic tasks.
      *
-     * @throws IOException if a port is taken
+     * @throws IOException if a port is in use
      */
     public void start() throws IOException {
         links.start(settings.peerAddress(), timer);
@@ -206,16 +206,19 @@
         entrySync.start();
         fleetSync.start();
         claimSync.start();
-        PeriodicTasks.repeat(timer, "heartbeat", this::beat, HEARTBEAT_MILLIS);
+        PeriodicTasks.repeat(timer, "heartbeat", this::sendHeartbeats, HEARTBEAT_INTERVAL_MILLIS);
         Logger.info("entry {} in {} started", self.id(), self.dataCentre());
     }
 
-    /** Stops: refuses new requests, finishes those in flight, hands the rest to other entries. */
+    /**
+     * Stops the entry: refuses new requests, waits up to the drain time for those in flight, and
+     * hands those that remain over to other entries.
+     */
     public void stop() {
         stop(settings.drainMillis());
     }
 
-    /** Ends at once, without finishing or handing over anything, as a crash would. */
+    /** Ends at once without finishing or handing over any request, as in a crash. */
     public void kill() {
         timer.shutdownNow();
         closeCallers();
@@ -225,16 +228,16 @@
     }
 
     /**
-     * Returns how this entry presents itself.
+     * Returns the name, data centre and addresses of this entry, as sent to peers.
      *
-     * @return the presentation
+     * @return the description of this entry
      */
     public EntryInfo self() {
         return self;
     }
 
     /**
-     * Returns the links to peers, to be cut in failure tests.
+     * Returns the links to peers. Failure tests cut them.
      *
      * @return the links
      */
@@ -243,12 +246,12 @@
     }
 
     /**
-     * Returns what operators are told.
+     * Returns the status that operators read under {@code /status}.
      *
      * @return the status
      */
     public StatusReport status() {
-        long heard = tableSync.platformMillis();
+        long lastAnswerMillis = tableSync.platformMillis();
         List<StatusReport.Peer> peers =
                 links.live().stream()
                         .map(
@@ -279,7 +282,7 @@
                 book.copies(),
                 claims.size(),
                 claims.owned(),
-                heard == 0 ? -1 : System.currentTimeMillis() - heard,
+                lastAnswerMillis == 0 ? -1 : System.currentTimeMillis() - lastAnswerMillis,
                 peers,
                 upstreams);
     }
@@ -291,7 +294,7 @@
         stopping = true;
         Logger.info("entry {} stops within {} ms", self.id(), drainMillis);
         dispatcher.drain();
-        beat();
+        sendHeartbeats();
         claimSync.drain();
         long started = MonotonicClock.millis();
         long deadline = started + drainMillis;
@@ -302,7 +305,7 @@
         book.handOver();
         if (unfinished > 0) {
             Logger.info("entry {} hands over {} requests", self.id(), unfinished);
-            pause(HAND_OVER_MILLIS);
+            pause(HAND_OVER_DELAY_MILLIS);
         }
         book.endUnfinished();
         shutDown();
@@ -311,7 +314,7 @@
     private boolean busy(long sinceMillis) {
         boolean handsRangesOver =
                 claims.owned() > 0
-                        && MonotonicClock.millis() - sinceMillis < RANGES_MILLIS
+                        && MonotonicClock.millis() - sinceMillis < RANGE_HAND_OVER_TIMEOUT_MILLIS
                         && links.live().stream().anyMatch(peer -> serves(peer));
         return book.open() > 0 || relay.size() > 0 || handsRangesOver;
     }
@@ -347,7 +350,7 @@
         ServerBounds bounds =
                 new ServerBounds(
                         limits.maxBodyBytes(),
-                        Math.min(HEAD_MILLIS, limits.callerIdleMillis()),
+                        Math.min(HEAD_TIMEOUT_MILLIS, limits.callerIdleMillis()),
                         limits.callerIdleMillis());
         return new HttpServer(
                 callerLoop,
@@ -361,7 +364,7 @@
         callerLoop.start();
     }
 
-    /** Stops listening, and closes connections once their answers are sent. */
+    /** Stops listening, and closes connections after the time for sending the last answers. */
     private void endCallers() {
         callerLoop.execute(
                 () -> {
@@ -369,7 +372,7 @@
                     callers.stopListening();
                     callers.closeResting();
                 });
-        pause(LAST_ANSWERS_MILLIS);
+        pause(LAST_ANSWERS_DELAY_MILLIS);
         closeCallers();
     }
 
@@ -377,16 +380,16 @@
         try {
             callerLoop.close();
         } catch (IOException e) {
-            Logger.warn("connections of callers are not closed: {}", e.getMessage());
+            Logger.warn("closing the caller connections failed: {}", e.getMessage());
         }
     }
 
-    private void beat() {
-        heartbeats.beat();
+    private void sendHeartbeats() {
+        heartbeats.sendHeartbeats();
         metrics.openRequests(book.open());
     }
 
-    private void tableInForce() {
+    private void tableChanged() {
         metrics.tableRevision(policies.table().revision());
         links.sendAll(heartbeats.heartbeat(List.of()));
         Logger.info("table revision {} is in force", policies.table().revision());
@@ -396,10 +399,10 @@
         return !dispatcher.draining() && policies.table().revision() > 0;
     }
 
-    /** Sends peers what they should know. */
-    private final class Greeter implements PeerRouter.PeerSender {
+    /** Sends the state that a newly linked or outdated peer lacks. */
+    private final class InitialStateSender implements PeerRouter.PeerSender {
         @Override
-        public void greet(String peer) {
+        public void sendInitialState(String peer) {
             links.send(peer, new PeerMessage.Members(members.known()));
             links.send(peer, heartbeats.heartbeat(List.of()));
         }
@@ -410,8 +413,11 @@
         }
     }
 
-    /** Breaks the circle between the links and the parts that use them. */
-    private final class LateHandler implements PeerHandler {
+    /**
+     * Forwards link events to the router. The links are created before the router, which in turn
+     * depends on them.
+     */
+    private final class DelegatingPeerHandler implements PeerHandler {
         @Override
         public void linked(EntryInfo peer) {
             router.linked(peer);
@@ -428,7 +434,7 @@
         }
     }
 
-    private static EntryInfo presentation(EntrySettings settings) {
+    private static EntryInfo selfInfo(EntrySettings settings) {
         String suffix = HexFormat.of().toHexDigits(ThreadLocalRandom.current().nextInt());
         return new EntryInfo(
                 settings.dataCentre() + "-" + suffix,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/peer/PeerLinks.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/peer/PeerLinks.java
@@ -40,19 +40,20 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps links to all known entries and sends messages over them.
+ * Maintains links to all known entries and sends messages over them.
  *
- * <p>Both ends prove that they have the shared key before any other message is taken. A peer that
- * is silent for {@link #LIVE_MILLIS} is no longer called live, which is a hint and no more.
+ * <p>Both ends prove that they have the shared key before any other message is accepted. A peer
+ * from which nothing was received for {@link #LIVE_TIMEOUT_MILLIS} no longer counts as live; this
+ * is only a hint, since it may still be running.
  *
  * @since 0.1
  */
 public final class PeerLinks implements Peers, AutoCloseable {
     /** How long a peer counts as live after its last message, in milliseconds. */
-    public static final long LIVE_MILLIS = 3_000;
+    public static final long LIVE_TIMEOUT_MILLIS = 3_000;
 
-    private static final long DIAL_MILLIS = 500;
-    private static final long HANDSHAKE_NANOS = TimeUnit.SECONDS.toNanos(5);
+    private static final long DIAL_INTERVAL_MILLIS = 500;
+    private static final long HANDSHAKE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(5);
     private static final int MAX_PENDING_BYTES = 32 * 1024 * 1024;
 
     private final EntryInfo self;
@@ -61,7 +62,7 @@
     private final TCPNIOTransport transport;
     private final Set<PeerLink> handshaking = ConcurrentHashMap.newKeySet();
     private final Map<String, List<PeerLink>> links = new ConcurrentHashMap<>();
-    private final Map<String, Long> heardNanos = new ConcurrentHashMap<>();
+    private final Map<String, Long> lastReceivedNanos = new ConcurrentHashMap<>();
     private final Map<String, String> addresses = new ConcurrentHashMap<>();
     private final Set<String> dialling = ConcurrentHashMap.newKeySet();
     private volatile boolean cut;
@@ -69,9 +70,9 @@
     /**
      * Creates the links.
      *
-     * @param self how this entry presents itself
+     * @param self the description of this entry, sent to peers
      * @param sharedKey the key that all entries of an installation have
-     * @param handler told of links and messages
+     * @param handler receives link events and messages
      */
     public PeerLinks(EntryInfo self, byte[] sharedKey, PeerHandler handler) {
         this.self = self;
@@ -92,35 +93,35 @@
     }
 
     /**
-     * Listens for peers and dials those that are known.
+     * Starts listening for peers and dialling known addresses.
      *
-     * @param address where to listen
-     * @param timer runs the dialling
-     * @throws IOException if the port is taken
+     * @param address the address to listen on
+     * @param timer runs the dialling task
+     * @throws IOException if the port is in use
      */
     public void start(HostPort address, ScheduledExecutorService timer) throws IOException {
         transport.bind(new InetSocketAddress(address.host(), address.port()));
         transport.start();
-        PeriodicTasks.repeat(timer, "dial", this::dialMissing, DIAL_MILLIS);
+        PeriodicTasks.repeat(timer, "dial", this::dialMissing, DIAL_INTERVAL_MILLIS);
     }
 
     /**
-     * Makes an address known, to be dialled until a link to it is up.
+     * Adds an address, which is dialled whenever no link to it is up.
      *
      * @param address host and port
      */
-    public void know(String address) {
+    public void addAddress(String address) {
         if (!address.equals(self.peerAddress())) {
             addresses.putIfAbsent(address, "");
         }
     }
 
     /**
-     * Forgets addresses that are neither linked nor to be kept.
+     * Removes all addresses that are neither linked nor in the given collection.
      *
-     * @param keep addresses to go on dialling
+     * @param keep the addresses to retain
      */
-    public void forgetExcept(Collection<String> keep) {
+    public void retainAddresses(Collection<String> keep) {
         Set<String> linked = ConcurrentHashMap.newKeySet();
         links.values().forEach(all -> all.forEach(link -> linked.add(link.peer().peerAddress())));
         addresses
@@ -149,18 +150,18 @@
 
     @Override
     public List<EntryInfo> live() {
-        long oldest = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(LIVE_MILLIS);
+        long oldest = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(LIVE_TIMEOUT_MILLIS);
         return links.values().stream()
                 .flatMap(all -> all.stream().limit(1))
                 .map(PeerLink::peer)
-                .filter(peer -> heardNanos.getOrDefault(peer.id(), oldest - 1) - oldest > 0)
+                .filter(peer -> lastReceivedNanos.getOrDefault(peer.id(), oldest - 1) - oldest > 0)
                 .toList();
     }
 
     /**
-     * Cuts this entry off from all peers, or ends the cut. For failure tests.
+     * Simulates a network partition between this entry and all peers. For failure tests.
      *
-     * @param off true to drop everything sent and received
+     * @param off true to drop all messages sent and received, false to end the partition
      */
     public void cut(boolean off) {
         cut = off;
@@ -192,7 +193,7 @@
     private void dialMissing() {
         long now = System.nanoTime();
         for (PeerLink link : handshaking) {
-            if (now - link.openedNanos() > HANDSHAKE_NANOS) {
+            if (now - link.openedNanos() > HANDSHAKE_TIMEOUT_NANOS) {
                 link.close();
             }
         }
@@ -210,7 +211,7 @@
                 new InetSocketAddress(target.host(), target.port()),
                 new EmptyCompletionHandler<>() {
                     @Override
-                    @SuppressWarnings("rawtypes") // Grizzly's own signature
+                    @SuppressWarnings("rawtypes") // the signature is Grizzly's
                     public void completed(Connection connection) {
                         dialling.remove(address);
                         PeerLink link = newLink(connection, true);
@@ -239,7 +240,7 @@
     private void up(PeerLink link) {
         EntryInfo peer = link.peer();
         handshaking.remove(link);
-        heardNanos.put(peer.id(), System.nanoTime());
+        lastReceivedNanos.put(peer.id(), System.nanoTime());
         addresses.put(peer.peerAddress(), peer.id());
         List<PeerLink> all = links.computeIfAbsent(peer.id(), id -> new CopyOnWriteArrayList<>());
         all.add(link);
@@ -261,7 +262,7 @@
         }
     }
 
-    /** Takes what the frame filter reads. */
+    /** Handles the events of the frame filter. */
     private final class FrameListener implements PeerFrameFilter.Listener {
         @Override
         public PeerLink accepted(Connection<?> connection) {
@@ -279,7 +280,7 @@
             if (cut) {
                 return;
             }
-            heardNanos.put(link.peer().id(), System.nanoTime());
+            lastReceivedNanos.put(link.peer().id(), System.nanoTime());
             handler.received(link.peer(), message);
         }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
@@ -102,7 +102,7 @@
                 new GenerationMachine.Settings(
                         request.maxTokens(),
                         context.settings().limits().queueMillis(row.latencyTargetMillis()),
-                        context.settings().limits().patienceMillis(),
+                        context.settings().limits().queueTimeoutMillis(),
                         TOKEN_MILLIS,
                         EXPORT_MILLIS,
                         row.repeatable());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/FleetSync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/FleetSync.java
@@ -41,23 +41,23 @@
 import java.util.stream.Collectors;
 
 /**
- * Keeps this entry's knowledge of upstreams fresh: one entry of a data centre reads the instance
- * list for all, two wait for notices, and every entry asks some engines for their load.
+ * Keeps the upstreams known to this entry up to date. One entry of a data centre reads the instance
+ * list for all, two wait for notices, and every entry queries the load of some engines.
  *
- * <p>A notice goes to all entries of the data centre at once; the list, which lags, never undoes
- * it.
+ * <p>A notice is sent to all entries of the data centre at once. The list lags behind, so it never
+ * cancels a notice.
  *
  * @since 0.1
  */
 public final class FleetSync {
-    /** What remains of a notice that came only as a word in the instance list, in milliseconds. */
+    /** The remaining time assumed for an instance that only the list reports as leaving, in ms. */
     public static final long LISTED_NOTICE_MILLIS = 1_000;
 
     private static final long TICK_MILLIS = 500;
     private static final long LIST_MAX_AGE_MILLIS = 4_000;
-    private static final long LIST_MILLIS = 1_000;
+    private static final long LIST_INTERVAL_MILLIS = 1_000;
     private static final int NOTICE_READERS = 2;
-    private static final long NOTICE_WAIT_MILLIS = 10_000;
+    private static final long NOTICE_TIMEOUT_MILLIS = 10_000;
     private static final int LOADS_PER_TICK = 20;
 
     private final CloudApi cloud;
@@ -70,16 +70,16 @@
     private final NoticeListener listener;
     private final ScheduledExecutorService timer;
     private volatile long listedMillis = Long.MIN_VALUE / 2;
-    private volatile long askedMillis = Long.MIN_VALUE / 2;
+    private volatile long listRequestedMillis = Long.MIN_VALUE / 2;
     private volatile boolean stopped;
     private long nextNotice;
 
-    /** Is told of upstreams, or this entry's own instance, that begin to leave. */
+    /** Receives the instances that begin to leave, including this entry's own. */
     public interface NoticeListener {
         /**
-         * An instance begins to leave.
+         * Called when an instance begins to leave.
          *
-         * @param instance its name
+         * @param instance the name of the instance
          * @param remainingMillis how long it will still run, in milliseconds
          */
         void leaving(String instance, long remainingMillis);
@@ -89,14 +89,14 @@
      * Creates the sync.
      *
      * @param cloud the cloud's API
-     * @param placements told of upstreams and loads
-     * @param engines asked for their load
-     * @param policies tells models from services
-     * @param links reaches peers
-     * @param members knows this entry's rank
-     * @param self this entry
-     * @param listener told of instances that begin to leave
-     * @param timer runs the work
+     * @param placements receives upstreams and loads
+     * @param engines queries the load of engines
+     * @param policies provides which targets are models
+     * @param links sends to peers
+     * @param members provides the rank of this entry
+     * @param self the description of this entry
+     * @param listener receives the instances that begin to leave
+     * @param timer runs the periodic tasks
      */
     public FleetSync(
             CloudApi cloud,
@@ -119,19 +119,19 @@
         this.timer = timer;
     }
 
-    /** Begins. */
+    /** Starts the periodic task and waiting for notices. */
     public void start() {
         PeriodicTasks.repeat(timer, "fleet", this::tick, TICK_MILLIS);
         waitForNotices();
     }
 
-    /** Ends. */
+    /** Stops waiting for notices. */
     public void stop() {
         stopped = true;
     }
 
     /**
-     * Takes the instance list from a peer of this data centre.
+     * Applies the instance list from a peer of this data centre.
      *
      * @param list the list
      */
@@ -140,7 +140,7 @@
     }
 
     /**
-     * Takes notices from a peer.
+     * Applies notices from a peer.
      *
      * @param notice the notices
      */
@@ -151,13 +151,13 @@
     private void tick() {
         long now = MonotonicClock.millis();
         boolean reader = members.rank("instances") == 0;
-        boolean due = now - askedMillis >= LIST_MILLIS;
+        boolean due = now - listRequestedMillis >= LIST_INTERVAL_MILLIS;
         boolean stale = now - listedMillis >= LIST_MAX_AGE_MILLIS;
         if (due && (reader || stale)) {
-            askedMillis = now;
+            listRequestedMillis = now;
             cloud.instances().thenAccept(this::read);
         }
-        askLoads();
+        queryLoads();
         placements.pump();
     }
 
@@ -188,26 +188,26 @@
             timer.schedule(this::waitForNotices, TICK_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
-        cloud.notices(nextNotice, NOTICE_WAIT_MILLIS)
+        cloud.notices(nextNotice, NOTICE_TIMEOUT_MILLIS)
                 .whenComplete(
                         (notices, failure) -> {
                             long delay = failure == null ? 1 : TICK_MILLIS;
                             if (failure == null) {
                                 nextNotice = notices.next();
-                                spread(notices.notices());
+                                distribute(notices.notices());
                             }
                             timer.schedule(this::waitForNotices, delay, TimeUnit.MILLISECONDS);
                         });
     }
 
-    private void spread(List<CloudApi.Notice> notices) {
-        List<Notice> news = new ArrayList<>();
+    private void distribute(List<CloudApi.Notice> notices) {
+        List<Notice> updates = new ArrayList<>();
         for (CloudApi.Notice notice : notices) {
-            news.add(new Notice(notice.id(), notice.remainingMillis()));
+            updates.add(new Notice(notice.id(), notice.remainingMillis()));
         }
-        if (!news.isEmpty()) {
-            toDataCentre(new LeavingNotice(news));
-            news.forEach(this::noticed);
+        if (!updates.isEmpty()) {
+            toDataCentre(new LeavingNotice(updates));
+            updates.forEach(this::noticed);
         }
     }
 
@@ -225,7 +225,7 @@
         }
     }
 
-    private void askLoads() {
+    private void queryLoads() {
         Set<String> models =
                 policies.table().rows().stream()
                         .filter(row -> row.kind() == TargetKind.MODEL)
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/TableSync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/TableSync.java
@@ -35,19 +35,18 @@
 import org.tinylog.Logger;
 
 /**
- * Brings every accepted table change into force here, from the platform or from peers, whichever is
- * first.
+ * Applies every accepted table change, from the platform or from peers, whichever arrives first.
  *
- * <p>Two entries of a data centre watch the table's head; the others look at it now and then.
- * Whoever learns of a change sends it to every peer that, by its last heartbeat, lacks it.
+ * <p>Two entries of a data centre watch the head of the table; the others read it periodically. An
+ * entry that applies a change sends it to every peer whose last heartbeat has an older revision.
  *
  * @since 0.1
  */
 public final class TableSync {
     private static final int WATCHERS = 2;
-    private static final long WATCH_MILLIS = 10_000;
-    private static final long RETRY_MILLIS = 500;
-    private static final long LOOK_MILLIS = 10_000;
+    private static final long WATCH_TIMEOUT_MILLIS = 10_000;
+    private static final long RETRY_DELAY_MILLIS = 500;
+    private static final long CHECK_INTERVAL_MILLIS = 10_000;
     private static final String TASK = "table";
 
     private final TableStore store;
@@ -65,12 +64,12 @@
     /**
      * Creates the sync.
      *
-     * @param keyValue the platform's service
-     * @param policies holds the table in force
-     * @param links reaches peers
-     * @param members knows this entry's rank
-     * @param heartbeats knows the peers' revisions
-     * @param timer runs retries
+     * @param keyValue the platform's key-value service
+     * @param policies the table in force
+     * @param links sends to peers
+     * @param members provides the rank of this entry
+     * @param heartbeats provides the table revisions of peers
+     * @param timer runs the delayed reads
      */
     public TableSync(
             KeyValueStore keyValue,
@@ -86,23 +85,23 @@
         this.members = members;
         this.heartbeats = heartbeats;
         this.timer = timer;
-        policies.onChange(table -> tellPeers());
+        policies.onChange(table -> sendChangesToPeers());
     }
 
-    /** Begins: reads the table, then watches. */
+    /** Starts reading the table, and then watching it. */
     public void start() {
         store.load()
                 .whenComplete(
                         (table, failure) -> {
                             if (failure == null) {
-                                reached();
+                                platformAnswered();
                                 policies.offer(table);
                             }
-                            again(failure == null ? 0 : RETRY_MILLIS);
+                            scheduleWatch(failure == null ? 0 : RETRY_DELAY_MILLIS);
                         });
     }
 
-    /** Ends. */
+    /** Stops watching the table. */
     public void stop() {
         stopped = true;
     }
@@ -117,30 +116,30 @@
     }
 
     /**
-     * Takes a peer's heartbeat: a peer that lacks changes is sent them.
+     * Processes a heartbeat of a peer. Sends the changes that the peer lacks.
      *
      * @param peer the peer
-     * @param heartbeat its heartbeat
+     * @param heartbeat the heartbeat
      */
-    public void heard(EntryInfo peer, Heartbeat heartbeat) {
+    public void heartbeatReceived(EntryInfo peer, Heartbeat heartbeat) {
         if (heartbeat.tableRevision() < policies.table().revision()) {
             sendMissing(peer.id(), heartbeat.tableRevision());
         }
     }
 
     /**
-     * Takes changes from a peer.
+     * Applies changes from a peer.
      *
      * @param delta the changes
      */
     public void received(TableDelta delta) {
         if (policies.offer(delta.changes()) == Offer.GAP) {
-            Logger.debug("table changes from a peer do not follow; waiting for the next heartbeat");
+            Logger.debug("gap before the table changes of a peer; waiting for its next heartbeat");
         }
     }
 
     /**
-     * Takes a whole table from a peer.
+     * Applies a complete table from a peer.
      *
      * @param snapshot the table
      */
@@ -148,7 +147,7 @@
         policies.offer(Table.of(snapshot.revision(), snapshot.changeId(), snapshot.rows()));
     }
 
-    private void tellPeers() {
+    private void sendChangesToPeers() {
         for (EntryInfo peer : links.live()) {
             long theirs = heartbeats.heartbeat(peer.id()).map(Heartbeat::tableRevision).orElse(0L);
             if (theirs < policies.table().revision()) {
@@ -176,20 +175,20 @@
             return;
         }
         if (members.rank(TASK) >= WATCHERS) {
-            catchUp().whenComplete((done, failure) -> again(LOOK_MILLIS));
+            catchUp().whenComplete((done, failure) -> scheduleWatch(CHECK_INTERVAL_MILLIS));
             return;
         }
-        keyValue.watch(TableStore.HEAD_KEY, watchRevision, WATCH_MILLIS)
+        keyValue.watch(TableStore.HEAD_KEY, watchRevision, WATCH_TIMEOUT_MILLIS)
                 .thenCompose(
                         batch -> {
-                            reached();
+                            platformAnswered();
                             watchRevision = Math.max(watchRevision, batch.revision());
                             return catchUp();
                         })
                 .whenComplete(
                         (done, failure) -> {
-                            noteOutage(failure);
-                            again(failure == null ? 0 : RETRY_MILLIS);
+                            logOutage(failure);
+                            scheduleWatch(failure == null ? 0 : RETRY_DELAY_MILLIS);
                         });
     }
 
@@ -197,7 +196,7 @@
         return store.changesAfter(policies.table())
                 .thenCompose(
                         changes -> {
-                            reached();
+                            platformAnswered();
                             return offer(changes);
                         });
     }
@@ -209,23 +208,23 @@
         return store.load().thenAccept(policies::offer);
     }
 
-    private void again(long delayMillis) {
+    private void scheduleWatch(long delayMillis) {
         if (!stopped) {
             long jitter = delayMillis == 0 ? 1 : ThreadLocalRandom.current().nextLong(100, 300);
             timer.schedule(this::watch, delayMillis + jitter, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Logs the first failure of an outage, not every one. */
-    private void noteOutage(Throwable failure) {
+    /** Logs the first failure of an outage only. */
+    private void logOutage(Throwable failure) {
         boolean down = failure != null;
         if (down && !outage) {
-            Logger.warn("table is not read: {}", TableStore.unwrapped(failure).getMessage());
+            Logger.warn("reading the table failed: {}", TableStore.unwrapped(failure).getMessage());
         }
         outage = down;
     }
 
-    private void reached() {
+    private void platformAnswered() {
         platformMillis = System.currentTimeMillis();
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntries.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntries.java
@@ -188,7 +188,7 @@
         }
         entry.timer.freeze();
         clock.after(
-                PeerLinks.LIVE_MILLIS,
+                PeerLinks.LIVE_TIMEOUT_MILLIS,
                 () -> {
                     if (!entry.timer.isRunning() && !entry.timer.isLost()) {
                         entries.keySet().stream()
