--- a/trailladder-entry/src/test/java/io/trailladder/entry/HandOverTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/HandOverTest.java
@@ -25,13 +25,13 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** A stream whose entry stops goes on at its heir, in every order of events that is forced here. */
+/** A stream whose entry stops is resumed at its successor, for each order of events tested here. */
 class HandOverTest {
     private static final int TOKENS = 400;
 
     private final RecordedAnswer begun = new RecordedAnswer();
 
-    /** Begins a stream at the first entry and has it run for a while. */
+    /** Starts a stream at the first entry and runs it for the given time. */
     private String begin(SimulatedEntries system, long millis) {
         system.entry("a").stream(TOKENS, begun);
         system.run(millis);
@@ -39,8 +39,8 @@
         return begun.requestId();
     }
 
-    /** Asks an entry for the rest, as the caller of a stream that moved does. */
-    private void assertGoesOnAt(SimulatedEntries system, String entry, String id) {
+    /** Requests the remainder from an entry, as the caller of a moved stream does. */
+    private void assertResumesAt(SimulatedEntries system, String entry, String id) {
         RecordedAnswer rest = system.entry(entry).ask(id, begun.tokens(), new RecordedAnswer());
         system.run(4_000);
         assertWhole(rest);
@@ -51,9 +51,9 @@
         assertEquals(SimulatedEngine.answer(TOKENS), begun.text() + rest.text());
     }
 
-    // Guards against a caller that asks the heir before the hand-over is there and is told 404.
+    // Guards against a 404 for a caller that reaches the successor before the hand-over arrives.
     @Example
-    void callerWhoAsksTheHeirBeforeTheHandOverArrivesHasTheRest() {
+    void callerThatReachesTheSuccessorBeforeTheHandOverReceivesTheRemainder() {
         SimulatedEntries system = new SimulatedEntries(2);
         String id = begin(system, 250);
         system.hold("a", "b", 50);
@@ -63,10 +63,10 @@
         assertWhole(rest);
     }
 
-    // Guards against an answer that is passed on and ends early when its entry is lost, although
-    // the request goes on at the entry that passes it on.
+    // Guards against a relayed answer that ends early when its entry is lost, although the relaying
+    // entry itself resumes the request.
     @Example
-    void entryThatPassesAnAnswerOnLooksAtItselfOnceItsPeerIsLost() {
+    void relayingEntryContinuesTheAnswerItselfOnceItsPeerIsLost() {
         SimulatedEntries system = new SimulatedEntries(2);
         String id = begin(system, 250);
         RecordedAnswer passed = system.entry("b").ask(id, 0, new RecordedAnswer());
@@ -79,9 +79,10 @@
         assertEquals(1, passed.heads(), "an answer has one head");
     }
 
-    // Guards against an entry that has handed over and takes the heir's copy up when asked for it.
+    // Guards against an entry that has handed over and resumes from the successor's copy on
+    // request.
     @Example
-    void entryThatHasHandedOverDoesNotTakeTheHeirsCopyUpWhenAsked() {
+    void entryThatHasHandedOverDoesNotResumeFromTheSuccessorsCopyOnRequest() {
         SimulatedEntries system = new SimulatedEntries(3);
         String id = begin(system, 250);
         system.handOver("a");
@@ -108,9 +109,9 @@
         assertTrue(rest.tokens() > 0, rest.toString());
     }
 
-    // Guards against an entry that has handed over and begins again when its heir is lost.
+    // Guards against an entry that has handed over and resumes when its successor is lost.
     @Example
-    void entryThatHasHandedOverDoesNotTakeTheHeirsCopyUpWhenTheHeirIsLost() {
+    void entryThatHasHandedOverDoesNotResumeFromTheCopyOfALostSuccessor() {
         SimulatedEntries system = new SimulatedEntries(3);
         begin(system, 250);
         system.handOver("a");
@@ -124,23 +125,23 @@
         assertEquals(runs, system.engine.runsOf("a").size(), system.engine.runs().toString());
     }
 
-    // Guards against a request that is begun at an entry which is about to end, and lost with it.
+    // Guards against a request that is resumed at an entry about to end, and lost with that entry.
     @Example
-    void heirThatHasHandedOverItselfIsPassedBy() {
+    void successorThatHasHandedOverItselfIsSkipped() {
         SimulatedEntries system = new SimulatedEntries(3);
         String id = begin(system, 250);
         system.handOver("b");
         system.handOver("a");
         system.run(700);
         assertTrue(begun.isMoved(), begun.toString());
-        assertGoesOnAt(system, "c", id);
+        assertResumesAt(system, "c", id);
         assertEquals(2, system.engine.runs().size(), system.engine.runs().toString());
     }
 
-    // Guards against a request that nobody has, since the heir was told by an entry that expects
-    // no answer.
+    // Guards against a lost request: the successor, itself stopping, gets a hand-over from an entry
+    // that expects no answer.
     @Example
-    void heirThatHasHandedOverItselfPassesOnWhatAnEarlierBuildSends() {
+    void successorThatHasHandedOverItselfForwardsWhatAnEarlierBuildSends() {
         SimulatedEntries system = new SimulatedEntries(3);
         begin(system, 250);
         RecordPut put = system.sent("a", "b", RecordPut.class).get(0);
@@ -149,10 +150,10 @@
         system.run(5);
         system.kill("a");
         system.run(700);
-        assertEquals(List.of("c"), system.engine.holders(), system.engine.runs().toString());
+        assertEquals(List.of("c"), system.engine.activeEntries(), system.engine.runs().toString());
     }
 
-    // Guards against a request that nobody has, since its hand-over was lost with the link.
+    // Guards against a request that is lost because its hand-over was lost with the link.
     @Example
     void handOverThatIsLostWithItsLinkIsSentToAnother() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -162,47 +163,47 @@
         system.run(10);
         system.kill("b");
         system.run(600);
-        assertGoesOnAt(system, "c", id);
+        assertResumesAt(system, "c", id);
     }
 
-    // Guards against a request that nobody has, since its copy's keeper was lost just before.
+    // Guards against a request that is lost because its copy holder was lost just before.
     @Example
-    void requestWhoseKeeperIsLostJustBeforeIsHandedToAnother() {
+    void requestWhoseCopyHolderIsLostJustBeforeIsHandedToAnother() {
         SimulatedEntries system = new SimulatedEntries(3);
         String id = begin(system, 250);
         system.kill("b");
         system.handOver("a");
         system.run(600);
-        assertGoesOnAt(system, "c", id);
+        assertResumesAt(system, "c", id);
     }
 
-    // Guards against a request that nobody has, since the heir's table does not allow it.
+    // Guards against a request that is lost because the successor's table forbids it.
     @Example
-    void heirWhoseTableForbidsTheRequestIsPassedBy() {
+    void successorWhoseTableForbidsTheRequestIsSkipped() {
         SimulatedEntries system = new SimulatedEntries(3);
         String id = begin(system, 250);
         system.entry("b").table(Table.of(system.clock.millis(), "none", List.of()));
         system.handOver("a");
         system.run(600);
-        assertGoesOnAt(system, "c", id);
+        assertResumesAt(system, "c", id);
     }
 
-    // Guards against two entries that work on one request after a hand-over: a silent heir that
-    // wakes up, and the one that was asked in its place.
+    // Guards against two entries that run one request after a hand-over: a frozen successor that
+    // continues, and the one that was chosen in its place.
     @Example
-    void silentHeirGivesUpWhatAnotherOneHasTaken() {
+    void frozenSuccessorEndsWhatAnotherOneHasAccepted() {
         SimulatedEntries system = new SimulatedEntries(3);
         String id = begin(system, 250);
         system.freeze("b", 400);
         system.handOver("a");
         system.run(1_000);
-        assertEquals(List.of("c"), system.engine.holders(), system.engine.runs().toString());
-        assertGoesOnAt(system, "b", id);
+        assertEquals(List.of("c"), system.engine.activeEntries(), system.engine.runs().toString());
+        assertResumesAt(system, "b", id);
     }
 
-    // Guards against a caller that is told its stream moved before anybody has it.
+    // Guards against a moved event that the caller gets before any successor has accepted.
     @Example
-    void callerIsToldThatItsStreamMovedOnceAnHeirHasIt() {
+    void callerIsNotifiedOfTheMoveOnceASuccessorHasAccepted() {
         SimulatedEntries system = new SimulatedEntries(2);
         begin(system, 250);
         system.hold("a", "b", 50);
@@ -213,21 +214,21 @@
         assertTrue(begun.isMoved(), begun.toString());
     }
 
-    // Guards against a copy that is taken up although its request went to another heir.
+    // Guards against a copy that is resumed although its request went to another successor.
     @Example
-    void copyOfARequestThatWentToAnotherHeirIsNotTakenUp() {
+    void copyOfARequestThatWentToAnotherSuccessorIsNotResumed() {
         SimulatedEntries system = new SimulatedEntries(3);
         begin(system, 250);
         system.freeze("b", 150);
         system.handOver("a");
         system.run(1_000);
-        assertEquals(List.of("c"), system.engine.holders(), system.engine.runs().toString());
+        assertEquals(List.of("c"), system.engine.activeEntries(), system.engine.runs().toString());
         assertEquals(0, system.engine.runsOf("b").stream().filter(r -> !r.over).count());
     }
 
-    // Guards against a request that is begun by an entry which has handed over, and lost with it.
+    // Guards against a request that an entry starts after its hand-over, and that is lost with it.
     @Example
-    void requestThatIsAcceptedWhileItsEntryHandsOverIsToldNotRun() {
+    void requestAcceptedDuringTheHandOverEndsAsNotRun() {
         SimulatedEntries system = new SimulatedEntries(2);
         system.entry("a").stream(TOKENS, begun);
         system.handOver("a");
@@ -236,9 +237,9 @@
         assertEquals(0, system.engine.runs().size(), system.engine.runs().toString());
     }
 
-    // Guards against an entry without requests that takes some up while it ends.
+    // Guards against an entry without requests that resumes some while it ends.
     @Example
-    void entryThatEndsWithoutRequestsTakesNoneUp() {
+    void endingEntryWithoutRequestsResumesNone() {
         SimulatedEntries system = new SimulatedEntries(2);
         begin(system, 250);
         system.handOver("b");
@@ -247,10 +248,9 @@
         assertEquals(0, system.engine.runsOf("b").size(), system.engine.runs().toString());
     }
 
-    // Guards against a request that is lost with an entry which is killed in the middle of its
-    // hand-over.
+    // Guards against a request that is lost with an entry killed during its hand-over.
     @Example
-    void entryThatIsKilledWhileItHandsOverLeavesTheRequestToOne() {
+    void requestOfAnEntryKilledDuringTheHandOverRunsAtOneEntry() {
         for (int millis = 0; millis <= 10; millis++) {
             SimulatedEntries system = new SimulatedEntries(3);
             RecordedAnswer first = new RecordedAnswer();
@@ -260,7 +260,7 @@
             system.run(millis);
             system.kill("a");
             system.run(100);
-            assertEquals(1, system.engine.holders().size(), system.engine.runs().toString());
+            assertEquals(1, system.engine.activeEntries().size(), system.engine.runs().toString());
             RecordedAnswer rest =
                     system.entry("c").ask(first.requestId(), first.tokens(), new RecordedAnswer());
             system.run(4_000);
@@ -269,9 +269,9 @@
         }
     }
 
-    // Guards against a request that is lost with an heir which is killed just after it took it.
+    // Guards against a request that is lost with a successor killed just after it accepted it.
     @Example
-    void heirThatIsKilledJustAfterItTookTheRequestLeavesItToOne() {
+    void requestOfASuccessorKilledAfterAcceptingRunsAtOneEntry() {
         for (int millis = 0; millis <= 10; millis++) {
             SimulatedEntries system = new SimulatedEntries(3);
             RecordedAnswer first = new RecordedAnswer();
@@ -281,7 +281,7 @@
             system.run(millis);
             system.kill("b");
             system.run(600);
-            assertEquals(List.of("c"), system.engine.holders(), millis + " ms");
+            assertEquals(List.of("c"), system.engine.activeEntries(), millis + " ms");
             RecordedAnswer rest =
                     system.entry("c").ask(first.requestId(), first.tokens(), new RecordedAnswer());
             system.run(4_000);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/RecordedAnswer.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/RecordedAnswer.java
@@ -22,7 +22,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Takes one answer of a stream, as a caller's connection does. */
+/** Records one answer of a stream, in place of a caller's connection. */
 final class RecordedAnswer implements CallerSink {
     private static final Pattern TOKEN =
             Pattern.compile("id: (\\d+)\ndata: [^\n]*\"text\":\"([^\"]*)\"");
@@ -30,7 +30,7 @@
     private final Runnable onOver;
     private final StringBuilder text = new StringBuilder();
     private final StringBuilder bytes = new StringBuilder();
-    private Runnable gone = () -> {};
+    private Runnable onGone = () -> {};
     private String requestId = "";
     private String outcome = "";
     private int status;
@@ -94,15 +94,15 @@
         }
     }
 
-    /** Breaks the connection, as the loss of the entry does. */
+    /** Breaks the connection, as when the entry is lost. */
     void cut() {
         finish();
     }
 
-    /** Leaves before the end. */
+    /** Disconnects the caller before the end. */
     void leave() {
         over = true;
-        gone.run();
+        onGone.run();
     }
 
     @Override
@@ -117,7 +117,7 @@
 
     @Override
     public void whenGone(Runnable action) {
-        gone = action;
+        onGone = action;
     }
 
     int status() {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEngine.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEngine.java
@@ -24,31 +24,36 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** An engine that all simulated entries use: one token every few milliseconds. */
+/** An engine shared by all simulated entries; it generates one token every few milliseconds. */
 final class SimulatedEngine {
     static final int TOKEN_MILLIS = 5;
 
     private final VirtualClock clock;
     private final List<Run> runs = new ArrayList<>();
 
-    /** One generation, as an entry began it. */
+    /** One generation, started by an entry. */
     static final class Run {
         final String entry;
         final String requestId;
         final int resumedFrom;
-        final long beganMillis;
+        final long startedMillis;
         boolean over;
 
         Run(String entry, String requestId, int resumedFrom, long beganMillis) {
             this.entry = entry;
             this.requestId = requestId;
             this.resumedFrom = resumedFrom;
-            this.beganMillis = beganMillis;
+            this.startedMillis = beganMillis;
         }
 
         @Override
         public String toString() {
-            return entry + " from " + resumedFrom + " at " + beganMillis + (over ? "" : " (runs)");
+            return entry
+                    + " from "
+                    + resumedFrom
+                    + " at "
+                    + startedMillis
+                    + (over ? "" : " (runs)");
         }
     }
 
@@ -66,7 +71,7 @@
                 .collect(Collectors.joining());
     }
 
-    /** Returns every generation that was begun, in order. */
+    /** Returns all generations in the order of their start. */
     List<Run> runs() {
         return runs;
     }
@@ -75,26 +80,26 @@
         return runs.stream().filter(run -> run.entry.equals(entry)).toList();
     }
 
-    /** Returns the entries that work on a request now. */
-    List<String> holders() {
+    /** Returns the entries that have a generation running. */
+    List<String> activeEntries() {
         return runs.stream().filter(run -> !run.over).map(run -> run.entry).distinct().toList();
     }
 
-    /** Ends what a lost entry had running. */
+    /** Ends all generations of a lost entry. */
     void lost(String entry) {
         runsOf(entry).forEach(run -> run.over = true);
     }
 
     /** Returns the engine as one entry reaches it. */
-    EngineApi seenBy(String entry, VirtualTimer timer) {
-        return new Seen(entry, timer);
+    EngineApi viewFor(String entry, VirtualTimer timer) {
+        return new EntryView(entry, timer);
     }
 
-    private final class Seen implements EngineApi {
+    private final class EntryView implements EngineApi {
         private final String entry;
         private final VirtualTimer timer;
 
-        Seen(String entry, VirtualTimer timer) {
+        EntryView(String entry, VirtualTimer timer) {
             this.entry = entry;
             this.timer = timer;
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/VirtualTimer.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/VirtualTimer.java
@@ -27,10 +27,12 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** The timer of one simulated process: drops work once the process is lost, keeps it if frozen. */
+/**
+ * The timer of a simulated process: drops tasks once it is lost, defers them while it is frozen.
+ */
 final class VirtualTimer extends AbstractExecutorService implements ScheduledExecutorService {
     private final VirtualClock clock;
-    private final Queue<Runnable> kept = new ArrayDeque<>();
+    private final Queue<Runnable> pending = new ArrayDeque<>();
     private boolean lost;
     private boolean frozen;
 
@@ -38,10 +40,10 @@
         this.clock = clock;
     }
 
-    /** Runs work of the process, later if it is frozen, never if it is lost. */
+    /** Runs a task of the process, after the freeze if it is frozen, never if it is lost. */
     void run(Runnable work) {
         if (frozen) {
-            kept.add(work);
+            pending.add(work);
         } else if (!lost) {
             work.run();
         }
@@ -61,8 +63,8 @@
 
     void thaw() {
         frozen = false;
-        while (!kept.isEmpty()) {
-            run(kept.poll());
+        while (!pending.isEmpty()) {
+            run(pending.poll());
         }
     }
 
@@ -119,7 +121,7 @@
     @Override
     public void shutdown() {
         lost = true;
-        kept.clear();
+        pending.clear();
     }
 
     @Override
