--- a/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
@@ -30,7 +30,7 @@
 import io.trailladder.entry.serve.PeerRelay;
 import io.trailladder.entry.serve.PeerServer;
 import io.trailladder.entry.serve.Placements;
-import io.trailladder.entry.serve.RequestBook;
+import io.trailladder.entry.serve.RequestRegistry;
 import io.trailladder.entry.serve.RequestDispatcher;
 import io.trailladder.entry.serve.RequestFinder;
 import io.trailladder.entry.serve.RowPolicies;
@@ -47,7 +47,7 @@
 import io.trailladder.wire.EntryInfo;
 import io.trailladder.wire.PeerMessage;
 import io.trailladder.wire.PeerMessage.Heartbeat;
-import io.trailladder.wire.PeerMessage.RangeMapNews;
+import io.trailladder.wire.PeerMessage.RangeMapUpdate;
 import java.io.IOException;
 import java.util.HexFormat;
 import java.util.List;
@@ -87,7 +87,7 @@
     private final Placements placements;
     private final ServingContext context;
     private final Members members;
-    private final RequestBook book;
+    private final RequestRegistry book;
     private final ClaimService claims;
     private final DataCentreChooser chooser;
     private final PeerRelay relay;
@@ -131,7 +131,7 @@
                         policies);
         this.members = new Members(self, links, settings.peers());
         this.chooser = new DataCentreChooser(links, placements);
-        this.book = new RequestBook(context, chooser::isStopping);
+        this.book = new RequestRegistry(context, chooser::isStopping);
         this.claims =
                 new ClaimService(
                         self.id(),
@@ -277,11 +277,11 @@
                 self.dataCentre(),
                 policies.table().revision(),
                 dispatcher.draining(),
-                book.open(),
-                relay.size(),
+                book.openCount(),
+                relay.openCount(),
                 book.copies(),
                 claims.size(),
-                claims.owned(),
+                claims.ownedRanges(),
                 lastAnswerMillis == 0 ? -1 : System.currentTimeMillis() - lastAnswerMillis,
                 peers,
                 upstreams);
@@ -301,8 +301,8 @@
         while (busy(started) && MonotonicClock.millis() < deadline) {
             pause(DRAIN_POLL_MILLIS);
         }
-        int unfinished = book.open();
-        book.handOver();
+        int unfinished = book.openCount();
+        book.handOverAll();
         if (unfinished > 0) {
             Logger.info("entry {} hands over {} requests", self.id(), unfinished);
             pause(HAND_OVER_DELAY_MILLIS);
@@ -313,10 +313,10 @@
 
     private boolean busy(long sinceMillis) {
         boolean handsRangesOver =
-                claims.owned() > 0
+                claims.ownedRanges() > 0
                         && MonotonicClock.millis() - sinceMillis < RANGE_HAND_OVER_TIMEOUT_MILLIS
                         && links.live().stream().anyMatch(peer -> serves(peer));
-        return book.open() > 0 || relay.size() > 0 || handsRangesOver;
+        return book.openCount() > 0 || relay.openCount() > 0 || handsRangesOver;
     }
 
     private boolean serves(EntryInfo peer) {
@@ -341,7 +341,7 @@
             Thread stopper = new Thread(() -> stop(drain), "reclaim");
             stopper.start();
         } else {
-            book.leaving(instance, remainingMillis);
+            book.upstreamLeaving(instance, remainingMillis);
         }
     }
 
@@ -370,7 +370,7 @@
                 () -> {
                     callers.closing();
                     callers.stopListening();
-                    callers.closeResting();
+                    callers.closeIdle();
                 });
         pause(LAST_ANSWERS_DELAY_MILLIS);
         closeCallers();
@@ -386,7 +386,7 @@
 
     private void sendHeartbeats() {
         heartbeats.sendHeartbeats();
-        metrics.openRequests(book.open());
+        metrics.openRequests(book.openCount());
     }
 
     private void tableChanged() {
@@ -409,7 +409,7 @@
 
         @Override
         public void sendRangeMap(String peer) {
-            links.send(peer, new RangeMapNews(claims.map()));
+            links.send(peer, new RangeMapUpdate(claims.map()));
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/HeartbeatSender.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/HeartbeatSender.java
@@ -85,7 +85,7 @@
     /** Creates a heartbeat. */
     Heartbeat heartbeat(List<RowDemand> demand) {
         List<TargetLoad> loads = new ArrayList<>();
-        placements.waits().forEach((target, wait) -> loads.add(new TargetLoad(target, wait)));
+        placements.minQueueMillis().forEach((target, wait) -> loads.add(new TargetLoad(target, wait)));
         return new Heartbeat(
                 policies.table().revision(),
                 claims.mapVersion(),
@@ -107,7 +107,7 @@
                 }
             }
         }
-        policies.share(others, peers);
+        policies.updateShares(others, peers);
     }
 
     /**
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/FleetSync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/FleetSync.java
@@ -158,7 +158,7 @@
             cloud.instances().thenAccept(this::read);
         }
         queryLoads();
-        placements.pump();
+        placements.placeWaiting();
     }
 
     private void read(CloudApi.InstanceList list) {
@@ -174,10 +174,10 @@
 
     private void listed(List<LocalUpstream> upstreams, List<String> leaving) {
         listedMillis = MonotonicClock.millis();
-        for (LocalUpstream upstream : placements.listed(upstreams, leaving)) {
+        for (LocalUpstream upstream : placements.applyList(upstreams, leaving)) {
             listener.leaving(upstream.id(), LISTED_NOTICE_MILLIS);
         }
-        placements.pump();
+        placements.placeWaiting();
     }
 
     private void waitForNotices() {
@@ -212,7 +212,7 @@
     }
 
     private void noticed(Notice notice) {
-        if (placements.noticed(notice.upstream())) {
+        if (placements.noticeReceived(notice.upstream())) {
             listener.leaving(notice.upstream(), notice.remainingMillis());
         }
     }
@@ -239,7 +239,7 @@
         Collections.shuffle(all, ThreadLocalRandom.current());
         for (UpstreamState state : all.subList(0, Math.min(LOADS_PER_TICK, all.size()))) {
             String id = state.upstream().id();
-            engines.load(state.upstream()).thenAccept(report -> placements.reported(id, report));
+            engines.load(state.upstream()).thenAccept(report -> placements.loadReported(id, report));
         }
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/RecordedAnswer.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/RecordedAnswer.java
@@ -116,7 +116,7 @@
     }
 
     @Override
-    public void whenGone(Runnable action) {
+    public void whenDisconnected(Runnable action) {
         onGone = action;
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEngine.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEngine.java
@@ -105,7 +105,7 @@
         }
 
         @Override
-        public Running generate(LocalUpstream engine, Attempt attempt, Listener listener) {
+        public RunningAttempt generate(LocalUpstream engine, Attempt attempt, Listener listener) {
             int from = attempt.resume().size();
             Run run = new Run(entry, attempt.requestId(), from, clock.millis());
             runs.add(run);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntries.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntries.java
@@ -173,7 +173,7 @@
     void handOver(String id) {
         SimulatedEntry entry = entries.get(id);
         entry.drain();
-        entry.book.handOver();
+        entry.book.handOverAll();
         clock.after(
                 HAND_OVER_MILLIS,
                 () ->
