--- a/trailladder-entry/src/main/java/io/trailladder/entry/HeartbeatSender.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/HeartbeatSender.java
@@ -76,10 +76,10 @@
     }
 
     /** Sends a heartbeat with the demand of the last second, and takes stock of the peers. */
-    void beat() {
+    void sendHeartbeats() {
         links.sendAll(heartbeat(policies.measureDemand()));
         shareLimits();
-        noticeSilentPeers();
+        detectLostPeers();
     }
 
     /** Makes a heartbeat. */
@@ -113,7 +113,7 @@
     }
 
     /** A peer that is linked but silent, because frozen or cut off, counts as lost once. */
-    private void noticeSilentPeers() {
+    private void detectLostPeers() {
         Set<String> live = new HashSet<>();
         links.live().forEach(peer -> live.add(peer.id()));
         lostPeers.removeIf(live::contains);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/PeerRouter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/PeerRouter.java
@@ -69,7 +69,7 @@
 
     /** Sends what a new or lagging peer should know. */
     interface PeerSender {
-        void greet(String peer);
+        void sendInitialState(String peer);
 
         void sendRangeMap(String peer);
     }
@@ -80,7 +80,7 @@
 
     @Override
     public void linked(EntryInfo peer) {
-        parts.sender().greet(peer.id());
+        parts.sender().sendInitialState(peer.id());
     }
 
     @Override
@@ -111,12 +111,12 @@
     private boolean control(EntryInfo from, PeerMessage message) {
         if (message instanceof Heartbeat heartbeat) {
             parts.chooser().heartbeatReceived(from.id(), heartbeat);
-            parts.tables().heard(from, heartbeat);
+            parts.tables().heartbeatReceived(from, heartbeat);
             if (heartbeat.rangeMapVersion() < parts.claims().mapVersion()) {
                 parts.sender().sendRangeMap(from.id());
             }
         } else if (message instanceof PeerMessage.Members known) {
-            parts.members().heard(known.entries());
+            parts.members().received(known.entries());
         } else if (message instanceof TableDelta delta) {
             parts.tables().received(delta);
         } else if (message instanceof TableSnapshot snapshot) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
@@ -103,7 +103,7 @@
                 new GenerationMachine.Settings(
                         request.maxTokens(),
                         context.settings().limits().queueMillis(row.latencyTargetMillis()),
-                        context.settings().limits().patienceMillis(),
+                        context.settings().limits().queueTimeoutMillis(),
                         EXPECTED_TOKEN_MILLIS,
                         EXPORT_TIMEOUT_MILLIS,
                         row.repeatable());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/FleetSync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/FleetSync.java
@@ -55,9 +55,9 @@
 
     private static final long TICK_MILLIS = 500;
     private static final long LIST_MAX_AGE_MILLIS = 4_000;
-    private static final long LIST_MILLIS = 1_000;
+    private static final long LIST_INTERVAL_MILLIS = 1_000;
     private static final int NOTICE_READERS = 2;
-    private static final long NOTICE_WAIT_MILLIS = 10_000;
+    private static final long NOTICE_TIMEOUT_MILLIS = 10_000;
     private static final int LOADS_PER_TICK = 20;
 
     private final CloudApi cloud;
@@ -70,7 +70,7 @@
     private final NoticeListener listener;
     private final ScheduledExecutorService timer;
     private volatile long listedMillis = Long.MIN_VALUE / 2;
-    private volatile long askedMillis = Long.MIN_VALUE / 2;
+    private volatile long listRequestedMillis = Long.MIN_VALUE / 2;
     private volatile boolean stopped;
     private long nextNotice;
 
@@ -151,13 +151,13 @@
     private void tick() {
         long now = MonotonicClock.millis();
         boolean reader = members.rank("instances") == 0;
-        boolean due = now - askedMillis >= LIST_MILLIS;
+        boolean due = now - listRequestedMillis >= LIST_INTERVAL_MILLIS;
         boolean stale = now - listedMillis >= LIST_MAX_AGE_MILLIS;
         if (due && (reader || stale)) {
-            askedMillis = now;
+            listRequestedMillis = now;
             cloud.instances().thenAccept(this::read);
         }
-        askLoads();
+        queryLoads();
         placements.placeWaiting();
     }
 
@@ -188,19 +188,19 @@
             timer.schedule(this::waitForNotices, TICK_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
-        cloud.notices(nextNotice, NOTICE_WAIT_MILLIS)
+        cloud.notices(nextNotice, NOTICE_TIMEOUT_MILLIS)
                 .whenComplete(
                         (notices, failure) -> {
                             long delay = failure == null ? 1 : TICK_MILLIS;
                             if (failure == null) {
                                 nextNotice = notices.next();
-                                spread(notices.notices());
+                                distribute(notices.notices());
                             }
                             timer.schedule(this::waitForNotices, delay, TimeUnit.MILLISECONDS);
                         });
     }
 
-    private void spread(List<CloudApi.Notice> notices) {
+    private void distribute(List<CloudApi.Notice> notices) {
         List<Notice> news = new ArrayList<>();
         for (CloudApi.Notice notice : notices) {
             news.add(new Notice(notice.id(), notice.remainingMillis()));
@@ -225,7 +225,7 @@
         }
     }
 
-    private void askLoads() {
+    private void queryLoads() {
         Set<String> models =
                 policies.table().rows().stream()
                         .filter(row -> row.kind() == TargetKind.MODEL)
--- a/trailladder-entry/src/test/java/io/trailladder/entry/RecordedAnswer.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/RecordedAnswer.java
@@ -30,7 +30,7 @@
     private final Runnable onOver;
     private final StringBuilder text = new StringBuilder();
     private final StringBuilder bytes = new StringBuilder();
-    private Runnable gone = () -> {};
+    private Runnable onGone = () -> {};
     private String requestId = "";
     private String outcome = "";
     private int status;
@@ -102,7 +102,7 @@
     /** Leaves before the end. */
     void leave() {
         over = true;
-        gone.run();
+        onGone.run();
     }
 
     @Override
@@ -117,7 +117,7 @@
 
     @Override
     public void whenDisconnected(Runnable action) {
-        gone = action;
+        onGone = action;
     }
 
     int status() {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntry.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntry.java
@@ -69,7 +69,7 @@
                         info,
                         settings(info.dataCentre()),
                         placements,
-                        engine.seenBy(info.id(), timer),
+                        engine.viewFor(info.id(), timer),
                         null,
                         links,
                         timer,
