--- a/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
@@ -47,7 +47,7 @@
 import io.trailladder.wire.EntryInfo;
 import io.trailladder.wire.PeerMessage;
 import io.trailladder.wire.PeerMessage.Heartbeat;
-import io.trailladder.wire.PeerMessage.RangeMapNews;
+import io.trailladder.wire.PeerMessage.RangeMapUpdate;
 import java.io.IOException;
 import java.util.HexFormat;
 import java.util.List;
@@ -406,7 +406,7 @@
 
         @Override
         public void sendRangeMap(String peer) {
-            links.send(peer, new RangeMapNews(claims.map()));
+            links.send(peer, new RangeMapUpdate(claims.map()));
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/PeerRouter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/PeerRouter.java
@@ -34,7 +34,7 @@
 import io.trailladder.wire.PeerMessage.Forward;
 import io.trailladder.wire.PeerMessage.Heartbeat;
 import io.trailladder.wire.PeerMessage.LeavingNotice;
-import io.trailladder.wire.PeerMessage.RangeMapNews;
+import io.trailladder.wire.PeerMessage.RangeMapUpdate;
 import io.trailladder.wire.PeerMessage.RecordDrop;
 import io.trailladder.wire.PeerMessage.RecordFind;
 import io.trailladder.wire.PeerMessage.RecordFound;
@@ -125,7 +125,7 @@
             parts.fleet().received(list);
         } else if (message instanceof LeavingNotice notice) {
             parts.fleet().received(notice);
-        } else if (message instanceof RangeMapNews news) {
+        } else if (message instanceof RangeMapUpdate news) {
             parts.claims().mapHeard(news.map());
         } else {
             return false;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
@@ -35,8 +35,8 @@
 import io.trailladder.wire.NodeMessage.RegionDigest;
 import io.trailladder.wire.NodeMessage.RolloutReport;
 import io.trailladder.wire.NodeMessage.Snapshot;
-import io.trailladder.wire.NodeMessage.SnapshotAsk;
-import io.trailladder.wire.NodeMessage.UpstreamNews;
+import io.trailladder.wire.NodeMessage.SnapshotRequest;
+import io.trailladder.wire.NodeMessage.UpstreamUpdate;
 import io.trailladder.wire.NodeMessage.UsageHistory;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -335,10 +335,10 @@
         } else if (message instanceof RegionDigest digest) {
             mesh.regions().ifPresent(view -> regionDigest(view, hello, digest));
         } else if (message instanceof UsageHistory history) {
-            usage.merge(history.life(), history.usage(), peers.isLeaf(hello.name()));
-        } else if (message instanceof SnapshotAsk request) {
+            usage.merge(history.incarnation(), history.usage(), peers.isLeaf(hello.name()));
+        } else if (message instanceof SnapshotRequest request) {
             snapshots.requestReceived(mesh, peers.of(hello), request);
-        } else if (message instanceof UpstreamNews update && mesh.isFedBy(hello)) {
+        } else if (message instanceof UpstreamUpdate update && mesh.isFedBy(hello)) {
             upstreamUpdate(peers.of(hello), update);
         } else if (message instanceof Snapshot snapshot) {
             snapshots.snapshotReceived(mesh, peers.of(hello), snapshot);
@@ -355,7 +355,7 @@
         }
     }
 
-    private void upstreamUpdate(Peer from, UpstreamNews update) {
+    private void upstreamUpdate(Peer from, UpstreamUpdate update) {
         if (store.history().mayBeOf(from.storeEpoch())) {
             directory.fromPeer(update);
         } else {
@@ -401,7 +401,8 @@
             return;
         }
         boolean leaf = peer.isLeaf();
-        digest.usage().forEach(history -> usage.merge(history.life(), history.usage(), leaf));
+        digest.usage()
+                .forEach(history -> usage.merge(history.incarnation(), history.usage(), leaf));
         loads.setPeerUses(peer.name(), digest.uses());
         limits.received(peer, digest.quotas(), now);
         parts.received(peer.name(), digest, now);
@@ -419,7 +420,7 @@
      * Forwards a change to the leaves of this hub; a follower of the store forwards it to the other
      * hubs too.
      */
-    private void forward(UpstreamNews update) {
+    private void forward(UpstreamUpdate update) {
         if (mesh == null || !mesh.isHub()) {
             return;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPart.java
@@ -115,7 +115,7 @@
         byte[] reports =
                 CrashReports.write(
                         new ArrayList<>(selected.values()),
-                        DigestSection.MOST_BYTES - Long.BYTES,
+                        DigestSection.MAX_BODY_BYTES - Long.BYTES,
                         nowMillis);
         byte[] body =
                 ByteBuffer.allocate(Long.BYTES + reports.length)
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryKeeper.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryKeeper.java
@@ -22,7 +22,7 @@
 import io.trailladder.entry.port.PlatformFormat;
 import io.trailladder.entry.port.StoreItem;
 import io.trailladder.wire.NodeMessage.UpstreamEntry;
-import io.trailladder.wire.NodeMessage.UpstreamNews;
+import io.trailladder.wire.NodeMessage.UpstreamUpdate;
 import io.vavr.control.Either;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -55,8 +55,8 @@
     private final Map<String, byte[]> entries = new HashMap<>();
     private final UnusableEntries unusable = new UnusableEntries();
     private final RemovedEntries gone = new RemovedEntries();
-    private Consumer<UpstreamNews> onNews = news -> {};
-    private Consumer<UpstreamNews> onPassedOver = news -> {};
+    private Consumer<UpstreamUpdate> onNews = news -> {};
+    private Consumer<UpstreamUpdate> onPassedOver = news -> {};
     private long revision;
     private boolean known;
     private long heardMillis;
@@ -134,7 +134,7 @@
      *
      * @param listener the listener
      */
-    public void onNews(Consumer<UpstreamNews> listener) {
+    public void onNews(Consumer<UpstreamUpdate> listener) {
         onNews = listener;
     }
 
@@ -144,7 +144,7 @@
      *
      * @param listener the listener
      */
-    public void onPassedOver(Consumer<UpstreamNews> listener) {
+    public void onPassedOver(Consumer<UpstreamUpdate> listener) {
         onPassedOver = listener;
     }
 
@@ -177,7 +177,7 @@
         String id = idOf(item.key());
         byte[] value = item.gone() ? NO_BYTES : item.value();
         apply(id, value);
-        onNews.accept(new UpstreamNews(before, revision, new UpstreamEntry(id, value)));
+        onNews.accept(new UpstreamUpdate(before, revision, new UpstreamEntry(id, value)));
     }
 
     /**
@@ -185,7 +185,7 @@
      *
      * @param news the change
      */
-    public void fromPeer(UpstreamNews news) {
+    public void fromPeer(UpstreamUpdate news) {
         if (news.after() <= revision && news.revision() > revision) {
             revision = news.revision();
             heard();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
@@ -212,9 +212,9 @@
             long nowMillis) {
         NodeHello origin = message.origin();
         if (origin.name().equals(sender.name())) {
-            remoteViews.put(sender.name(), new RemoteView(message.hears(), nowMillis));
+            remoteViews.put(sender.name(), new RemoteView(message.receivesFrom(), nowMillis));
         }
-        if (!view.isElsewhere(origin) || !message.speaks()) {
+        if (!view.isElsewhere(origin) || !message.represents()) {
             return;
         }
         boolean direct = origin.name().equals(sender.name());
@@ -269,7 +269,9 @@
         LeavingIncarnations.of(digest)
                 .forEach(upstream -> directory.leavingSeenBy(upstream, peer.name()));
         digest.usage()
-                .forEach(history -> usage.mergeFromOtherRegion(history.life(), history.usage()));
+                .forEach(
+                        history ->
+                                usage.mergeFromOtherRegion(history.incarnation(), history.usage()));
         loads.setPeerUses(
                 peer.name(),
                 RegionUse.spread(digest.uses(), region, directory.all(), view::regionOf));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SnapshotExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SnapshotExchange.java
@@ -20,7 +20,7 @@
 import io.trailladder.wire.NodeMessage.NodeDigest;
 import io.trailladder.wire.NodeMessage.NodeHello;
 import io.trailladder.wire.NodeMessage.Snapshot;
-import io.trailladder.wire.NodeMessage.SnapshotAsk;
+import io.trailladder.wire.NodeMessage.SnapshotRequest;
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongSupplier;
@@ -116,7 +116,7 @@
      * Answers a peer with what is newer at this process; any list counts as newer than one of
      * another history.
      */
-    void requestReceived(Mesh mesh, Peer peer, SnapshotAsk request) {
+    void requestReceived(Mesh mesh, Peer peer, SnapshotRequest request) {
         boolean newerPolicy = policies.version() > request.policyVersion();
         boolean sameHistory = store.history().mayBeOf(peer.storeEpoch());
         long peerRevision = sameHistory ? request.directoryRevision() : 0;
@@ -170,6 +170,6 @@
 
     private void request(Mesh mesh, NodeHello peer) {
         requestedAfterRevision.put(peer.name(), directory.revision());
-        mesh.send(peer.name(), new SnapshotAsk(policies.version(), directory.revision()));
+        mesh.send(peer.name(), new SnapshotRequest(policies.version(), directory.revision()));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreHistory.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreHistory.java
@@ -19,7 +19,7 @@
 import io.trailladder.core.store.StoreEpoch.Observation;
 import io.trailladder.entry.gateway.DecisionLog.Lifecycle;
 import io.trailladder.entry.port.CoordinationStore.EpochListener;
-import io.trailladder.wire.NodeMessage.UpstreamNews;
+import io.trailladder.wire.NodeMessage.UpstreamUpdate;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -96,7 +96,7 @@
      * @param news the change
      * @param ownRevision the list's revision
      */
-    void newsPassedOver(UpstreamNews news, long ownRevision) {
+    void newsPassedOver(UpstreamUpdate news, long ownRevision) {
         metrics.count(GatewayMetrics.Event.UPSTREAM_NEWS_PASSED_OVER);
         String what = news.upstream().id() + " at " + news.revision() + ", list at " + ownRevision;
         logSome("upstream news", what);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/ClaimService.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/ClaimService.java
@@ -36,10 +36,10 @@
 import io.trailladder.wire.PeerMessage.ClaimAll;
 import io.trailladder.wire.PeerMessage.ClaimAllKept;
 import io.trailladder.wire.PeerMessage.ClaimAnswer;
-import io.trailladder.wire.PeerMessage.ClaimAsk;
 import io.trailladder.wire.PeerMessage.ClaimCopied;
 import io.trailladder.wire.PeerMessage.ClaimCopy;
 import io.trailladder.wire.PeerMessage.ClaimRelease;
+import io.trailladder.wire.PeerMessage.ClaimRequest;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -98,7 +98,7 @@
         String owner = owner(key);
         if (owner.equals(self)) {
             ask(claim);
-        } else if (!links.send(owner, new ClaimAsk(claim))) {
+        } else if (!links.send(owner, new ClaimRequest(claim))) {
             reply.complete(ClaimReply.of(Verdict.UNAVAILABLE));
         }
         return reply.completeOnTimeout(
@@ -135,7 +135,7 @@
      * @return true if it was about claims
      */
     public boolean received(EntryInfo from, PeerMessage message) {
-        if (message instanceof ClaimAsk ask) {
+        if (message instanceof ClaimRequest ask) {
             ask(ask.claim());
         } else if (message instanceof ClaimAnswer answer) {
             answered(answer.requestId(), answer.reply());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/ClaimSync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/ClaimSync.java
@@ -26,7 +26,7 @@
 import io.trailladder.entry.serve.DataCentreChooser;
 import io.trailladder.platform.RangeStore;
 import io.trailladder.wire.PeerMessage.Heartbeat;
-import io.trailladder.wire.PeerMessage.RangeMapNews;
+import io.trailladder.wire.PeerMessage.RangeMapUpdate;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -134,7 +134,7 @@
         long before = claims.mapVersion();
         claims.mapRead(map);
         if (claims.mapVersion() > before) {
-            links.sendAll(new RangeMapNews(map));
+            links.sendAll(new RangeMapUpdate(map));
         }
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashPartTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashPartTest.java
@@ -107,7 +107,7 @@
         for (int request = 1; request <= 1_000; request++) {
             end(own, request, 1);
         }
-        assertTrue(section(ownPart).body().length <= DigestSection.MOST_BYTES);
+        assertTrue(section(ownPart).body().length <= DigestSection.MAX_BODY_BYTES);
     }
 
     @Example
--- a/trailladder-platform/src/main/java/io/trailladder/platform/HttpKeyValueStore.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/HttpKeyValueStore.java
@@ -35,14 +35,14 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Reaches the key-value service over HTTP with JSON.
+ * A {@link KeyValueStore} that calls the key-value service over HTTP with JSON.
  *
  * @since 0.1
  */
 public final class HttpKeyValueStore implements KeyValueStore {
     private static final ObjectMapper JSON =
             new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
-    private static final long IDLE_MILLIS = 2_000;
+    private static final long IDLE_TIMEOUT_MILLIS = 2_000;
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
     private static final int OK = 200;
@@ -53,8 +53,8 @@
     /**
      * Creates the adapter.
      *
-     * @param client makes the calls
-     * @param service where the service listens
+     * @param client sends the calls
+     * @param service address of the service
      */
     public HttpKeyValueStore(HttpClient client, HostPort service) {
         this.client = client;
@@ -63,7 +63,7 @@
 
     @Override
     public CompletableFuture<Optional<Item>> get(String key) {
-        return call("GET", "/kv/" + key, "", IDLE_MILLIS, false)
+        return call("GET", "/kv/" + key, "", IDLE_TIMEOUT_MILLIS, false)
                 .thenApply(
                         reply ->
                                 reply.status() == NOT_FOUND
@@ -74,7 +74,7 @@
     @Override
     public CompletableFuture<Optional<Long>> put(String key, String value, long expectedVersion) {
         String path = "/kv/" + key + "?version=" + expectedVersion;
-        return call("PUT", path, value, IDLE_MILLIS, true)
+        return call("PUT", path, value, IDLE_TIMEOUT_MILLIS, true)
                 .thenApply(
                         reply ->
                                 reply.status() == CONFLICT
@@ -85,23 +85,23 @@
     @Override
     public CompletableFuture<Void> putLeased(String key, String value, String lease) {
         String path = "/kv/" + key + "?version=-1&lease=" + lease;
-        return call("PUT", path, value, IDLE_MILLIS, true).thenApply(reply -> null);
+        return call("PUT", path, value, IDLE_TIMEOUT_MILLIS, true).thenApply(reply -> null);
     }
 
     @Override
     public CompletableFuture<Void> delete(String key) {
-        return call("DELETE", "/kv/" + key, "", IDLE_MILLIS, true).thenApply(reply -> null);
+        return call("DELETE", "/kv/" + key, "", IDLE_TIMEOUT_MILLIS, true).thenApply(reply -> null);
     }
 
     @Override
     public CompletableFuture<Void> renew(String lease, long ttlMillis) {
         String path = "/lease/" + lease + "?ttl=" + ttlMillis;
-        return call("POST", path, "", IDLE_MILLIS, true).thenApply(reply -> null);
+        return call("POST", path, "", IDLE_TIMEOUT_MILLIS, true).thenApply(reply -> null);
     }
 
     @Override
     public CompletableFuture<Batch> list(String prefix) {
-        return call("GET", "/list/" + prefix, "", IDLE_MILLIS, false)
+        return call("GET", "/list/" + prefix, "", IDLE_TIMEOUT_MILLIS, false)
                 .thenApply(reply -> batch(json(reply)));
     }
 
@@ -114,12 +114,12 @@
                         + afterRevision
                         + "&timeout="
                         + timeoutMillis;
-        return call("GET", path, "", timeoutMillis + IDLE_MILLIS, false)
+        return call("GET", path, "", timeoutMillis + IDLE_TIMEOUT_MILLIS, false)
                 .thenApply(reply -> batch(json(reply)));
     }
 
     private CompletableFuture<HttpReply> call(
-            String method, String path, String body, long idleMillis, boolean writes) {
+            String method, String path, String body, long idleTimeoutMillis, boolean writes) {
         HttpCall call =
                 new HttpCall(
                         service,
@@ -127,7 +127,7 @@
                         path,
                         Map.of(),
                         body.getBytes(StandardCharsets.UTF_8),
-                        idleMillis);
+                        idleTimeoutMillis);
         String name = method + " " + path;
         return client.call(call)
                 .handle(
@@ -157,7 +157,8 @@
         try {
             return JSON.readTree(reply.body());
         } catch (IOException e) {
-            throw new PlatformException("a call", reply.status() + " without JSON");
+            throw new PlatformException(
+                    "a call of the key-value service", reply.status() + " without JSON");
         }
     }
 
@@ -175,7 +176,7 @@
     /**
      * Writes a value as JSON.
      *
-     * @param value a record of the core
+     * @param value a record
      * @return JSON text
      */
     static String toJson(Object value) {
--- a/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpExchange.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpExchange.java
@@ -20,7 +20,7 @@
 import org.glassfish.grizzly.Connection;
 
 /**
- * One call on its own connection. It tells its listener the end exactly once.
+ * One call on its own connection. It reports the end to its listener exactly once.
  *
  * @since 0.1
  */
@@ -30,7 +30,7 @@
     private final AtomicBoolean over = new AtomicBoolean();
     private volatile Connection<?> connection;
     private volatile boolean sent;
-    private volatile long activeNanos = System.nanoTime();
+    private volatile long lastActivityNanos = System.nanoTime();
     private boolean headSeen;
 
     HttpExchange(HttpCall call, HttpListener listener) {
@@ -38,7 +38,7 @@
         this.listener = listener;
     }
 
-    /** Breaks the call off; the listener is told that it failed unless it has ended. */
+    /** Cancels the call. The listener receives a failure unless the call has already ended. */
     public void cancel() {
         fail(Kind.CANCELLED);
     }
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Marks that bytes may leave from now on.
+     * Records that bytes of the request may be sent from now on.
      *
-     * @param opened the connection they leave on
+     * @param opened the connection they are sent on
      * @return false if the call is over and must not be sent
      */
     boolean beginSend(Connection<?> opened) {
@@ -68,7 +68,7 @@
     }
 
     void head(int status, String contentType) {
-        active();
+        recordActivity();
         if (!headSeen && !over.get()) {
             headSeen = true;
             listener.head(status, contentType);
@@ -76,7 +76,7 @@
     }
 
     void body(byte[] bytes) {
-        active();
+        recordActivity();
         if (!over.get()) {
             listener.body(bytes);
         }
@@ -96,14 +96,14 @@
         }
     }
 
-    void failIfSilent(long nowNanos) {
-        if (nowNanos - activeNanos > call.idleMillis() * 1_000_000) {
+    void failIfIdle(long nowNanos) {
+        if (nowNanos - lastActivityNanos > call.idleTimeoutMillis() * 1_000_000) {
             fail(Kind.SILENT);
         }
     }
 
-    private void active() {
-        activeNanos = System.nanoTime();
+    private void recordActivity() {
+        lastActivityNanos = System.nanoTime();
     }
 
     private void close() {
--- a/trailladder-wire/src/main/java/io/trailladder/wire/NodeUnpacker.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/NodeUnpacker.java
@@ -33,9 +33,9 @@
 import io.trailladder.wire.NodeMessage.RegionDigest;
 import io.trailladder.wire.NodeMessage.RolloutReport;
 import io.trailladder.wire.NodeMessage.Snapshot;
-import io.trailladder.wire.NodeMessage.SnapshotAsk;
+import io.trailladder.wire.NodeMessage.SnapshotRequest;
 import io.trailladder.wire.NodeMessage.UpstreamEntry;
-import io.trailladder.wire.NodeMessage.UpstreamNews;
+import io.trailladder.wire.NodeMessage.UpstreamUpdate;
 import io.trailladder.wire.NodeMessage.UsageHistory;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -44,14 +44,14 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Reads what {@link NodePacker} writes. Bytes from a stranger lead to an exception, and to no more
- * memory than some times their length.
+ * Decodes what {@link NodePacker} encodes. Invalid bytes from an unknown sender cause an exception,
+ * and no allocation beyond a small multiple of their length.
  */
 final class NodeUnpacker {
     private final MessageUnpacker unpacker;
     private final int length;
 
-    /** Reads one part of a message. */
+    /** Reads one element of a list. */
     private interface PartReader<T> {
         T read() throws IOException;
     }
@@ -62,31 +62,31 @@
     }
 
     /**
-     * Tells whether a type of message is read here.
+     * Returns whether this class decodes a type of message.
      *
      * @param type the type
      * @return true for messages between gateways
      */
-    static boolean reads(MessageType type) {
+    static boolean canRead(MessageType type) {
         return NodeMessage.class.isAssignableFrom(type.messageClass());
     }
 
     /**
-     * Reads a message.
+     * Decodes a message.
      *
-     * @param type its type, one that is read here
-     * @param bytes holds it
-     * @param from where it begins
-     * @param length how many bytes it has
+     * @param type its type, one for which {@link #canRead} returns true
+     * @param bytes an array that contains the payload
+     * @param from index of its first byte
+     * @param length its length in bytes
      * @return the message
-     * @throws IOException if the bytes are no message of this type
+     * @throws IOException if the bytes are not a message of this type
      */
     static NodeMessage unpack(MessageType type, byte[] bytes, int from, int length)
             throws IOException {
         NodeUnpacker self = new NodeUnpacker(bytes, from, length);
         NodeMessage message = self.message(type);
         if (self.unpacker.hasNext()) {
-            throw new IOException("bytes after the end of the message");
+            throw new IOException("message is followed by surplus bytes, expected none");
         }
         return message;
     }
@@ -96,12 +96,12 @@
             case NODE_HELLO -> hello();
             case NODE_DIGEST -> digest();
             case USAGE_HISTORY -> usageHistory();
-            case SNAPSHOT_ASK -> snapshotAsk();
-            case UPSTREAM_NEWS -> upstreamNews();
+            case SNAPSHOT_ASK -> snapshotRequest();
+            case UPSTREAM_NEWS -> upstreamUpdate();
             case SNAPSHOT -> snapshot();
             case ROLLOUT_REPORT -> rolloutReport();
             case REGION_DIGEST -> regionDigest();
-            default -> throw new IOException(type + " is no message between gateways");
+            default -> throw new IOException(type + " is not a message between gateways");
         };
     }
 
@@ -116,9 +116,9 @@
     }
 
     private NodeDigest digest() throws IOException {
-        int further = fieldsFrom(14);
+        int surplus = fieldsAtLeast(14);
         NodeDigest digest = digestFields();
-        unpacker.skipValue(further);
+        unpacker.skipValue(surplus);
         return digest;
     }
 
@@ -150,18 +150,18 @@
         try {
             return DigestScope.valueOf(name);
         } catch (IllegalArgumentException e) {
-            throw new IOException("scope of a digest: " + name, e);
+            throw new IOException("unknown scope of a digest: " + name, e);
         }
     }
 
-    private SnapshotAsk snapshotAsk() throws IOException {
+    private SnapshotRequest snapshotRequest() throws IOException {
         fields(2);
-        return new SnapshotAsk(number(), number());
+        return new SnapshotRequest(number(), number());
     }
 
-    private UpstreamNews upstreamNews() throws IOException {
+    private UpstreamUpdate upstreamUpdate() throws IOException {
         fields(3);
-        return new UpstreamNews(number(), number(), upstreamEntry());
+        return new UpstreamUpdate(number(), number(), upstreamEntry());
     }
 
     private Snapshot snapshot() throws IOException {
@@ -181,7 +181,7 @@
 
     private OrganisationUse organisationUse() throws IOException {
         fields(4);
-        return new OrganisationUse(text(), fraction(), fraction(), fraction());
+        return new OrganisationUse(text(), decimal(), decimal(), decimal());
     }
 
     private UpstreamUse upstreamUse() throws IOException {
@@ -191,17 +191,17 @@
 
     private ServiceDemand demand() throws IOException {
         fields(3);
-        return new ServiceDemand(text(), fraction(), fraction());
+        return new ServiceDemand(text(), decimal(), decimal());
     }
 
     private EngineEvidence evidence() throws IOException {
         fields(5);
-        return new EngineEvidence(text(), fitSums(), fitSums(), fraction(), fraction());
+        return new EngineEvidence(text(), fitSums(), fitSums(), decimal(), decimal());
     }
 
     private FitSums fitSums() throws IOException {
         fields(5);
-        return new FitSums(fraction(), fraction(), fraction(), fraction(), fraction());
+        return new FitSums(decimal(), decimal(), decimal(), decimal(), decimal());
     }
 
     private RolloutReport rolloutReport() throws IOException {
@@ -220,7 +220,7 @@
         try {
             return RolloutPhase.valueOf(name);
         } catch (IllegalArgumentException e) {
-            throw new IOException("phase of a roll-out: " + name, e);
+            throw new IOException("unknown phase of a roll-out: " + name, e);
         }
     }
 
@@ -238,13 +238,13 @@
         return new UpstreamEntry(text(), bytes());
     }
 
-    /** Reads the head of fields to which a later version may have added some: how many it has. */
-    private int fieldsFrom(int expected) throws IOException {
+    /** Reads the header of an array that a later version may extend; returns its surplus fields. */
+    private int fieldsAtLeast(int expected) throws IOException {
         int found = unpacker.unpackArrayHeader();
         if (found < expected) {
             throw new IOException(found + " fields, expected at least " + expected);
         }
-        return bounded(found - expected);
+        return checkedSize(found - expected);
     }
 
     private void fields(int expected) throws IOException {
@@ -255,12 +255,12 @@
     }
 
     private <T> List<T> list(PartReader<T> reader) throws IOException {
-        int size = bounded(unpacker.unpackArrayHeader());
-        List<T> parts = new ArrayList<>(size);
+        int size = checkedSize(unpacker.unpackArrayHeader());
+        List<T> elements = new ArrayList<>(size);
         for (int i = 0; i < size; i++) {
-            parts.add(reader.read());
+            elements.add(reader.read());
         }
-        return parts;
+        return elements;
     }
 
     private long number() throws IOException {
@@ -271,7 +271,7 @@
         return unpacker.unpackInt();
     }
 
-    private double fraction() throws IOException {
+    private double decimal() throws IOException {
         return unpacker.unpackDouble();
     }
 
@@ -284,13 +284,17 @@
     }
 
     private byte[] bytes() throws IOException {
-        return unpacker.readPayload(bounded(unpacker.unpackBinaryHeader()));
+        return unpacker.readPayload(checkedSize(unpacker.unpackBinaryHeader()));
     }
 
-    /** Every part has at least one byte, so there cannot be more of them than bytes. */
-    private int bounded(int size) throws IOException {
+    /**
+     * Checks a size before anything is allocated for it. Each element takes at least one byte, so
+     * no size can exceed the length of the message.
+     */
+    private int checkedSize(int size) throws IOException {
         if (size > length) {
-            throw new IOException(size + " parts or bytes announced in a message of " + length);
+            throw new IOException(
+                    size + " elements or bytes announced, expected at most " + length);
         }
         return size;
     }
