--- a/trailladder-wire/src/main/java/io/trailladder/wire/MessageType.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/MessageType.java
@@ -65,7 +65,7 @@
     RECORD_FIND(19, PeerMessage.RecordFind.class),
     /** {@link PeerMessage.RecordFound}. */
     RECORD_FOUND(20, PeerMessage.RecordFound.class),
-    /** {@link PeerMessage.ClaimAsk}. */
+    /** {@link PeerMessage.ClaimRequest}. */
     CLAIM_ASK(21, PeerMessage.ClaimRequest.class),
     /** {@link PeerMessage.ClaimAnswer}. */
     CLAIM_ANSWER(22, PeerMessage.ClaimAnswer.class),
@@ -79,7 +79,7 @@
     CLAIM_ALL_KEPT(26, PeerMessage.ClaimAllKept.class),
     /** {@link PeerMessage.ClaimRelease}. */
     CLAIM_RELEASE(27, PeerMessage.ClaimRelease.class),
-    /** {@link PeerMessage.RangeMapNews}. */
+    /** {@link PeerMessage.RangeMapUpdate}. */
     RANGE_MAP_NEWS(28, PeerMessage.RangeMapUpdate.class),
     /** {@link NodeMessage.NodeHello}. */
     NODE_HELLO(29, NodeMessage.NodeHello.class),
@@ -89,9 +89,9 @@
     USAGE_HISTORY(33, NodeMessage.UsageHistory.class),
     /** {@link NodeMessage.NodeDigest}; number 30 was a digest without scope. */
     NODE_DIGEST(34, NodeMessage.NodeDigest.class),
-    /** {@link NodeMessage.SnapshotAsk}; number 31 requested everything. */
+    /** {@link NodeMessage.SnapshotRequest}; number 31 requested everything. */
     SNAPSHOT_ASK(35, NodeMessage.SnapshotRequest.class),
-    /** {@link NodeMessage.UpstreamNews}. */
+    /** {@link NodeMessage.UpstreamUpdate}. */
     UPSTREAM_NEWS(36, NodeMessage.UpstreamUpdate.class),
     /** {@link NodeMessage.RolloutReport}. */
     ROLLOUT_REPORT(37, NodeMessage.RolloutReport.class),
