--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryManager.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryManager.java
@@ -22,7 +22,7 @@
 import io.trailladder.entry.port.PlatformFormat;
 import io.trailladder.entry.port.StoreItem;
 import io.trailladder.wire.NodeMessage.UpstreamEntry;
-import io.trailladder.wire.NodeMessage.UpstreamNews;
+import io.trailladder.wire.NodeMessage.UpstreamUpdate;
 import io.vavr.control.Either;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -55,8 +55,8 @@
     private final Map<String, byte[]> entries = new HashMap<>();
     private final UnusableEntries unusable = new UnusableEntries();
     private final RemovedEntries removedEntries = new RemovedEntries();
-    private Consumer<UpstreamNews> onUpdate = update -> {};
-    private Consumer<UpstreamNews> onIgnoredUpdate = update -> {};
+    private Consumer<UpstreamUpdate> onUpdate = update -> {};
+    private Consumer<UpstreamUpdate> onIgnoredUpdate = update -> {};
     private long revision;
     private boolean known;
     private long confirmedMillis;
@@ -136,7 +136,7 @@
      *
      * @param listener the listener
      */
-    public void onUpdate(Consumer<UpstreamNews> listener) {
+    public void onUpdate(Consumer<UpstreamUpdate> listener) {
         onUpdate = listener;
     }
 
@@ -146,7 +146,7 @@
      *
      * @param listener the listener
      */
-    public void onIgnoredUpdate(Consumer<UpstreamNews> listener) {
+    public void onIgnoredUpdate(Consumer<UpstreamUpdate> listener) {
         onIgnoredUpdate = listener;
     }
 
@@ -179,7 +179,7 @@
         String id = idOf(item.key());
         byte[] value = item.removed() ? NO_BYTES : item.value();
         apply(id, value);
-        onUpdate.accept(new UpstreamNews(before, revision, new UpstreamEntry(id, value)));
+        onUpdate.accept(new UpstreamUpdate(before, revision, new UpstreamEntry(id, value)));
     }
 
     /**
@@ -187,7 +187,7 @@
      *
      * @param update the change
      */
-    public void applyFromPeer(UpstreamNews update) {
+    public void applyFromPeer(UpstreamUpdate update) {
         if (update.after() <= revision && update.revision() > revision) {
             revision = update.revision();
             confirmedCurrent();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/ClaimService.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/ClaimService.java
@@ -36,7 +36,7 @@
 import io.trailladder.wire.PeerMessage.ClaimAll;
 import io.trailladder.wire.PeerMessage.ClaimAllKept;
 import io.trailladder.wire.PeerMessage.ClaimAnswer;
-import io.trailladder.wire.PeerMessage.ClaimAsk;
+import io.trailladder.wire.PeerMessage.ClaimRequest;
 import io.trailladder.wire.PeerMessage.ClaimCopied;
 import io.trailladder.wire.PeerMessage.ClaimCopy;
 import io.trailladder.wire.PeerMessage.ClaimRelease;
@@ -99,7 +99,7 @@
         String owner = owner(key);
         if (owner.equals(self)) {
             handleRequest(claim);
-        } else if (!links.send(owner, new ClaimAsk(claim))) {
+        } else if (!links.send(owner, new ClaimRequest(claim))) {
             reply.complete(ClaimReply.of(Verdict.UNAVAILABLE));
         }
         return reply.completeOnTimeout(
@@ -138,7 +138,7 @@
      * @return true if the message concerns claims, false if it was not handled
      */
     public boolean received(EntryInfo from, PeerMessage message) {
-        if (message instanceof ClaimAsk ask) {
+        if (message instanceof ClaimRequest ask) {
             handleRequest(ask.claim());
         } else if (message instanceof ClaimAnswer answer) {
             completeReply(answer.requestId(), answer.reply());
