--- a/trailladder-cli/src/main/java/io/trailladder/cli/LossesCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/LossesCommand.java
@@ -30,8 +30,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Tells from gateways' logs which requests were not served, or late, summed up by cause, route,
- * organisation, upstream or second.
+ * Reports from the logs of gateways which requests were not served or were late, grouped by
+ * outcome, cause, route, organisation, upstream or second.
  *
  * <pre>{@code
  * cat gateway-*.log | trailladder losses
@@ -43,10 +43,11 @@
 @Command(
         name = "losses",
         mixinStandardHelpOptions = true,
-        description = "Tell from gateways' logs which requests were not served, or late, and why.")
+        description =
+                "Report from gateways' logs which requests were not served, or late, and why.")
 public final class LossesCommand implements Callable<Integer> {
-    private static final int NOTHING_FOUND = 1;
-    private static final int DEFAULT_MOST = 20;
+    private static final int EXIT_NOTHING_FOUND = 1;
+    private static final int DEFAULT_MAX_ROWS = 20;
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     @Spec private CommandSpec spec;
@@ -66,13 +67,13 @@
     @Option(
             names = "--most",
             paramLabel = "N",
-            description = "Most rows of a table; ${DEFAULT-VALUE} if not given.")
-    private int most = DEFAULT_MOST;
+            description = "Maximum rows of a table; ${DEFAULT-VALUE} if not given.")
+    private int maxRows = DEFAULT_MAX_ROWS;
 
     @Parameters(
             index = "0..*",
             paramLabel = "FILE",
-            description = "Logs; standard input if none is named.")
+            description = "Logs; standard input if not given.")
     private List<Path> files = List.of();
 
     @Override
@@ -92,9 +93,9 @@
         Row total = table.total();
         if (total.requests() == 0) {
             PrintWriter err = spec.commandLine().getErr();
-            err.println("no line tells of a request, expected the logs of all gateways");
+            err.println("no line describes a request, expected the logs of all gateways");
             err.flush();
-            return NOTHING_FOUND;
+            return EXIT_NOTHING_FOUND;
         }
         print(out, "all", List.of(total));
         for (Dimension dimension : dimensions) {
@@ -112,7 +113,7 @@
         }
         out.printf(Locale.ROOT, "%-40s %9s%n", "calls to the store", "calls");
         for (StoreUseTable.Row row : storeUse.rows()) {
-            out.printf(Locale.ROOT, "%-40s %9d%n", row.sort(), row.calls());
+            out.printf(Locale.ROOT, "%-40s %9d%n", row.purposeAndKind(), row.calls());
         }
         out.println();
     }
@@ -132,7 +133,7 @@
                 "processes",
                 "lasted s",
                 "first");
-        for (CrashTable.Row row : rows.subList(0, Math.min(most, rows.size()))) {
+        for (CrashTable.Row row : rows.subList(0, Math.min(maxRows, rows.size()))) {
             out.printf(
                     Locale.ROOT,
                     "%-40s %9d %9d %9d %9d %9.1f  %s%n",
@@ -156,7 +157,7 @@
                 "unserved",
                 "late",
                 "held s");
-        for (Row row : rows.subList(0, Math.min(most, rows.size()))) {
+        for (Row row : rows.subList(0, Math.min(maxRows, rows.size()))) {
             out.printf(
                     Locale.ROOT,
                     "%-40s %9d %9d %9d %9.1f%n",
--- a/trailladder-cli/src/main/java/io/trailladder/cli/RefusedCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RefusedCommand.java
@@ -35,8 +35,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Lists the requests that gateways refuse because upstreams ended under them, or has one served
- * again.
+ * Lists the requests that gateways refuse because upstreams ended while running them, or lifts the
+ * refusal of one.
  *
  * <pre>{@code
  * trailladder refused --at 10.1.0.14:8225
@@ -49,14 +49,14 @@
         name = "refused",
         mixinStandardHelpOptions = true,
         description =
-                "List the requests that are refused because upstreams ended under them, or have one"
-                        + " served again.")
+                "List the requests that are refused because upstreams ended while running them,"
+                        + " or lift the refusal of one.")
 public final class RefusedCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String PATH = "/refused-requests";
-    private static final long PATIENCE_MILLIS = 2_000;
+    private static final long REQUEST_TIMEOUT_MILLIS = 2_000;
     private static final int OK = 200;
-    private static final int NOT_DONE = 1;
+    private static final int EXIT_FAILED = 1;
 
     @Spec private CommandSpec spec;
 
@@ -64,23 +64,23 @@
             names = "--at",
             required = true,
             paramLabel = "HOST:PORT",
-            description = "Where any gateway tells its figures.")
+            description = "Metrics address of any gateway.")
     private String at;
 
     @Option(
             names = "--lift",
             paramLabel = "FINGERPRINT",
-            description = "The request that is served again, by all gateways.")
+            description = "The request whose refusal all gateways lift.")
     private String lift;
 
     @Override
     public Integer call() throws IOException {
-        HttpReply reply = lift == null ? ask("GET", PATH) : ask("DELETE", PATH + '/' + lift);
+        HttpReply reply = lift == null ? send("GET", PATH) : send("DELETE", PATH + '/' + lift);
         if (reply.status() != OK) {
             PrintWriter err = spec.commandLine().getErr();
             err.println("gateway '" + at + "' answered " + reply.status() + ": " + reply.text());
             err.flush();
-            return NOT_DONE;
+            return EXIT_FAILED;
         }
         PrintWriter out = spec.commandLine().getOut();
         if (lift == null) {
@@ -92,11 +92,12 @@
         return 0;
     }
 
-    private HttpReply ask(String method, String path) {
+    private HttpReply send(String method, String path) {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
         try (HttpClient client = new HttpClient(timer)) {
             HttpCall call =
-                    new HttpCall(target(), method, path, Map.of(), new byte[0], PATIENCE_MILLIS);
+                    new HttpCall(
+                            target(), method, path, Map.of(), new byte[0], REQUEST_TIMEOUT_MILLIS);
             return client.call(call).join();
         } finally {
             timer.shutdownNow();
--- a/trailladder-cli/src/main/java/io/trailladder/cli/ForceWaiter.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RevisionWaiter.java
@@ -24,25 +24,28 @@
 import java.util.TreeMap;
 
 /**
- * Waits until a table revision is in force at every entry that can be reached.
+ * Waits until a table revision is in force at every registered entry.
  *
  * @since 0.1
  */
-final class ForceWaiter {
+final class RevisionWaiter {
     private static final long POLL_MILLIS = 100;
-    private static final int NOT_EVERYWHERE = 1;
+    private static final int EXIT_NOT_IN_FORCE = 1;
 
     private final PlatformOptions platform;
     private final PrintWriter out;
     private final PrintWriter err;
 
-    ForceWaiter(PlatformOptions platform, PrintWriter out, PrintWriter err) {
+    RevisionWaiter(PlatformOptions platform, PrintWriter out, PrintWriter err) {
         this.platform = platform;
         this.out = out;
         this.err = err;
     }
 
-    /** Waits; returns the exit code, 1 if some reachable entry lags at the end. */
+    /**
+     * Waits until the revision is in force at all entries or the time is over, and returns the exit
+     * code: 0 if it is in force everywhere, 1 if not.
+     */
     int await(long revision, long waitMillis) {
         long deadline = System.nanoTime() + waitMillis * 1_000_000;
         Map<String, String> lagging = lagging(revision);
@@ -57,7 +60,7 @@
         }
         lagging.forEach((entry, why) -> err.println("not in force at " + entry + ": " + why));
         err.flush();
-        return NOT_EVERYWHERE;
+        return EXIT_NOT_IN_FORCE;
     }
 
     static void pause() {
