--- a/trailladder-cli/src/main/java/io/trailladder/cli/EntryCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/EntryCommand.java
@@ -50,7 +50,7 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Run one entry: takes callers' requests and serves them where the table allows.",
+                "Run one entry: accepts callers' requests and serves them where the table allows.",
         footer = {
             "",
             "The key that all entries share comes from --peer-key-file or TRAILLADDER_PEER_KEY,",
--- a/trailladder-cli/src/main/java/io/trailladder/cli/GatewayCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/GatewayCommand.java
@@ -34,7 +34,7 @@
         name = "gateway",
         mixinStandardHelpOptions = true,
         sortOptions = false,
-        description = "Run one gateway: takes callers' requests on the users' platform.",
+        description = "Run one gateway: accepts callers' requests on the users' platform.",
         footer = {
             "",
             "SIGTERM stops it without cutting off requests. SIGHUP, or a change of the settings",
