--- a/trailladder-cli/src/test/java/io/trailladder/cli/soak/SoakRun.java
+++ b/trailladder-cli/src/test/java/io/trailladder/cli/soak/SoakRun.java
@@ -285,7 +285,7 @@
         onLoop(
                 loop,
                 () -> {
-                    platform.keepCopy();
+                    platform.saveCopy();
                     loop.schedule(copyMillis / 2, () -> writeWhatIsLost(leaderLapses));
                     loop.schedule(copyMillis, () -> platform.down(awayMillis > 0));
                     loop.schedule(copyMillis + awayMillis, () -> comeBack(cutWatches, pauses));
@@ -310,7 +310,7 @@
 
     /** What the operator and the upstreams wrote is written again; what nobody writes lapses. */
     private void comeBack(boolean cutWatches, SplittableRandom pauses) {
-        platform.returnFromCopy(cutWatches);
+        platform.restoreCopy(cutWatches);
         platform.down(false);
         loop.schedule(
                 pauses.nextLong(WRITTEN_AGAIN_MILLIS), () -> platform.put("op/config", config));
@@ -533,7 +533,7 @@
     }
 
     private boolean forget() {
-        platform.forgetHistory();
+        platform.dropHistory();
         return true;
     }
 
