--- a/trailladder-bench/src/main/java/io/trailladder/bench/CoreSlopes.java
+++ b/trailladder-bench/src/main/java/io/trailladder/bench/CoreSlopes.java
@@ -134,7 +134,7 @@
         public void own() {
             registry = new ClaimRegistry("e1", 64, Integer.MAX_VALUE, Long.MAX_VALUE / 4);
             RangeAssignment mine = new RangeAssignment(1, "e1", "", 0);
-            registry.mapRead(new RangeMap(Collections.nCopies(64, mine)), 1);
+            registry.updateMap(new RangeMap(Collections.nCopies(64, mine)), 1);
         }
     }
 
@@ -174,8 +174,8 @@
     public Object claim(Claims state) {
         long number = state.next++;
         ClaimKey key = new ClaimKey(number, Hashing.xxh3_64().hashLongLongToLong(number, 1));
-        Object actions = state.registry.ask(new Claim(key, 1, "e1", "r", 1L << 40), 2);
-        state.registry.released(key, "r");
+        Object actions = state.registry.request(new Claim(key, 1, "e1", "r", 1L << 40), 2);
+        state.registry.release(key, "r");
         return actions;
     }
 
--- a/trailladder-cli/src/main/java/io/trailladder/cli/ClassDataTraining.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/ClassDataTraining.java
@@ -63,16 +63,16 @@
     private static final long PAUSE_MILLIS = 50;
 
     /** Each so many requests one is turned away by its upstream, and the next one is cut. */
-    private static final int FAULT_EACH = 8;
+    private static final int FAULT_INTERVAL_REQUESTS = 8;
 
-    private static final long MOST_MILLIS = 6_000;
+    private static final long TIMEOUT_MILLIS = 6_000;
     private static final int MAX_BODY_BYTES = 1 << 20;
     private static final byte[] NO_BYTES = {};
 
     /** Links of the trained processes, and of one between them that ranks as a hub, in Mbit/s. */
     private static final int STRONG_MBPS = 1_000;
 
-    private static final int MIDDLE_MBPS = 700;
+    private static final int MEDIUM_MBPS = 700;
     private static final int WEAK_MBPS = 500;
 
     /** A process's entry inside a write. */
@@ -104,8 +104,8 @@
     private int train() throws IOException, InterruptedException {
         platform = freePort();
         addUnreachable();
-        ServerBounds bounds = new ServerBounds(MAX_BODY_BYTES, MOST_MILLIS, MOST_MILLIS);
-        new HttpServer(loop, bounds, this::answer).start(platform);
+        ServerBounds bounds = new ServerBounds(MAX_BODY_BYTES, TIMEOUT_MILLIS, TIMEOUT_MILLIS);
+        new HttpServer(loop, bounds, this::handle).start(platform);
         loop.start();
         List<TrainedProcess> processes =
                 List.of(
@@ -120,13 +120,13 @@
         for (int i = 0; i < REQUESTS; i++) {
             Thread.sleep(PAUSE_MILLIS);
             for (TrainedProcess process : processes) {
-                loop.execute(() -> ask(process.callers, "/route/call"));
-                loop.execute(() -> ask(process.health, "/ready"));
-                loop.execute(() -> ask(process.metrics, "/metrics"));
+                loop.execute(() -> send(process.callers, "/route/call"));
+                loop.execute(() -> send(process.health, "/ready"));
+                loop.execute(() -> send(process.metrics, "/metrics"));
             }
         }
         processes.forEach(process -> process.gateway.stop());
-        return stopped.await(MOST_MILLIS, TimeUnit.MILLISECONDS) ? 0 : 1;
+        return stopped.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) ? 0 : 1;
     }
 
     /** One gateway that runs from a settings file, as it is deployed. */
@@ -135,7 +135,7 @@
         private final HostPort health = freePort();
         private final HostPort peers = freePort();
         private final HostPort metrics = freePort();
-        private final ReadyAnswer ready = new ReadyAnswer();
+        private final ReadyListener ready = new ReadyListener();
         private final GatewayProcess gateway;
 
         TrainedProcess(String name, int linkMbps) throws IOException {
@@ -167,9 +167,9 @@
 
         /** Waits for a while only: an archive of a slow build lacks classes, and starts go on. */
         private void awaitReady() throws InterruptedException {
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MOST_MILLIS);
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
             while (!ready.isSet() && System.nanoTime() - end < 0) {
-                loop.execute(() -> ask(health, "/ready", ready));
+                loop.execute(() -> send(health, "/ready", ready));
                 Thread.sleep(PAUSE_MILLIS);
             }
         }
@@ -190,11 +190,11 @@
         }
     }
 
-    private void ask(HostPort target, String path) {
-        ask(target, path, new IgnoredAnswer());
+    private void send(HostPort target, String path) {
+        send(target, path, new IgnoringListener());
     }
 
-    private void ask(HostPort target, String path, CallListener listener) {
+    private void send(HostPort target, String path, CallListener listener) {
         HeaderList headers =
                 new HeaderList(
                         List.of(
@@ -204,17 +204,17 @@
                                 new HeaderField("Prefix-Hash", "a:5,b:5"),
                                 new HeaderField("Authorization", "Bearer key")));
         OutgoingCall call =
-                new OutgoingCall(target, "POST", path, headers, NO_BYTES, MOST_MILLIS, MOST_MILLIS);
+                new OutgoingCall(target, "POST", path, headers, NO_BYTES, TIMEOUT_MILLIS, TIMEOUT_MILLIS);
         connector.send(call, listener);
     }
 
-    private void answer(ServerExchange exchange) {
+    private void handle(ServerExchange exchange) {
         String path = exchange.uri();
         if (path.contains("kv-txn")) {
-            keep(exchange.body());
+            recordMember(exchange.body());
         }
         if (path.contains("kv-watch")) {
-            loop.schedule(MOST_MILLIS, () -> respond(exchange, "{\"events\":[],\"at\":2}"));
+            loop.schedule(TIMEOUT_MILLIS, () -> respond(exchange, "{\"events\":[],\"at\":2}"));
         } else if (path.contains("op%2Fconfig")) {
             respond(exchange, listing("op/config", policy()));
         } else if (path.contains("live%2Fnode")) {
@@ -226,12 +226,12 @@
                     exchange,
                     "{\"entries\":[],\"lease\":1,\"ttl_ms\":1000,\"revision\":3,\"at\":3}");
         } else {
-            serve(exchange);
+            answerAsUpstream(exchange);
         }
     }
 
     /** Keeps the entry of a process, to be listed; others are not read. */
-    private void keep(byte[] body) {
+    private void recordMember(byte[] body) {
         Matcher put = MEMBER.matcher(new String(body, StandardCharsets.UTF_8));
         if (put.find()) {
             members.add(entry(put.group(1), put.group(2)));
@@ -244,21 +244,21 @@
             String name = "none-" + i;
             String value =
                     "{\"name\":\"%s\",\"dataCentre\":\"zone\",\"address\":\"%s:1\",\"linkMbps\":%d,\"cores\":1}"
-                            .formatted(name, LOOPBACK, i == 0 ? MIDDLE_MBPS : 1);
+                            .formatted(name, LOOPBACK, i == 0 ? MEDIUM_MBPS : 1);
             members.add(entry(Membership.PREFIX + name, encoded(value)));
         }
     }
 
     /** Answers as an upstream, in pieces; some requests meet faults. */
-    private void serve(ServerExchange exchange) {
+    private void answerAsUpstream(ServerExchange exchange) {
         answers++;
-        if (answers % FAULT_EACH == 1) {
+        if (answers % FAULT_INTERVAL_REQUESTS == 1) {
             exchange.respond(UNAVAILABLE, HeaderList.of("Not-Executed", "1"), NO_BYTES);
             return;
         }
         exchange.begin(OK, HeaderList.of("Attempt-Id", REQUEST_ID), -1);
         exchange.write("id: 1\ndata: x\n\n".getBytes(StandardCharsets.UTF_8));
-        if (answers % FAULT_EACH == 2) {
+        if (answers % FAULT_INTERVAL_REQUESTS == 2) {
             loop.schedule(1, exchange::abort);
             return;
         }
@@ -311,7 +311,7 @@
     }
 
     /** Remembers that a process was ready once. */
-    private static final class ReadyAnswer extends IgnoredAnswer {
+    private static final class ReadyListener extends IgnoringListener {
         private volatile boolean set;
 
         boolean isSet() {
@@ -327,7 +327,7 @@
     }
 
     /** Takes no interest in an answer. */
-    private static class IgnoredAnswer implements CallListener {
+    private static class IgnoringListener implements CallListener {
         @Override
         public void head(int status, HeaderList headers, long length) {}
 
--- a/trailladder-cli/src/main/java/io/trailladder/cli/CrashTable.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/CrashTable.java
@@ -73,7 +73,7 @@
         String request = line.text("request");
         Sum sum = sums.computeIfAbsent(request, name -> new Sum());
         sum.upstreams.add(line.text("upstream"));
-        sum.processes.add(process(line.source()));
+        sum.processes.add(processName(line.source()));
         sum.tries.add(line.text("id"));
         sum.first = line.time().isBefore(sum.first) ? line.time() : sum.first;
         sum.last = line.time().isAfter(sum.last) ? line.time() : sum.last;
@@ -81,7 +81,7 @@
     }
 
     /** A log's collector may write the time before the process's name. */
-    private static String process(String source) {
+    private static String processName(String source) {
         return source.substring(source.lastIndexOf(' ') + 1);
     }
 
--- a/trailladder-cli/src/main/java/io/trailladder/cli/Durations.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/Durations.java
@@ -26,7 +26,7 @@
  */
 final class Durations {
     /** How a duration looks. */
-    static final String FORM = "a duration such as 250ms, 14s, 10m or 24h";
+    static final String EXPECTED_FORM = "a duration such as 250ms, 14s, 10m or 24h";
 
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9})(ms|s|m|h)");
 
@@ -52,7 +52,7 @@
         private static final long serialVersionUID = 1L;
 
         BadDurationException(String text) {
-            super("duration '" + text + "', expected " + FORM);
+            super("duration '" + text + "', expected " + EXPECTED_FORM);
         }
     }
 }
--- a/trailladder-cli/src/main/java/io/trailladder/cli/EntryCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/EntryCommand.java
@@ -309,7 +309,7 @@
         try {
             return Durations.parseMillis(value);
         } catch (TrailladderException e) {
-            fault(option, value, Durations.FORM);
+            fault(option, value, Durations.EXPECTED_FORM);
             return 1;
         }
     }
--- a/trailladder-cli/src/main/java/io/trailladder/cli/ShortMessages.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/ErrorMessageHandler.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.ParseResult;
 
 /** Prints the message of an expected failure instead of its stack trace. */
-final class ShortMessages implements IExecutionExceptionHandler {
+final class ErrorMessageHandler implements IExecutionExceptionHandler {
     @Override
     public int handleExecutionException(
             Exception failure, CommandLine commandLine, ParseResult parsed) throws Exception {
--- a/trailladder-cli/src/main/java/io/trailladder/cli/ExplainCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/ExplainCommand.java
@@ -40,7 +40,7 @@
         mixinStandardHelpOptions = true,
         description = "Tell from gateways' logs what became of a request, and why.")
 public final class ExplainCommand implements Callable<Integer> {
-    private static final int NOT_FOUND = 1;
+    private static final int EXIT_NOT_FOUND = 1;
 
     @Spec private CommandSpec spec;
 
@@ -57,15 +57,15 @@
     public Integer call() throws IOException {
         RequestTrace trace = new RequestTrace(id);
         LogFiles.read(files, spec.commandLine(), trace::add);
-        return tell(trace);
+        return print(trace);
     }
 
-    private int tell(RequestTrace trace) {
+    private int print(RequestTrace trace) {
         if (trace.isEmpty()) {
             PrintWriter err = spec.commandLine().getErr();
             err.println("REQUEST-ID '" + id + "' is in no line, expected the logs of all gateways");
             err.flush();
-            return NOT_FOUND;
+            return EXIT_NOT_FOUND;
         }
         PrintWriter out = spec.commandLine().getOut();
         for (DecisionLine line : trace.lines()) {
--- a/trailladder-cli/src/main/java/io/trailladder/cli/GatewayProcess.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/GatewayProcess.java
@@ -53,13 +53,13 @@
     /** Names the settings file in the environment. */
     public static final String SETTINGS_VARIABLE = "TRAILLADDER_SETTINGS";
 
-    private static final long WATCH_FILE_MILLIS = 1_000;
+    private static final long SETTINGS_POLL_MILLIS = 1_000;
 
     /**
      * How long after the start the log begins, in milliseconds: by then the requests of a restart
      * are under way.
      */
-    private static final long LOG_AFTER_MILLIS = 2_000;
+    private static final long LOG_DELAY_MILLIS = 2_000;
 
     /** Grizzly tells of each broken connection, which callers and upstreams break all the time. */
     private static final Logger GRIZZLY = Logger.getLogger("org.glassfish.grizzly");
@@ -120,16 +120,16 @@
         ProcessSignals.on("INT", this::stop);
         ProcessSignals.on("HUP", this::reload);
         gateway.start();
-        settingsTime = modified();
-        beginLog();
-        while (!stopped.await(WATCH_FILE_MILLIS, TimeUnit.MILLISECONDS)) {
+        settingsTime = settingsLastModified();
+        startLog();
+        while (!stopped.await(SETTINGS_POLL_MILLIS, TimeUnit.MILLISECONDS)) {
             reloadIfChanged();
         }
     }
 
     /** Lets the first requests be served before lines are written. */
-    private void beginLog() throws InterruptedException {
-        stopped.await(LOG_AFTER_MILLIS, TimeUnit.MILLISECONDS);
+    private void startLog() throws InterruptedException {
+        stopped.await(LOG_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         LibraryLines.take();
         EarlyLines.release();
     }
@@ -148,14 +148,14 @@
     }
 
     private void reloadIfChanged() {
-        FileTime now = modified();
+        FileTime now = settingsLastModified();
         if (!now.equals(settingsTime)) {
             settingsTime = now;
             reload();
         }
     }
 
-    private FileTime modified() {
+    private FileTime settingsLastModified() {
         try {
             return Files.getLastModifiedTime(settingsFile);
         } catch (IOException e) {
--- a/trailladder-cli/src/main/java/io/trailladder/cli/LossTable.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/LossTable.java
@@ -46,21 +46,21 @@
         SECOND
     }
 
-    private static final int OK_BELOW = 400;
+    private static final int FIRST_ERROR_STATUS = 400;
     private static final String NONE = "-";
 
     /** A request that is refused within this time waited for nothing, in milliseconds. */
-    private static final long AT_ONCE_MILLIS = 50;
+    private static final long MAX_IMMEDIATE_MILLIS = 50;
 
     private static final String UNKNOWN_END = "no end in the logs";
     private static final String REFUSED_AT_ONCE = "refused at once";
 
     private final Map<String, Request> requests = new LinkedHashMap<>();
-    private Instant begin;
+    private Instant firstLineTime;
 
     /** What the lines tell of one request. */
     private static final class Request {
-        private final Instant taken;
+        private final Instant receivedTime;
         private String route = NONE;
         private String organisation = NONE;
         private String upstream = NONE;
@@ -73,7 +73,7 @@
         private boolean served;
 
         Request(Instant taken) {
-            this.taken = taken;
+            this.receivedTime = taken;
         }
     }
 
@@ -112,15 +112,15 @@
      * @param line a decision; kinds that tell nothing of a request are passed over
      */
     void add(DecisionLine line) {
-        if (begin == null || line.time().isBefore(begin)) {
-            begin = line.time();
+        if (firstLineTime == null || line.time().isBefore(firstLineTime)) {
+            firstLineTime = line.time();
         }
         switch (line.kind()) {
-            case "Intake" -> taken(line);
+            case "Intake" -> addIntake(line);
             case "Dispatch" -> request(line).upstream = line.text("upstream");
             case "AttemptFailed" -> request(line).failure = line.text("failure");
             case "TurnedAway" -> request(line).failure = line.text("reason");
-            case "Ended" -> ended(line);
+            case "Ended" -> addEnd(line);
             default -> {
                 // says nothing of a request
             }
@@ -165,7 +165,7 @@
         return requests.computeIfAbsent(line.text("id"), id -> new Request(line.time()));
     }
 
-    private void taken(DecisionLine line) {
+    private void addIntake(DecisionLine line) {
         if (line.text("id").isEmpty()) {
             return;
         }
@@ -180,10 +180,10 @@
         }
     }
 
-    private void ended(DecisionLine line) {
+    private void addEnd(DecisionLine line) {
         Request request = request(line);
         String outcome = line.text("outcome");
-        boolean whole = outcome.equals("whole") && line.number("status") < OK_BELOW;
+        boolean whole = outcome.equals("whole") && line.number("status") < FIRST_ERROR_STATUS;
         request.served = whole;
         long first = line.number("firstMs");
         request.late = whole && request.objectiveMillis > 0 && first > request.objectiveMillis;
@@ -200,7 +200,7 @@
 
     private static String unservedOutcome(String ending, long heldMillis) {
         return switch (ending) {
-            case "NOT_RUN" -> heldMillis < AT_ONCE_MILLIS ? REFUSED_AT_ONCE : "held, then refused";
+            case "NOT_RUN" -> heldMillis < MAX_IMMEDIATE_MILLIS ? REFUSED_AT_ONCE : "held, then refused";
             case "BROKEN_OFF" -> "broken off";
             case "caller-gone" -> "caller left";
             default -> "failed";
@@ -214,7 +214,7 @@
             case ROUTE -> request.route;
             case ORGANISATION -> request.organisation;
             case UPSTREAM -> request.upstream;
-            case SECOND -> Long.toString(Duration.between(begin, request.taken).toSeconds());
+            case SECOND -> Long.toString(Duration.between(firstLineTime, request.receivedTime).toSeconds());
         };
     }
 
--- a/trailladder-cli/src/main/java/io/trailladder/cli/LossesCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/LossesCommand.java
@@ -45,8 +45,8 @@
         mixinStandardHelpOptions = true,
         description = "Tell from gateways' logs which requests were not served, or late, and why.")
 public final class LossesCommand implements Callable<Integer> {
-    private static final int NOTHING_FOUND = 1;
-    private static final int DEFAULT_MOST = 20;
+    private static final int EXIT_NOTHING_FOUND = 1;
+    private static final int DEFAULT_MAX_ROWS = 20;
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     @Spec private CommandSpec spec;
@@ -67,7 +67,7 @@
             names = "--most",
             paramLabel = "N",
             description = "Most rows of a table; ${DEFAULT-VALUE} if not given.")
-    private int most = DEFAULT_MOST;
+    private int maxRows = DEFAULT_MAX_ROWS;
 
     @Parameters(
             index = "0..*",
@@ -94,7 +94,7 @@
             PrintWriter err = spec.commandLine().getErr();
             err.println("no line tells of a request, expected the logs of all gateways");
             err.flush();
-            return NOTHING_FOUND;
+            return EXIT_NOTHING_FOUND;
         }
         print(out, "all", List.of(total));
         for (Dimension dimension : dimensions) {
@@ -112,7 +112,7 @@
         }
         out.printf(Locale.ROOT, "%-40s %9s%n", "calls to the store", "calls");
         for (StoreUseTable.Row row : storeUse.rows()) {
-            out.printf(Locale.ROOT, "%-40s %9d%n", row.sort(), row.calls());
+            out.printf(Locale.ROOT, "%-40s %9d%n", row.purposeAndKind(), row.calls());
         }
         out.println();
     }
@@ -132,7 +132,7 @@
                 "processes",
                 "lasted s",
                 "first");
-        for (CrashTable.Row row : rows.subList(0, Math.min(most, rows.size()))) {
+        for (CrashTable.Row row : rows.subList(0, Math.min(maxRows, rows.size()))) {
             out.printf(
                     Locale.ROOT,
                     "%-40s %9d %9d %9d %9d %9.1f  %s%n",
@@ -156,7 +156,7 @@
                 "unserved",
                 "late",
                 "held s");
-        for (Row row : rows.subList(0, Math.min(most, rows.size()))) {
+        for (Row row : rows.subList(0, Math.min(maxRows, rows.size()))) {
             out.printf(
                     Locale.ROOT,
                     "%-40s %9d %9d %9d %9.1f%n",
--- a/trailladder-cli/src/main/java/io/trailladder/cli/MoveTrace.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/MoveTrace.java
@@ -57,31 +57,31 @@
                     + " and "
                     + asked.get().number("tries")
                     + " times no entry had it: "
-                    + whyNowhere(asked.get().time());
+                    + reasonNotFound(asked.get().time());
         }
-        return way();
+        return describeMove();
     }
 
     /** Names the last thing before a vain question that kept the request from going on. */
-    private String whyNowhere(Instant before) {
+    private String reasonNotFound(Instant before) {
         Optional<DecisionLine> taken = last("TakeUp", before);
         if (taken.isPresent() && taken.get().text("result").equals(ALREADY_HERE)) {
-            return at(taken.get()) + " worked on it and was not asked, or was lost since";
+            return entryName(taken.get()) + " worked on it and was not asked, or was lost since";
         }
         if (taken.isPresent() && !taken.get().text("result").equals(GOES_ON)) {
-            return "it was not taken up at " + at(taken.get()) + ", " + result(taken.get());
+            return "it was not taken up at " + entryName(taken.get()) + ", " + describeResult(taken.get());
         }
         if (taken.isPresent()) {
-            return "it was taken up at " + at(taken.get()) + ", which was lost or ended since";
+            return "it was taken up at " + entryName(taken.get()) + ", which was lost or ended since";
         }
         return last("HandOver", before)
-                .map(MoveTrace::offered)
+                .map(MoveTrace::describeHandOver)
                 .orElse(
                         "no hand-over and no copy is logged,"
                                 + " so its entry and its copy's were both lost");
     }
 
-    private String way() {
+    private String describeMove() {
         String found =
                 last("AskedAgain", Instant.MAX)
                         .map(
@@ -100,17 +100,17 @@
                                 "it passed from "
                                         + taken.text("from")
                                         + " to "
-                                        + at(taken)
+                                        + entryName(taken)
                                         + " with "
                                         + taken.number("tokens")
                                         + " tokens, "
-                                        + result(taken))
-                .or(() -> last("HandOver", Instant.MAX).map(MoveTrace::offered))
+                                        + describeResult(taken))
+                .or(() -> last("HandOver", Instant.MAX).map(MoveTrace::describeHandOver))
                 .map(way -> way + found)
                 .orElse("no other entry took it up" + found);
     }
 
-    private static String offered(DecisionLine line) {
+    private static String describeHandOver(DecisionLine line) {
         return "it was offered by "
                 + line.text("sender")
                 + " to "
@@ -119,11 +119,11 @@
                 + line.text("answer");
     }
 
-    private static String result(DecisionLine taken) {
+    private static String describeResult(DecisionLine taken) {
         return taken.text("cause") + ": " + taken.text("result");
     }
 
-    private static String at(DecisionLine line) {
+    private static String entryName(DecisionLine line) {
         return line.source().isEmpty() ? "an entry" : line.source();
     }
 
--- a/trailladder-cli/src/main/java/io/trailladder/cli/PlatformOptions.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/PlatformOptions.java
@@ -40,7 +40,7 @@
  */
 final class PlatformOptions implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long STATUS_MILLIS = 1_000;
+    private static final long STATUS_TIMEOUT_MILLIS = 1_000;
 
     @Option(
             names = "--key-value",
@@ -92,7 +92,7 @@
     /** Asks an entry for its status. */
     Optional<StatusReport> status(EntryInfo entry) {
         HostPort address = HostPort.parse(entry.operatorAddress());
-        return client().call(HttpCall.get(address, "/status", STATUS_MILLIS))
+        return client().call(HttpCall.get(address, "/status", STATUS_TIMEOUT_MILLIS))
                 .handle((reply, failure) -> failure == null ? parse(reply.body()) : null)
                 .thenApply(Optional::ofNullable)
                 .join();
--- a/trailladder-cli/src/main/java/io/trailladder/cli/RefusedCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RefusedCommand.java
@@ -54,9 +54,9 @@
 public final class RefusedCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String PATH = "/refused-requests";
-    private static final long PATIENCE_MILLIS = 2_000;
+    private static final long REQUEST_TIMEOUT_MILLIS = 2_000;
     private static final int OK = 200;
-    private static final int NOT_DONE = 1;
+    private static final int EXIT_FAILED = 1;
 
     @Spec private CommandSpec spec;
 
@@ -75,12 +75,12 @@
 
     @Override
     public Integer call() throws IOException {
-        HttpReply reply = lift == null ? ask("GET", PATH) : ask("DELETE", PATH + '/' + lift);
+        HttpReply reply = lift == null ? send("GET", PATH) : send("DELETE", PATH + '/' + lift);
         if (reply.status() != OK) {
             PrintWriter err = spec.commandLine().getErr();
             err.println("gateway '" + at + "' answered " + reply.status() + ": " + reply.text());
             err.flush();
-            return NOT_DONE;
+            return EXIT_FAILED;
         }
         PrintWriter out = spec.commandLine().getOut();
         if (lift == null) {
@@ -92,11 +92,11 @@
         return 0;
     }
 
-    private HttpReply ask(String method, String path) {
+    private HttpReply send(String method, String path) {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
         try (HttpClient client = new HttpClient(timer)) {
             HttpCall call =
-                    new HttpCall(target(), method, path, Map.of(), new byte[0], PATIENCE_MILLIS);
+                    new HttpCall(target(), method, path, Map.of(), new byte[0], REQUEST_TIMEOUT_MILLIS);
             return client.call(call).join();
         } finally {
             timer.shutdownNow();
--- a/trailladder-cli/src/main/java/io/trailladder/cli/ReplayCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/ReplayCommand.java
@@ -61,7 +61,7 @@
         RoutingTrace trace = new RoutingTrace();
         for (int i = 0; i < lines.size(); i++) {
             if (!lines.get(i).isBlank()) {
-                trace.take(i + 1, lines.get(i));
+                trace.apply(i + 1, lines.get(i));
             }
         }
         trace.differences().forEach(difference -> err.println(file + ":" + difference));
--- a/trailladder-cli/src/main/java/io/trailladder/cli/RequestTrace.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RequestTrace.java
@@ -25,12 +25,12 @@
 
 /** The way of one request through the logs of gateways, and why it ended as it did. */
 final class RequestTrace {
-    private static final Duration AROUND = Duration.ofSeconds(5);
-    private static final int FIRST_ERROR = 400;
+    private static final Duration CONTEXT_WINDOW = Duration.ofSeconds(5);
+    private static final int FIRST_ERROR_STATUS = 400;
 
     private final String id;
-    private final List<DecisionLine> own = new ArrayList<>();
-    private final List<DecisionLine> others = new ArrayList<>();
+    private final List<DecisionLine> ownLines = new ArrayList<>();
+    private final List<DecisionLine> contextLines = new ArrayList<>();
 
     RequestTrace(String id) {
         this.id = id;
@@ -39,14 +39,14 @@
     /** Takes a line of a log, in any order. */
     void add(DecisionLine line) {
         if (line.text("id").equals(id)) {
-            own.add(line);
+            ownLines.add(line);
         } else if (line.kind().equals("Belief") || line.kind().equals("Lifecycle")) {
-            others.add(line);
+            contextLines.add(line);
         }
     }
 
     boolean isEmpty() {
-        return own.isEmpty();
+        return ownLines.isEmpty();
     }
 
     /**
@@ -54,12 +54,12 @@
      */
     List<DecisionLine> lines() {
         Set<String> upstreams = new HashSet<>();
-        own.stream()
+        ownLines.stream()
                 .filter(line -> line.kind().equals("Dispatch"))
                 .forEach(line -> upstreams.add("upstream " + line.text("upstream")));
-        List<DecisionLine> lines = new ArrayList<>(own);
-        others.stream()
-                .filter(line -> upstreams.contains(line.text("what")) || isOfProcess(line))
+        List<DecisionLine> lines = new ArrayList<>(ownLines);
+        contextLines.stream()
+                .filter(line -> upstreams.contains(line.text("what")) || isFromOwnProcess(line))
                 .filter(this::isNear)
                 .forEach(lines::add);
         lines.sort(Comparator.comparing(DecisionLine::time));
@@ -68,34 +68,34 @@
 
     /** Returns why the request ended as it did, in one sentence. */
     String cause() {
-        MoveTrace moves = new MoveTrace(own);
+        MoveTrace moves = new MoveTrace(ownLines);
         if (!moves.isEmpty()) {
             return moves.cause();
         }
         Optional<DecisionLine> intake = last("Intake");
         Optional<DecisionLine> ended = last("Ended");
         if (intake.isPresent() && !intake.get().text("outcome").equals("accepted")) {
-            return refused(intake.get());
+            return describeRefusal(intake.get());
         }
         if (ended.isEmpty()) {
             return "its end is not logged: the process was lost, or lines were dropped"
                     + " (look for dropped_lines)";
         }
-        return ending(ended.get());
+        return describeEnd(ended.get());
     }
 
-    private static String refused(DecisionLine intake) {
+    private static String describeRefusal(DecisionLine intake) {
         return "refused before any attempt: "
                 + intake.text("outcome")
                 + "; decided by policy version "
                 + intake.number("policyVersion");
     }
 
-    private String ending(DecisionLine ended) {
+    private String describeEnd(DecisionLine ended) {
         String attempts = ended.number("attempts") + " attempts";
         return switch (ended.text("outcome")) {
             case "whole" ->
-                    ended.number("status") < FIRST_ERROR
+                    ended.number("status") < FIRST_ERROR_STATUS
                             ? "served whole by " + ended.text("upstream")
                             : "the answer of "
                                     + ended.text("upstream")
@@ -108,7 +108,7 @@
                             + ended.number("status")
                             + " after "
                             + attempts;
-            case "NOT_RUN" -> "not run, so the caller may ask again: " + turnedAway();
+            case "NOT_RUN" -> "not run, so the caller may ask again: " + lastTurnAway();
             case "MAY_HAVE_RUN" -> "may have run and may not be sent again: " + lastFailure();
             case "TIMED_OUT" -> "its time was over: " + lastPrediction(ended);
             case "BROKEN_OFF" -> "the answer had begun and could not go on: " + lastFailure();
@@ -121,7 +121,7 @@
         };
     }
 
-    private String turnedAway() {
+    private String lastTurnAway() {
         return last("TurnedAway")
                 .map(
                         turned ->
@@ -171,22 +171,22 @@
     }
 
     private Optional<DecisionLine> last(String kind) {
-        return own.stream()
+        return ownLines.stream()
                 .filter(line -> line.kind().equals(kind))
                 .max(Comparator.comparing(DecisionLine::time));
     }
 
     /** Lost and regained dependencies matter where they come from the request's own process. */
-    private boolean isOfProcess(DecisionLine line) {
+    private boolean isFromOwnProcess(DecisionLine line) {
         return line.kind().equals("Lifecycle")
-                && own.stream().anyMatch(mine -> mine.source().equals(line.source()));
+                && ownLines.stream().anyMatch(mine -> mine.source().equals(line.source()));
     }
 
     private boolean isNear(DecisionLine line) {
-        return own.stream()
+        return ownLines.stream()
                 .anyMatch(
                         mine ->
-                                Duration.between(mine.time(), line.time()).abs().compareTo(AROUND)
+                                Duration.between(mine.time(), line.time()).abs().compareTo(CONTEXT_WINDOW)
                                         <= 0);
     }
 }
--- a/trailladder-cli/src/main/java/io/trailladder/cli/ForceWaiter.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RevisionWaiter.java
@@ -28,15 +28,15 @@
  *
  * @since 0.1
  */
-final class ForceWaiter {
+final class RevisionWaiter {
     private static final long POLL_MILLIS = 100;
-    private static final int NOT_EVERYWHERE = 1;
+    private static final int EXIT_NOT_IN_FORCE = 1;
 
     private final PlatformOptions platform;
     private final PrintWriter out;
     private final PrintWriter err;
 
-    ForceWaiter(PlatformOptions platform, PrintWriter out, PrintWriter err) {
+    RevisionWaiter(PlatformOptions platform, PrintWriter out, PrintWriter err) {
         this.platform = platform;
         this.out = out;
         this.err = err;
@@ -57,7 +57,7 @@
         }
         lagging.forEach((entry, why) -> err.println("not in force at " + entry + ": " + why));
         err.flush();
-        return NOT_EVERYWHERE;
+        return EXIT_NOT_IN_FORCE;
     }
 
     static void pause() {
--- a/trailladder-cli/src/main/java/io/trailladder/cli/RolloutCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RolloutCommand.java
@@ -46,7 +46,7 @@
         description = "Tell how roll-outs stand.")
 public final class RolloutCommand implements Runnable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int NOTHING_FOUND = 1;
+    private static final int EXIT_NOTHING_FOUND = 1;
 
     @Spec private CommandSpec spec;
 
@@ -86,7 +86,7 @@
             String of = service == null ? "" : " of '" + service + "'";
             err.println("no line tells of a roll-out" + of + ", expected the logs of all gateways");
             err.flush();
-            return NOTHING_FOUND;
+            return EXIT_NOTHING_FOUND;
         }
         print(lines, json);
         return 0;
--- a/trailladder-cli/src/main/java/io/trailladder/cli/RolloutLine.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RolloutLine.java
@@ -128,17 +128,17 @@
      * @param to its upper end
      */
     private record Interval(double from, double to) {
-        private static final double DEVIATIONS = 1.96;
+        private static final double Z_SCORE = 1.96;
 
         static Interval of(int some, int all) {
             if (all == 0) {
                 return new Interval(0, 1);
             }
             double rate = (double) some / all;
-            double square = DEVIATIONS * DEVIATIONS;
+            double square = Z_SCORE * Z_SCORE;
             double middle = rate + square / (2 * all);
             double half =
-                    DEVIATIONS
+                    Z_SCORE
                             * Math.sqrt(
                                     rate * (1 - rate) / all + square / (4.0 * all * (double) all));
             double scale = 1 + square / all;
--- a/trailladder-cli/src/main/java/io/trailladder/cli/RoutingTrace.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RoutingTrace.java
@@ -45,7 +45,7 @@
     private int decisions;
 
     /** Takes the next line. */
-    void take(int line, String text) {
+    void apply(int line, String text) {
         JsonNode event;
         try {
             event = JSON.readTree(text);
@@ -53,7 +53,7 @@
             throw new BadTraceException(line, text);
         }
         if (router == null) {
-            begin(line, event);
+            readHead(line, event);
             return;
         }
         long now = event.path("at").asLong();
@@ -77,7 +77,7 @@
         return decisions;
     }
 
-    private void begin(int line, JsonNode head) {
+    private void readHead(int line, JsonNode head) {
         String dataCentre = head.path("dataCentre").asText();
         if (dataCentre.isEmpty() || !head.path("upstreams").isArray()) {
             throw new BadTraceException(line, head.toString());
--- a/trailladder-cli/src/main/java/io/trailladder/cli/StatusCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/StatusCommand.java
@@ -43,7 +43,7 @@
         description = "Show every data centre's entries, upstreams and table revision.")
 public final class StatusCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long PLATFORM_OLD_MILLIS = 15_000;
+    private static final long PLATFORM_STALE_MILLIS = 15_000;
 
     @Spec private CommandSpec spec;
 
@@ -120,7 +120,7 @@
             if (report.tableRevision() < newest) {
                 risks.add(report.entry() + " lags behind table revision " + newest);
             }
-            if (report.platformAgeMillis() > PLATFORM_OLD_MILLIS) {
+            if (report.platformAgeMillis() > PLATFORM_STALE_MILLIS) {
                 risks.add(report.entry() + " does not reach the platform: no table change from it");
             }
             if (report.peers().isEmpty()) {
--- a/trailladder-cli/src/main/java/io/trailladder/cli/StoreUseTable.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/StoreUseTable.java
@@ -34,7 +34,7 @@
      * @param sort purpose and kind of the calls
      * @param calls how many there were
      */
-    record Row(String sort, long calls) {}
+    record Row(String purposeAndKind, long calls) {}
 
     /**
      * Takes a line over.
--- a/trailladder-cli/src/main/java/io/trailladder/cli/TableCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/TableCommand.java
@@ -54,8 +54,8 @@
         description = "Read and edit the table that decides where requests are served.")
 public final class TableCommand implements Runnable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int HISTORY = 20;
-    private static final int LOST = 1;
+    private static final int HISTORY_CHANGES = 20;
+    private static final int EXIT_FAILED = 1;
 
     @Spec private CommandSpec spec;
 
@@ -73,7 +73,7 @@
     int validate(@Parameters(paramLabel = "FILE", description = "CSV file") Path file) {
         Optional<Seq<Row>> rows = read(file);
         rows.ifPresent(r -> out().println(r.size() + " rows are right"));
-        return rows.isPresent() ? 0 : LOST;
+        return rows.isPresent() ? 0 : EXIT_FAILED;
     }
 
     @Command(
@@ -119,7 +119,7 @@
             throws IOException {
         Optional<Seq<Row>> rows = read(file);
         if (rows.isEmpty()) {
-            return LOST;
+            return EXIT_FAILED;
         }
         try (platform) {
             Table base = platform.tables().load().join();
@@ -129,7 +129,7 @@
                                         + expected
                                         + "', but the newest revision is "
                                         + base.revision());
-                return LOST;
+                return EXIT_FAILED;
             }
             List<Row> wanted = rows.get().asJava();
             List<Row> puts =
@@ -162,7 +162,7 @@
             Optional<Row> row = base.row(new RowKey(organisation, target));
             if (row.isEmpty()) {
                 err().println("error: the table has no row " + organisation + "/" + target);
-                return LOST;
+                return EXIT_FAILED;
             }
             Row old = row.get();
             Row next =
@@ -178,7 +178,7 @@
                             old.keySha256());
             Optional<Seq<Row>> checked = checked(next);
             return checked.isEmpty()
-                    ? LOST
+                    ? EXIT_FAILED
                     : commit(
                             platform,
                             base,
@@ -194,7 +194,7 @@
             description = "Print the newest changes.")
     int history(@Mixin PlatformOptions platform) throws IOException {
         try (platform) {
-            print(platform, platform.tables().history(HISTORY).join());
+            print(platform, platform.tables().history(HISTORY_CHANGES).join());
             return 0;
         }
     }
@@ -223,7 +223,7 @@
                 }
                 seen += changes.size();
                 if (changes.isEmpty()) {
-                    ForceWaiter.pause();
+                    RevisionWaiter.pause();
                 }
             }
             return 0;
@@ -248,11 +248,11 @@
                         .join();
         if (result.isLeft()) {
             err().println("error: " + describe(result.getLeft()));
-            return LOST;
+            return EXIT_FAILED;
         }
         TableChange change = result.get();
         print(platform, List.of(change));
-        return new ForceWaiter(platform, out(), err()).await(change.revision(), waitMillis);
+        return new RevisionWaiter(platform, out(), err()).await(change.revision(), waitMillis);
     }
 
     private static String describe(CommitFailure failure) {
--- a/trailladder-cli/src/main/java/io/trailladder/cli/TrailladderCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/TrailladderCommand.java
@@ -68,7 +68,7 @@
      */
     public static CommandLine commandLine() {
         CommandLine commandLine = new CommandLine(new TrailladderCommand());
-        commandLine.setExecutionExceptionHandler(new ShortMessages());
+        commandLine.setExecutionExceptionHandler(new ErrorMessageHandler());
         return commandLine;
     }
 
--- a/trailladder-cli/src/test/java/io/trailladder/cli/CommandLineTest.java
+++ b/trailladder-cli/src/test/java/io/trailladder/cli/CommandLineTest.java
@@ -45,7 +45,7 @@
     }
 
     @Example
-    void everyWrongSettingOfAnEntryIsNamedAtOnce() {
+    void everyInvalidEntryOptionIsReportedAtOnce() {
         int code = run("entry", "--caller-address=x", "--patience=soon", "--foreign=maybe");
         assertEquals(2, code);
         String text = err.toString();
@@ -62,7 +62,7 @@
     }
 
     @Example
-    void badRowIsNamedWithFileLineColumnValueAndExpectedForm() throws IOException {
+    void badRowIsReportedWithFileLineColumnValueAndExpectedForm() throws IOException {
         Path table =
                 file(
                         "organisation,target,kind,data_centres,weight,limit_per_s,latency_ms,"
@@ -77,14 +77,14 @@
     }
 
     @Example
-    void tableThatDoesNotExistIsNamed() {
+    void missingTableFileIsReported() {
         assertEquals(1, run("table", "validate", "no-such-table.csv"));
         String expected = "error: FILE is 'no-such-table.csv', expected a CSV file that exists";
         assertTrue(err.toString().contains(expected), err.toString());
     }
 
     @Example
-    void exampleTablesAreRight() {
+    void exampleTablesAreValid() {
         assertEquals(0, run("table", "validate", "../examples/plata.csv"), err.toString());
         assertEquals(0, run("table", "validate", "../examples/caafc.csv"), err.toString());
     }
@@ -101,14 +101,14 @@
     }
 
     @Example
-    void addressOfAGatewayThatIsNoneIsNamed() {
+    void invalidGatewayAddressIsReported() {
         assertEquals(2, run("refused", "--at", "gateway-1"));
         String expected = "--at 'gateway-1', expected HOST:PORT";
         assertTrue(err.toString().contains(expected), err.toString());
     }
 
     @Example
-    void gatewayThatDoesNotAnswerIsNamed() {
+    void unreachableGatewayIsReported() {
         assertEquals(1, run("refused", "--at", "127.0.0.1:1"));
         assertTrue(err.toString().contains("error: "), err.toString());
     }
--- a/trailladder-cli/src/test/java/io/trailladder/cli/ExplainCommandTest.java
+++ b/trailladder-cli/src/test/java/io/trailladder/cli/ExplainCommandTest.java
@@ -64,7 +64,7 @@
                             + "\"predictedMs\":40,\"running\":2}");
 
     @Example
-    void brokenStreamIsExplainedByItsUpstreamThatLeft() throws IOException {
+    void brokenStreamIsExplainedByItsRemovedUpstream() throws IOException {
         String log =
                 line(
                                 "02.500",
@@ -93,7 +93,7 @@
     }
 
     @Example
-    void refusalNamesTheLimitAndThePolicyThatDecided() throws IOException {
+    void refusalNamesLimitAndPolicyVersion() throws IOException {
         String log =
                 line(
                         "01.000",
@@ -104,7 +104,7 @@
     }
 
     @Example
-    void streamThatNobodyTookUpIsExplainedByTheEntryThatDidNot() throws IOException {
+    void streamThatIsNotResumedIsExplainedByTheEntryThatRefused() throws IOException {
         String log =
                 line(
                                 "01.000",
@@ -128,7 +128,7 @@
     }
 
     @Example
-    void streamThatPassedToAnotherEntryIsExplainedByItsWay() throws IOException {
+    void streamResumedAtAnotherEntryIsExplainedByItsPath() throws IOException {
         String log =
                 line(
                                 "01.001",
@@ -148,7 +148,7 @@
     }
 
     @Example
-    void timedOutRequestTellsWhatWasExpectedOfItsUpstream() throws IOException {
+    void timedOutRequestReportsThePredictionForItsUpstream() throws IOException {
         String log =
                 ACCEPTED
                         + SENT
@@ -163,7 +163,7 @@
     }
 
     @Example
-    void requestWithoutEndAndUnknownRequestAreSaidSo() throws IOException {
+    void missingEndUnknownRequestAndMissingFileAreReported() throws IOException {
         assertEquals(0, explain("r1", ACCEPTED + SENT));
         assertTrue(out.toString().contains("its end is not logged"), out.toString());
         assertEquals(1, explain("r2", ACCEPTED));
--- a/trailladder-cli/src/test/java/io/trailladder/cli/LossesCommandTest.java
+++ b/trailladder-cli/src/test/java/io/trailladder/cli/LossesCommandTest.java
@@ -97,13 +97,13 @@
                 + "no decision\n";
     }
 
-    private void shows(String row) {
+    private void assertShows(String row) {
         String text = out.toString().replaceAll(" +", " ");
         assertTrue(text.contains(row), "no '" + row + "' in\n" + text);
     }
 
     @Example
-    void logOfTheVersionBeforeIsReadAlike() {
+    void fieldNamesOfThePreviousVersionAreRead() {
         String former = day().replace("\"upstream\":", "\"worker\":");
         DecisionLine dispatch =
                 DecisionLine.parse(former.lines().skip(1).findFirst().orElseThrow()).orElseThrow();
@@ -114,18 +114,18 @@
     @Example
     void requestsAreSummedByWhatTheyHaveInCommon() throws IOException {
         assertEquals(0, losses(day()), err.toString());
-        shows("all 4 2 1");
-        shows("MAY_HAVE_RUN after BROKEN 1 1 0");
-        shows("refused: 429, over limit of acme 1 1 0");
-        shows("late 1 0 1");
-        shows("in time 1 0 0");
-        shows("chat 4 2 1");
-        shows("acme 4 2 1");
-        shows("u2 2 1 1");
+        assertShows("all 4 2 1");
+        assertShows("MAY_HAVE_RUN after BROKEN 1 1 0");
+        assertShows("refused: 429, over limit of acme 1 1 0");
+        assertShows("late 1 0 1");
+        assertShows("in time 1 0 0");
+        assertShows("chat 4 2 1");
+        assertShows("acme 4 2 1");
+        assertShows("u2 2 1 1");
     }
 
     @Example
-    void requestsThatWereHeldInVainAreToldApartFromThoseRefusedAtOnce() throws IOException {
+    void heldRequestsAreCountedApartFromThoseRefusedAtOnce() throws IOException {
         String log =
                 day()
                         + taken(5, "r5", "accepted")
@@ -136,11 +136,11 @@
                         + taken(7, "r7", "accepted")
                         + endedAfter(9, "r7", "BROKEN_OFF", 2_000);
         assertEquals(0, losses(log), err.toString());
-        shows("refused at once 2 2 0 0.0\n");
-        shows("held, then refused 1 1 0 1.5\n");
-        shows("broken off 1 1 0 2.0\n");
-        shows("NOT_RUN after no upstream left 1 1 0 0.0\n");
-        shows("all 7 5 1 3.5\n");
+        assertShows("refused at once 2 2 0 0.0\n");
+        assertShows("held, then refused 1 1 0 1.5\n");
+        assertShows("broken off 1 1 0 2.0\n");
+        assertShows("NOT_RUN after no upstream left 1 1 0 0.0\n");
+        assertShows("all 7 5 1 3.5\n");
     }
 
     @Example
@@ -150,18 +150,18 @@
                         + line(5, "'kind':'StoreUse','members renewal':3,'policy fresh read':1")
                         + line(9, "'kind':'StoreUse','members renewal':4");
         assertEquals(0, losses(log), err.toString());
-        shows("calls to the store calls\nmembers renewal 7\npolicy fresh read 1\n");
+        assertShows("calls to the store calls\nmembers renewal 7\npolicy fresh read 1\n");
     }
 
     @Example
-    void secondsAreInOrderAndCanBeCutOff() throws IOException {
+    void secondsAreInOrderAndRowsAreLimited() throws IOException {
         assertEquals(0, losses(day(), "--by", "SECOND", "--most", "2"), err.toString());
-        shows("0 1 0 0 0.0\n1 1 0 1 0.0\n");
+        assertShows("0 1 0 0 0.0\n1 1 0 1 0.0\n");
         assertTrue(!out.toString().contains("\n4 "), out.toString());
     }
 
     @Example
-    void logsWithoutRequestsAndFilesThatAreNotThereAreTold() throws IOException {
+    void logsWithoutRequestsAndMissingFilesAreReported() throws IOException {
         assertEquals(1, losses("nothing\n"));
         assertTrue(err.toString().contains("expected the logs of all gateways"), err.toString());
         assertEquals(2, run("losses", "/no/such.log"));
@@ -169,7 +169,7 @@
     }
 
     @Example
-    void requestsUnderWhichUpstreamsEndAreToldOverTheirTries() throws IOException {
+    void upstreamEndsAreSummedOverAllTriesOfARequest() throws IOException {
         String ended = "'kind':'UpstreamEnded','id':'%s','request':'%s','upstream':'%s','ranMs':90";
         String log =
                 taken(1, "t1", "accepted")
--- a/trailladder-cli/src/test/java/io/trailladder/cli/RolloutCommandTest.java
+++ b/trailladder-cli/src/test/java/io/trailladder/cli/RolloutCommandTest.java
@@ -66,7 +66,7 @@
     }
 
     @Example
-    void latestLineOfEachServiceIsTold() throws IOException {
+    void latestStepOfEachServiceIsPrinted() throws IOException {
         assertEquals(0, status(TWO));
         String told = out.toString();
         assertTrue(told.contains("chat to v2: HALTED, recorded IN_PROGRESS, 0.9 s left"), told);
@@ -77,7 +77,7 @@
     }
 
     @Example
-    void oneServiceIsToldAsJson() throws IOException {
+    void oneServiceIsPrintedAsJson() throws IOException {
         assertEquals(0, status(TWO, "chat", "--json"));
         String told = out.toString();
         assertTrue(told.startsWith("[{") && told.contains("\"phase\":\"HALTED\""), told);
@@ -86,14 +86,14 @@
     }
 
     @Example
-    void serviceThatNoLineTellsOfIsNamed() throws IOException {
+    void serviceWithoutRolloutIsReported() throws IOException {
         assertEquals(1, status(TWO, "other"));
         assertTrue(
                 err.toString().contains("no line tells of a roll-out of 'other'"), err.toString());
     }
 
     @Example
-    void logThatIsNotThereIsNamed() throws IOException {
+    void missingLogIsReported() throws IOException {
         assertEquals(2, status("", "--log", "/nowhere/gateway.log"));
         assertTrue(err.toString().contains("/nowhere/gateway.log"), err.toString());
     }
--- a/trailladder-cli/src/test/java/io/trailladder/cli/WordsTest.java
+++ b/trailladder-cli/src/test/java/io/trailladder/cli/WordsTest.java
@@ -41,7 +41,7 @@
                             "backend", "upstream"));
 
     @Example
-    void namesUseTheProductsWords() {
+    void namesUseTheProjectVocabulary() {
         List<String> faults = new ArrayList<>();
         for (JavaClass type :
                 new ClassFileImporter()
@@ -52,7 +52,7 @@
                 type.getMethods().stream()
                         .filter(method -> !method.getModifiers().contains(JavaModifier.SYNTHETIC))
                         .filter(method -> !method.getName().startsWith("lambda$"))
-                        .filter(method -> !isOfJavaClock(type, method.getName()))
+                        .filter(method -> !isClockMethod(type, method.getName()))
                         .forEach(method -> check(method.getFullName(), method.getName(), faults));
                 type.getFields()
                         .forEach(field -> check(field.getFullName(), field.getName(), faults));
@@ -62,7 +62,7 @@
     }
 
     @Example
-    void wordsOfOthersAreFoundInNames() {
+    void otherWordsAreFoundInNames() {
         List<String> faults = new ArrayList<>();
         check("x.WorkerLoads", "WorkerLoads", faults);
         check("x.perZone", "perZone", faults);
@@ -75,7 +75,7 @@
     }
 
     /** A clock has to bear the names that the library gives these two methods. */
-    private static boolean isOfJavaClock(JavaClass type, String method) {
+    private static boolean isClockMethod(JavaClass type, String method) {
         return type.isAssignableTo(Clock.class)
                 && (method.equals("getZone") || method.equals("withZone"));
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/RecentMap.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/RecentMap.java
@@ -27,10 +27,10 @@
  */
 public final class RecentMap<K, V> extends LinkedHashMap<K, V> {
     private static final long serialVersionUID = 1L;
-    private static final int FIRST_CAPACITY = 16;
+    private static final int INITIAL_CAPACITY = 16;
     private static final float LOAD_FACTOR = 0.75f;
 
-    private final int mostEntries;
+    private final int maxEntries;
 
     /**
      * Creates an empty map.
@@ -38,12 +38,12 @@
      * @param mostEntries how many entries it holds
      */
     public RecentMap(int mostEntries) {
-        super(FIRST_CAPACITY, LOAD_FACTOR, true);
-        this.mostEntries = mostEntries;
+        super(INITIAL_CAPACITY, LOAD_FACTOR, true);
+        this.maxEntries = mostEntries;
     }
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-        return size() > mostEntries;
+        return size() > maxEntries;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/claim/ClaimRegistry.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/claim/ClaimRegistry.java
@@ -92,7 +92,7 @@
      *     heard from a peer
      * @return what is to be done
      */
-    public List<ClaimAction> mapRead(RangeMap newer, long readMillis) {
+    public List<ClaimAction> updateMap(RangeMap newer, long readMillis) {
         mapReadMillis = Math.max(mapReadMillis, readMillis);
         List<ClaimAction> actions = new ArrayList<>();
         Map<Integer, RangeAssignment> changes = new HashMap<>();
@@ -114,7 +114,7 @@
      * @param nowMillis the time, in milliseconds since 1970
      * @return what is to be done
      */
-    public List<ClaimAction> ask(Claim wanted, long nowMillis) {
+    public List<ClaimAction> request(Claim wanted, long nowMillis) {
         int range = wanted.key().range(map.ranges().size());
         RangeAssignment assignment = map.get(range);
         RangeState state = state(range);
@@ -191,7 +191,7 @@
      * @param key the claim's key
      * @param requestId the claim's request
      */
-    public void released(ClaimKey key, String requestId) {
+    public void release(ClaimKey key, String requestId) {
         RangeState state = state(key.range(map.ranges().size()));
         state.pending.computeIfPresent(
                 key,
@@ -212,7 +212,7 @@
      * @param claims the claims
      * @return what is to be done
      */
-    public List<ClaimAction> allSent(String owner, int range, long epoch, List<Claim> claims) {
+    public List<ClaimAction> receiveAll(String owner, int range, long epoch, List<Claim> claims) {
         RangeState state = state(range);
         if (map.get(range).epoch() > epoch || state.sealedEpoch >= epoch) {
             return List.of();
--- a/trailladder-core/src/main/java/io/trailladder/core/duty/FleetPlanner.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/duty/FleetPlanner.java
@@ -194,7 +194,7 @@
         for (String dataCentre : dataCentres.keySet()) {
             inDeclining += accepting.contains(dataCentre) ? 0 : count(serving, dataCentre, true);
         }
-        int perAccepting = ceil((need.get().comfortable() - inDeclining) / accepting.size());
+        int perAccepting = ceil((need.get().recommended() - inDeclining) / accepting.size());
         int bounded = Math.max(target, Math.min(scaling.max(), perAccepting));
         accepting.forEach(dataCentre -> byDataCentre.put(dataCentre, bounded));
         return byDataCentre;
@@ -254,8 +254,8 @@
                 need.map(
                                 known ->
                                         Math.max(
-                                                ceil(known.comfortable() / dataCentreCount),
-                                                ceil(known.staffed() / remainingAfterLoss)))
+                                                ceil(known.recommended() / dataCentreCount),
+                                                ceil(known.withMargin() / remainingAfterLoss)))
                         .orElseGet(() -> Math.max(perDataCentre.value(), providedPerDataCentre()));
         return Math.max(Math.max(1, scaling.min()), Math.min(scaling.max(), wanted));
     }
@@ -272,10 +272,10 @@
             int expectedSoon) {
         int reclaimable = count(serving, true);
         int max = scaling.max() * dataCentres.size();
-        int min = ceil(need.map(FleetNeed::tight).orElse(MIN_WITHOUT_LOAD));
+        int min = ceil(need.map(FleetNeed::minimum).orElse(MIN_WITHOUT_LOAD));
         int afterLoss = min - (reclaimable - maxInOneDataCentre(serving));
         int bridged =
-                need.map(known -> ceil(known.staffed()) - reclaimable - expectedSoon).orElse(0);
+                need.map(known -> ceil(known.withMargin()) - reclaimable - expectedSoon).orElse(0);
         return Math.max(0, Math.min(max, Math.max(bridged, afterLoss)));
     }
 
--- a/trailladder-core/src/main/java/io/trailladder/core/engine/EngineEstimate.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/engine/EngineEstimate.java
@@ -37,7 +37,7 @@
      * Answers that must have been seen before decisions that cost callers or money rest on the
      * estimate: below that it is mostly the prior, a slow engine.
      */
-    public static final double LEAST_OBSERVATIONS = 15;
+    public static final double MIN_OBSERVATIONS = 15;
 
     /**
      * Tells whether enough answers were seen to decide by the estimate.
@@ -45,7 +45,7 @@
      * @return false while it is mostly the prior
      */
     public boolean isLearned() {
-        return observations >= LEAST_OBSERVATIONS;
+        return observations >= MIN_OBSERVATIONS;
     }
 
     /**
@@ -55,7 +55,7 @@
      * @param slots how many it works on at once
      * @return milliseconds; 0 while a place is free
      */
-    public double placeMillis(int running, int slots) {
+    public double slotWaitMillis(int running, int slots) {
         int ahead = running + 1 - Math.max(1, slots);
         return ahead <= 0 ? 0 : ahead * runMillis / Math.max(1, slots);
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/engine/EngineEvidence.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/engine/EngineEvidence.java
@@ -111,12 +111,12 @@
      *
      * @return false if one is negative, not a number or absurdly large
      */
-    public boolean isSound() {
+    public boolean isValid() {
         return service != null
                 && reading != null
                 && pacing != null
-                && reading.isSound()
-                && pacing.isSound()
+                && reading.isValid()
+                && pacing.isValid()
                 && runs >= 0
                 && runMillis >= 0
                 && runMillis <= runs * MAX_RUN_MILLIS;
--- a/trailladder-core/src/main/java/io/trailladder/core/engine/EngineModel.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/engine/EngineModel.java
@@ -41,7 +41,7 @@
  */
 public final class EngineModel {
     /** Time after which an observation counts a third, in milliseconds: some hundred requests. */
-    static final double MEMORY_MILLIS = 20_000;
+    static final double DECAY_MILLIS = 20_000;
 
     /**
      * The prior's points for reading: a small engine that reads 30 tokens a millisecond. With twice
@@ -60,27 +60,27 @@
     private static final double PRIOR_RUN_MILLIS = 500;
 
     /** Bounds of what is believed: from a thousand tokens a millisecond to one. */
-    static final double LEAST_MILLIS_PER_TOKEN = 0.001;
+    static final double MIN_MILLIS_PER_TOKEN = 0.001;
 
-    static final double MOST_MILLIS_PER_TOKEN = 1;
+    static final double MAX_MILLIS_PER_TOKEN = 1;
 
     /** Most that is believed of the other times, in milliseconds: a minute. */
-    private static final double MOST_MILLIS = 60_000;
+    private static final double MAX_MILLIS = 60_000;
 
     /** Deviation that never counts as too far, in milliseconds: a timer's and a network's. */
-    private static final double USUAL_DEVIATION_MILLIS = 20;
+    private static final double MIN_TOLERANCE_MILLIS = 20;
 
     /**
      * How fast trust falls with the deviation. At 1 one slow upstream in ten makes all look 1.7
      * times as slow, at 2 a prior that is ten times too fast is hardly left.
      */
-    private static final double DISTRUST = 1.5;
+    private static final double OUTLIER_EXPONENT = 1.5;
 
     /** How long an estimate is used before it is worked out anew, in milliseconds. */
-    private static final long ESTIMATE_MILLIS = 100;
+    private static final long ESTIMATE_VALIDITY_MILLIS = 100;
 
     private final Map<String, Learned> learned = new HashMap<>();
-    private final Map<String, EngineEvidence> others = new HashMap<>();
+    private final Map<String, EngineEvidence> peerEvidence = new HashMap<>();
 
     /** What this process observed of one service, and what it believes. */
     private static final class Learned {
@@ -97,7 +97,7 @@
         void decay(long nowMillis) {
             long elapsed = nowMillis - ownMillis;
             if (elapsed > 0) {
-                own = own.times(Math.exp(-elapsed / MEMORY_MILLIS));
+                own = own.times(Math.exp(-elapsed / DECAY_MILLIS));
                 ownMillis = nowMillis;
             }
         }
@@ -115,7 +115,7 @@
     public void firstEvent(
             String service, int tokens, int waitingTokens, long took, long nowMillis) {
         double millis = (double) took;
-        if (tokens < 0 || waitingTokens < 0 || !isTime(millis)) {
+        if (tokens < 0 || waitingTokens < 0 || !isValidMillis(millis)) {
             return;
         }
         EngineEstimate believed = estimate(service, nowMillis);
@@ -137,7 +137,7 @@
      */
     public void ended(String service, long took, long nowMillis) {
         double millis = (double) took;
-        if (!isTime(millis)) {
+        if (!isValidMillis(millis)) {
             return;
         }
         Learned of = learned(service, nowMillis);
@@ -153,10 +153,10 @@
      * @param nowMillis the time
      */
     public void paused(String service, double running, double millis, long nowMillis) {
-        if (running < 0 || !isTime(millis)) {
+        if (running < 0 || !isValidMillis(millis)) {
             return;
         }
-        FitSums believed = all(service).pacing().plus(PRIOR_PACING);
+        FitSums believed = combinedEvidence(service).pacing().plus(PRIOR_PACING);
         double expected = believed.meanY() + believed.slope() * (running - believed.meanX());
         Learned of = learned(service, nowMillis);
         of.own = of.own.withPause(running, millis, plausibility(millis, expected));
@@ -182,9 +182,9 @@
      *
      * @param told sound evidence, several on a service are added up
      */
-    public void others(Collection<EngineEvidence> told) {
-        others.clear();
-        told.forEach(evidence -> others.merge(evidence.service(), evidence, EngineEvidence::plus));
+    public void peerEvidence(Collection<EngineEvidence> told) {
+        peerEvidence.clear();
+        told.forEach(evidence -> peerEvidence.merge(evidence.service(), evidence, EngineEvidence::plus));
     }
 
     /**
@@ -196,27 +196,27 @@
      */
     public EngineEstimate estimate(String service, long nowMillis) {
         Learned of = learned.computeIfAbsent(service, name -> new Learned(name, nowMillis));
-        if (of.estimate == null || nowMillis - of.estimateMillis >= ESTIMATE_MILLIS) {
+        if (of.estimate == null || nowMillis - of.estimateMillis >= ESTIMATE_VALIDITY_MILLIS) {
             of.decay(nowMillis);
-            of.estimate = workOut(service);
+            of.estimate = computeEstimate(service);
             of.estimateMillis = nowMillis;
         }
         return of.estimate;
     }
 
-    private EngineEstimate workOut(String service) {
-        EngineEvidence all = all(service);
+    private EngineEstimate computeEstimate(String service) {
+        EngineEvidence all = combinedEvidence(service);
         FitSums reading = all.reading().plus(PRIOR_READING);
-        double perToken = within(reading.slope(), LEAST_MILLIS_PER_TOKEN, MOST_MILLIS_PER_TOKEN);
-        double first = within(reading.meanY() - perToken * reading.meanX(), 0, MOST_MILLIS);
-        double perRequest = within(all.pacing().plus(PRIOR_PACING).slope(), 0, MOST_MILLIS);
+        double perToken = clamp(reading.slope(), MIN_MILLIS_PER_TOKEN, MAX_MILLIS_PER_TOKEN);
+        double first = clamp(reading.meanY() - perToken * reading.meanX(), 0, MAX_MILLIS);
+        double perRequest = clamp(all.pacing().plus(PRIOR_PACING).slope(), 0, MAX_MILLIS);
         double runSum = all.runMillis() + PRIOR_RUNS * PRIOR_RUN_MILLIS;
-        double run = within(runSum / (all.runs() + PRIOR_RUNS), 1, MOST_MILLIS);
+        double run = clamp(runSum / (all.runs() + PRIOR_RUNS), 1, MAX_MILLIS);
         return new EngineEstimate(first, perToken, perRequest, run, all.runs());
     }
 
-    private EngineEvidence all(String service) {
-        EngineEvidence told = others.getOrDefault(service, EngineEvidence.none(service));
+    private EngineEvidence combinedEvidence(String service) {
+        EngineEvidence told = peerEvidence.getOrDefault(service, EngineEvidence.none(service));
         Learned of = learned.get(service);
         return of == null ? told : of.own.plus(told);
     }
@@ -230,15 +230,15 @@
     /** An observation far above what is believed says more of a fault than of the engine. */
     private static double plausibility(double millis, double expected) {
         double deviation = Math.abs(millis - expected);
-        double usual = Math.max(USUAL_DEVIATION_MILLIS, expected);
-        return deviation <= usual ? 1 : Math.pow(usual / deviation, DISTRUST);
+        double usual = Math.max(MIN_TOLERANCE_MILLIS, expected);
+        return deviation <= usual ? 1 : Math.pow(usual / deviation, OUTLIER_EXPONENT);
     }
 
-    private static boolean isTime(double millis) {
-        return millis >= 0 && millis <= MOST_MILLIS;
+    private static boolean isValidMillis(double millis) {
+        return millis >= 0 && millis <= MAX_MILLIS;
     }
 
-    private static double within(double value, double least, double most) {
+    private static double clamp(double value, double least, double most) {
         return Math.max(least, Math.min(most, value));
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/engine/FitSums.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/engine/FitSums.java
@@ -108,15 +108,15 @@
      *
      * @return false if a sum is negative, not a number or absurdly large
      */
-    public boolean isSound() {
-        return isSound(weight, MAX_WEIGHT)
-                && isSound(x, MAX_SUM)
-                && isSound(y, MAX_SUM)
-                && isSound(xx, MAX_SUM)
-                && isSound(xy, MAX_SUM);
+    public boolean isValid() {
+        return isValid(weight, MAX_WEIGHT)
+                && isValid(x, MAX_SUM)
+                && isValid(y, MAX_SUM)
+                && isValid(xx, MAX_SUM)
+                && isValid(xy, MAX_SUM);
     }
 
-    private static boolean isSound(double sum, double most) {
+    private static boolean isValid(double sum, double most) {
         return sum >= 0 && sum <= most;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/engine/FleetNeed.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/engine/FleetNeed.java
@@ -20,11 +20,11 @@
 /**
  * How many upstreams a load needs.
  *
- * @param comfortable so many that requests are in time also while the load swings
- * @param tight so many that it is served at all; fewer let requests wait for a place
+ * @param recommended so many that requests are in time also while the load swings
+ * @param minimum so many that it is served at all; fewer let requests wait for a place
  * @since 0.3
  */
-public record FleetNeed(double comfortable, double tight) {
+public record FleetNeed(double recommended, double minimum) {
     /**
      * Returns as many as serve the load with a margin for its chance variation: by the square-root
      * rule of staffing the margin is the root of the number itself, so that few upstreams need a
@@ -32,8 +32,8 @@
      *
      * @return the tight number and its root, at most the comfortable one
      */
-    public double staffed() {
-        return Math.min(comfortable, tight + Math.sqrt(tight));
+    public double withMargin() {
+        return Math.min(recommended, minimum + Math.sqrt(minimum));
     }
 
     /**
@@ -42,12 +42,12 @@
      * @param without how many of those that are listed
      * @return so many more
      */
-    public FleetNeed beside(int without) {
-        return without == 0 ? this : new FleetNeed(comfortable + without, tight + without);
+    public FleetNeed plusUpstreams(int without) {
+        return without == 0 ? this : new FleetNeed(recommended + without, minimum + without);
     }
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "need %.2f, at least %.2f", comfortable, tight);
+        return String.format(Locale.ROOT, "need %.2f, at least %.2f", recommended, minimum);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/engine/FleetSizer.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/engine/FleetSizer.java
@@ -27,25 +27,25 @@
  */
 public final class FleetSizer {
     /** Part of the places that may be taken while the load swings by a half around its mean. */
-    private static final double PLACES_TAKEN = 0.6;
+    private static final double TARGET_SLOT_UTILISATION = 0.6;
 
     /** Part of the places that may be taken while upstreams are short. */
-    private static final double PLACES_TAKEN_TIGHT = 0.85;
+    private static final double MAX_SLOT_UTILISATION = 0.85;
 
     /** Part of the requests that may wait longer for prompts before theirs than is left to them. */
-    private static final double LATE_PART = 0.05;
+    private static final double MAX_LATE_FRACTION = 0.05;
 
     /**
      * Upstreams that a request can choose from without losing what is cached for it: the two homes
      * of its prompt.
      */
-    private static final int CHOICES = 2;
+    private static final int PREFERRED_UPSTREAMS = 2;
 
     /** Bounds of the part of an upstream's time that reading may take. */
-    private static final double LEAST_READING = 0.2;
+    private static final double MIN_READING_FRACTION = 0.2;
 
-    private static final double MOST_READING = 0.8;
-    private static final double READING_STEP = 0.01;
+    private static final double MAX_READING_FRACTION = 0.8;
+    private static final double READING_FRACTION_STEP = 0.01;
 
     private FleetSizer() {}
 
@@ -62,11 +62,11 @@
             ServiceLoad load, EngineEstimate engine, int slots, double objectiveMillis) {
         double reading = load.tokensPerMilli() * engine.millisPerToken();
         double places = load.running() / Math.max(1, slots);
-        double left = load.tokensLeft() * engine.millisPerToken();
+        double left = load.remainingTokens() * engine.millisPerToken();
         double wait = Math.max(0, objectiveMillis - engine.firstMillis() - left);
-        double inTime = reading / mostReading(left, wait);
-        double comfortable = Math.max(reading + places / PLACES_TAKEN, inTime);
-        double tight = Math.max(reading + places / PLACES_TAKEN_TIGHT, reading / MOST_READING);
+        double inTime = reading / maxReadingFraction(left, wait);
+        double comfortable = Math.max(reading + places / TARGET_SLOT_UTILISATION, inTime);
+        double tight = Math.max(reading + places / MAX_SLOT_UTILISATION, reading / MAX_READING_FRACTION);
         return new FleetNeed(comfortable, tight);
     }
 
@@ -74,17 +74,17 @@
      * The largest part of its time that an upstream may read so that few requests wait too long.
      * The waiting time at one upstream is taken as exponential: it exceeds {@code wait} for a part
      * of {@code busy x exp(-wait x (1 - busy) / left)}. A request goes to the better of at least
-     * {@link #CHOICES} upstreams, so it waits only if all of these are busy.
+     * {@link #PREFERRED_UPSTREAMS} upstreams, so it waits only if all of these are busy.
      */
-    private static double mostReading(double leftMillis, double waitMillis) {
+    private static double maxReadingFraction(double leftMillis, double waitMillis) {
         if (leftMillis <= 0) {
-            return MOST_READING;
+            return MAX_READING_FRACTION;
         }
-        double busy = LEAST_READING;
-        while (busy < MOST_READING
-                && Math.pow(busy, CHOICES) * Math.exp(-waitMillis * (1 - busy) / leftMillis)
-                        < LATE_PART) {
-            busy += READING_STEP;
+        double busy = MIN_READING_FRACTION;
+        while (busy < MAX_READING_FRACTION
+                && Math.pow(busy, PREFERRED_UPSTREAMS) * Math.exp(-waitMillis * (1 - busy) / leftMillis)
+                        < MAX_LATE_FRACTION) {
+            busy += READING_FRACTION_STEP;
         }
         return busy;
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/engine/ServiceLoad.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/engine/ServiceLoad.java
@@ -25,13 +25,13 @@
  */
 public record ServiceLoad(double tokensPerMilli, double squaredTokensPerMilli, double running) {
     /** Load below which a service counts as not asked for, in requests under way. */
-    private static final double LEAST_RUNNING = 0.05;
+    private static final double MIN_RUNNING = 0.05;
 
     /**
      * Time within which requests beyond all places are to be worked off, in milliseconds: as long
      * as an upstream boots, since one that is ordered for them comes too late otherwise.
      */
-    private static final double WORKED_OFF_MILLIS = 4_000;
+    private static final double BACKLOG_DRAIN_MILLIS = 4_000;
 
     /**
      * Returns the load with requests that wait for a place counted as a backlog: as the places that
@@ -46,7 +46,7 @@
         if (waiting <= 0) {
             return this;
         }
-        double part = Math.min(1, runMillis / WORKED_OFF_MILLIS);
+        double part = Math.min(1, runMillis / BACKLOG_DRAIN_MILLIS);
         return new ServiceLoad(tokensPerMilli, squaredTokensPerMilli, places + waiting * part);
     }
 
@@ -55,8 +55,8 @@
      *
      * @return false if nothing worth mentioning is under way
      */
-    public boolean isKnown() {
-        return running >= LEAST_RUNNING;
+    public boolean isSignificant() {
+        return running >= MIN_RUNNING;
     }
 
     /**
@@ -64,7 +64,7 @@
      *
      * @return tokens; 0 without load
      */
-    public double tokensLeft() {
+    public double remainingTokens() {
         return tokensPerMilli <= 0 ? 0 : squaredTokensPerMilli / (2 * tokensPerMilli);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/memory/AnswerChoice.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/memory/AnswerChoice.java
@@ -39,7 +39,7 @@
      * @param bytes how many bytes are to come free
      * @return the answers to end, in order; all if they do not suffice
      */
-    public static List<WaitingAnswer> toEnd(List<WaitingAnswer> waiting, long bytes) {
+    public static List<WaitingAnswer> answersToEnd(List<WaitingAnswer> waiting, long bytes) {
         Map<String, List<WaitingAnswer>> byOrganisation = new HashMap<>();
         Map<String, Long> held = new HashMap<>();
         for (WaitingAnswer answer : waiting) {
--- a/trailladder-core/src/main/java/io/trailladder/core/memory/MemoryAccount.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/memory/MemoryAccount.java
@@ -29,22 +29,22 @@
  */
 public final class MemoryAccount {
     private final MemoryBudget budget;
-    private final Map<HeldKind, Sum> held = new EnumMap<>(HeldKind.class);
-    private Listener listener = (before, now) -> {};
+    private final Map<ReservationKind, Sum> reserved = new EnumMap<>(ReservationKind.class);
+    private LevelListener listener = (before, now) -> {};
     private MemoryLevel level = MemoryLevel.CALM;
     private long total;
     private long peak;
 
     /** Told of each change of the level, inside the call that brought it about. */
     @FunctionalInterface
-    public interface Listener {
+    public interface LevelListener {
         /**
          * The level has changed.
          *
          * @param before the level that was left
          * @param now the level that holds
          */
-        void changed(MemoryLevel before, MemoryLevel now);
+        void levelChanged(MemoryLevel before, MemoryLevel now);
     }
 
     /**
@@ -54,8 +54,8 @@
      */
     public MemoryAccount(MemoryBudget budget) {
         this.budget = budget;
-        for (HeldKind kind : HeldKind.values()) {
-            held.put(kind, new Sum());
+        for (ReservationKind kind : ReservationKind.values()) {
+            reserved.put(kind, new Sum());
         }
     }
 
@@ -64,7 +64,7 @@
      *
      * @param told the listener
      */
-    public void onLevel(Listener told) {
+    public void setLevelListener(LevelListener told) {
         listener = told;
     }
 
@@ -74,8 +74,8 @@
      * @param kind what it holds bytes for
      * @return the holding, to be closed
      */
-    public Holding open(HeldKind kind) {
-        return new Holding(held.get(kind));
+    public Reservation open(ReservationKind kind) {
+        return new Reservation(reserved.get(kind));
     }
 
     /**
@@ -102,8 +102,8 @@
      * @param kind the kind
      * @return bytes
      */
-    public long held(HeldKind kind) {
-        return held.get(kind).bytes;
+    public long reserved(ReservationKind kind) {
+        return reserved.get(kind).bytes;
     }
 
     /**
@@ -130,7 +130,7 @@
      * @param bytes what it would hold, as far as is known
      * @return false if the process is full, or would be with it
      */
-    public boolean hasRoom(long bytes) {
+    public boolean hasCapacity(long bytes) {
         return level != MemoryLevel.FULL && total + bytes < budget.fullFrom();
     }
 
@@ -141,7 +141,7 @@
         MemoryLevel before = level;
         level = budget.level(before, total);
         if (level != before) {
-            listener.changed(before, level);
+            listener.levelChanged(before, level);
         }
     }
 
@@ -151,12 +151,12 @@
     }
 
     /** Bytes held by one holder. */
-    public final class Holding {
+    public final class Reservation {
         private final Sum kind;
         private long bytes;
         private boolean closed;
 
-        private Holding(Sum kind) {
+        private Reservation(Sum kind) {
             this.kind = kind;
         }
 
--- a/trailladder-core/src/main/java/io/trailladder/core/memory/MemoryBudget.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/memory/MemoryBudget.java
@@ -34,21 +34,21 @@
      * Part of the heap that may be held: as much again is needed for the copies that a write makes,
      * for objects round the bytes, and for garbage.
      */
-    private static final int HEAP_PART = 2;
+    private static final int HEAP_DIVISOR = 2;
 
     /** Held at least, in bytes, whatever the limit: some hundred usual requests. */
-    private static final long LEAST_BYTES = 8L << 20;
+    private static final long MIN_BYTES = 8L << 20;
 
     /** Parts of the budget, in hundredths, at which levels begin and end. */
-    private static final int PRESSED_FROM = 60;
+    private static final int PRESSED_FROM_PERCENT = 60;
 
-    private static final int PRESSED_UNTIL = 45;
-    private static final int FULL_FROM = 85;
-    private static final int FULL_UNTIL = 70;
-    private static final int HUNDREDTHS = 100;
+    private static final int PRESSED_UNTIL_PERCENT = 45;
+    private static final int FULL_FROM_PERCENT = 85;
+    private static final int FULL_UNTIL_PERCENT = 70;
+    private static final int PERCENT_DIVISOR = 100;
 
     /** Part of the budget that one answer may stand at before it is weighed whether it goes on. */
-    private static final int ANSWER_PART = 16;
+    private static final int ANSWER_DIVISOR = 16;
 
     /**
      * Derives the budget.
@@ -58,12 +58,12 @@
      * @return the budget; conservative if the limit is unknown, or below what the runtime takes
      */
     public static MemoryBudget of(long limitBytes, long heapBytes) {
-        long heap = heapBytes / HEAP_PART;
+        long heap = heapBytes / HEAP_DIVISOR;
         if (limitBytes <= 0) {
-            return new MemoryBudget(Math.max(LEAST_BYTES, heap / HEAP_PART));
+            return new MemoryBudget(Math.max(MIN_BYTES, heap / HEAP_DIVISOR));
         }
         long left = Math.min(limitBytes - RUNTIME_BYTES, heap);
-        return new MemoryBudget(Math.max(LEAST_BYTES, left));
+        return new MemoryBudget(Math.max(MIN_BYTES, left));
     }
 
     /**
@@ -73,7 +73,7 @@
      * @return false if the process may outgrow it although the account is kept
      */
     public static boolean fits(long limitBytes) {
-        return limitBytes >= RUNTIME_BYTES + LEAST_BYTES;
+        return limitBytes >= RUNTIME_BYTES + MIN_BYTES;
     }
 
     /**
@@ -82,7 +82,7 @@
      * @return how many bytes of one answer are held without question
      */
     public long answerBytes() {
-        return bytes / ANSWER_PART;
+        return bytes / ANSWER_DIVISOR;
     }
 
     /**
@@ -90,8 +90,8 @@
      *
      * @return bytes below which it is only pressed
      */
-    public long roomFrom() {
-        return part(FULL_UNTIL);
+    public long fullUntil() {
+        return percentOfBudget(FULL_UNTIL_PERCENT);
     }
 
     /**
@@ -100,18 +100,18 @@
      * @return bytes from which it is
      */
     public long fullFrom() {
-        return part(FULL_FROM);
+        return percentOfBudget(FULL_FROM_PERCENT);
     }
 
     MemoryLevel level(MemoryLevel before, long held) {
-        if (held >= part(FULL_FROM) || (before == MemoryLevel.FULL && held >= part(FULL_UNTIL))) {
+        if (held >= percentOfBudget(FULL_FROM_PERCENT) || (before == MemoryLevel.FULL && held >= percentOfBudget(FULL_UNTIL_PERCENT))) {
             return MemoryLevel.FULL;
         }
-        boolean pressed = before != MemoryLevel.CALM && held >= part(PRESSED_UNTIL);
-        return pressed || held >= part(PRESSED_FROM) ? MemoryLevel.PRESSED : MemoryLevel.CALM;
+        boolean pressed = before != MemoryLevel.CALM && held >= percentOfBudget(PRESSED_UNTIL_PERCENT);
+        return pressed || held >= percentOfBudget(PRESSED_FROM_PERCENT) ? MemoryLevel.PRESSED : MemoryLevel.CALM;
     }
 
-    private long part(int hundredths) {
-        return bytes / HUNDREDTHS * hundredths;
+    private long percentOfBudget(int hundredths) {
+        return bytes / PERCENT_DIVISOR * hundredths;
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/memory/HeldKind.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/memory/ReservationKind.java
@@ -20,7 +20,7 @@
  *
  * @since 0.2
  */
-public enum HeldKind {
+public enum ReservationKind {
     /** Heads and bodies of callers' requests, from their first byte to the end of their answer. */
     REQUESTS,
     /** Answers, or parts of them, that are not yet whole enough to be passed on. */
--- a/trailladder-core/src/main/java/io/trailladder/core/request/CallMachine.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/request/CallMachine.java
@@ -35,7 +35,7 @@
     private final boolean repeatable;
     private final RetryBudget budget;
     private final Set<String> failedUpstreams = new HashSet<>();
-    private boolean maybeRan;
+    private boolean mayHaveRun;
     private int attempts;
 
     /**
@@ -66,10 +66,10 @@
      * @param kind why it failed
      * @return the final answer, or empty if the call is to be sent to another upstream
      */
-    public Optional<Failure> broken(String upstream, boolean sent, Kind kind) {
+    public Optional<Failure> attemptFailed(String upstream, boolean sent, Kind kind) {
         attempts++;
         failedUpstreams.add(upstream);
-        maybeRan |= sent;
+        mayHaveRun |= sent;
         boolean allowed = !sent || (repeatable && budget.tryRetry());
         if (allowed && attempts < MAX_ATTEMPTS) {
             return Optional.empty();
@@ -93,7 +93,7 @@
     }
 
     private Failure failure(Kind kind, long retryAfterMillis) {
-        Outcome outcome = maybeRan ? Outcome.UNKNOWN : Outcome.NOT_RUN;
+        Outcome outcome = mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN;
         return new Failure(outcome, kind, retryAfterMillis);
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/request/GenerationMachine.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/request/GenerationMachine.java
@@ -66,7 +66,7 @@
     public record Settings(
             int maxTokens,
             long queueMillis,
-            long patienceMillis,
+            long replacementMillis,
             int tokenMillis,
             long exportMillis,
             boolean repeatable) {}
@@ -89,7 +89,7 @@
     private String upstream = "";
     private String nextUpstream = "";
     private boolean everSent;
-    private boolean retryPaid = true;
+    private boolean retryGranted = true;
     private int failures;
     private long waitingSinceMillis;
     private long moveDeadlineMillis;
@@ -126,7 +126,7 @@
      *
      * @return what is to be done
      */
-    public List<GenerationAction> goOn() {
+    public List<GenerationAction> resume() {
         if (phase == Phase.ENDED) {
             return List.of();
         }
@@ -186,12 +186,12 @@
      * @return what is to be done
      */
     public List<GenerationAction> token(int ofAttempt, int position, String text, long nowMillis) {
-        if (ofAttempt != attempt || !takesTokens() || position < log.size()) {
+        if (ofAttempt != attempt || !acceptsTokens() || position < log.size()) {
             droppedFrames++;
             return List.of();
         }
         if (position > log.size() || log.size() >= settings.maxTokens()) {
-            return broken(ofAttempt, true, nowMillis);
+            return attemptFailed(ofAttempt, true, nowMillis);
         }
         everSent = true;
         log.append(text);
@@ -207,12 +207,12 @@
      * @return what is to be done
      */
     public List<GenerationAction> ended(int ofAttempt, int tokens, long nowMillis) {
-        if (ofAttempt != attempt || !takesTokens()) {
+        if (ofAttempt != attempt || !acceptsTokens()) {
             droppedFrames++;
             return List.of();
         }
         if (tokens != log.size()) {
-            return broken(ofAttempt, true, nowMillis);
+            return attemptFailed(ofAttempt, true, nowMillis);
         }
         phase = Phase.ENDED;
         log.complete();
@@ -228,8 +228,8 @@
      * @param nowMillis the time
      * @return what is to be done
      */
-    public List<GenerationAction> broken(int ofAttempt, boolean sent, long nowMillis) {
-        if (ofAttempt != attempt || !takesTokens()) {
+    public List<GenerationAction> attemptFailed(int ofAttempt, boolean sent, long nowMillis) {
+        if (ofAttempt != attempt || !acceptsTokens()) {
             return List.of();
         }
         List<GenerationAction> actions = new ArrayList<>();
@@ -244,7 +244,7 @@
         boolean announced = phase != Phase.RUNNING;
         phase = Phase.PLACING;
         waitingSinceMillis = nowMillis;
-        retryPaid = announced || !sent;
+        retryGranted = announced || !sent;
         actions.add(new WakeAt(nowMillis + (announced ? 0 : backoffMillis())));
         return actions;
     }
@@ -296,7 +296,7 @@
      */
     public List<GenerationAction> tick(long nowMillis) {
         return switch (phase) {
-            case PLACING -> placeAgain(nowMillis);
+            case PLACING -> retryPlacement(nowMillis);
             case MOVING -> List.of(new Place(Set.of(upstream)));
             case EXPORTING ->
                     nowMillis >= moveDeadlineMillis ? switchTo(nextUpstream, "") : List.of();
@@ -334,7 +334,7 @@
      * @param placed the upstream's name
      * @return true while the KV cache is exported to go on there
      */
-    public boolean wants(String placed) {
+    public boolean isMoveTarget(String placed) {
         return phase == Phase.EXPORTING && placed.equals(nextUpstream);
     }
 
@@ -374,16 +374,16 @@
         return droppedFrames;
     }
 
-    private List<GenerationAction> placeAgain(long nowMillis) {
+    private List<GenerationAction> retryPlacement(long nowMillis) {
         boolean patient = nowMillis - waitingSinceMillis < waitLimitMillis();
-        if (!retryPaid) {
-            retryPaid = budget.tryRetry();
+        if (!retryGranted) {
+            retryGranted = budget.tryRetry();
         }
-        if (!retryPaid && patient) {
+        if (!retryGranted && patient) {
             return List.of(new WakeAt(nowMillis + PLACEMENT_RETRY_MILLIS));
         }
-        if (!retryPaid) {
-            return fail(Kind.UPSTREAM_BROKEN, settings.patienceMillis());
+        if (!retryGranted) {
+            return fail(Kind.UPSTREAM_BROKEN, settings.replacementMillis());
         }
         return List.of(new Place(failedUpstreams));
     }
@@ -418,10 +418,10 @@
 
     private long waitLimitMillis() {
         boolean accepted = failures > 0 || log.size() > 0;
-        return accepted ? settings.patienceMillis() : settings.queueMillis();
+        return accepted ? settings.replacementMillis() : settings.queueMillis();
     }
 
-    private boolean takesTokens() {
+    private boolean acceptsTokens() {
         return phase == Phase.RUNNING || phase == Phase.MOVING || phase == Phase.EXPORTING;
     }
 
--- a/trailladder-core/src/main/java/io/trailladder/core/routing/LocalUpstreamLoad.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/routing/LocalUpstreamLoad.java
@@ -26,10 +26,10 @@
 
     private LoadReport report = LoadReport.UNKNOWN;
     private int inFlight;
-    private int balanceSinceReport;
-    private long drainedFromMillis;
+    private int netSentSinceReport;
+    private long queuedTokensAtMillis;
     private double queuedTokens;
-    private int streak;
+    private int failureStreak;
     private long suspectUntilMillis;
 
     /**
@@ -40,15 +40,15 @@
      */
     public void sent(int uncachedTokens, long nowMillis) {
         inFlight++;
-        balanceSinceReport++;
+        netSentSinceReport++;
         queuedTokens = queuedTokens(nowMillis) + uncachedTokens;
-        drainedFromMillis = nowMillis;
+        queuedTokensAtMillis = nowMillis;
     }
 
     /** Records that a request sent to the upstream has ended. */
     public void ended() {
         inFlight = Math.max(0, inFlight - 1);
-        balanceSinceReport--;
+        netSentSinceReport--;
     }
 
     /**
@@ -59,9 +59,9 @@
      */
     public void reported(LoadReport latest, long nowMillis) {
         report = latest;
-        balanceSinceReport = 0;
+        netSentSinceReport = 0;
         queuedTokens = latest.queuedPromptTokens();
-        drainedFromMillis = nowMillis;
+        queuedTokensAtMillis = nowMillis;
     }
 
     /**
@@ -71,13 +71,13 @@
      * @param nowMillis the time
      */
     public void failed(long nowMillis) {
-        streak = Math.min(streak + 1, 6);
-        suspectUntilMillis = nowMillis + (100L << streak);
+        failureStreak = Math.min(failureStreak + 1, 6);
+        suspectUntilMillis = nowMillis + (100L << failureStreak);
     }
 
     /** Records a good answer, which ends suspicion. */
     public void succeeded() {
-        streak = 0;
+        failureStreak = 0;
         suspectUntilMillis = 0;
     }
 
@@ -133,7 +133,7 @@
     }
 
     private int waitingAhead() {
-        int reported = report.running() + report.waiting() + balanceSinceReport;
+        int reported = report.running() + report.waiting() + netSentSinceReport;
         int busy = Math.max(reported, inFlight);
         return Math.max(0, busy - report.slots() + 1);
     }
@@ -141,7 +141,7 @@
     /** Prompt tokens not yet computed, assuming that the upstream has worked on them since. */
     private double queuedTokens(long nowMillis) {
         double computed =
-                (nowMillis - drainedFromMillis)
+                (nowMillis - queuedTokensAtMillis)
                         * report.prefillTokensPerSecond()
                         / MILLIS_PER_SECOND;
         return Math.max(0, queuedTokens - computed);
--- a/trailladder-core/src/main/java/io/trailladder/core/routing/PrefixMemory.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/routing/PrefixLocations.java
@@ -25,19 +25,19 @@
  *
  * @since 0.1
  */
-public final class PrefixMemory {
-    private final Map<Place, Boolean> places;
+public final class PrefixLocations {
+    private final Map<Location, Boolean> locations;
 
     /** A prefix at an upstream. */
-    private record Place(long prefix, String upstream) {}
+    private record Location(long prefix, String upstream) {}
 
     /**
      * Creates a memory.
      *
      * @param capacity how many prefixes are remembered; the oldest are forgotten first
      */
-    public PrefixMemory(int capacity) {
-        places = new RecentMap<>(capacity);
+    public PrefixLocations(int capacity) {
+        locations = new RecentMap<>(capacity);
     }
 
     /**
@@ -48,7 +48,7 @@
      */
     public void sent(PromptBlocks blocks, String upstream) {
         for (int i = 0; i < blocks.size(); i++) {
-            places.put(new Place(blocks.hash(i), upstream), Boolean.TRUE);
+            locations.put(new Location(blocks.hash(i), upstream), Boolean.TRUE);
         }
     }
 
@@ -59,7 +59,7 @@
      * @param upstream the upstream's name
      */
     public void dropped(long prefix, String upstream) {
-        places.remove(new Place(prefix, upstream));
+        locations.remove(new Location(prefix, upstream));
     }
 
     /**
@@ -74,7 +74,7 @@
         int high = blocks.size();
         while (low < high) {
             int middle = (low + high + 1) >>> 1;
-            if (places.containsKey(new Place(blocks.hash(middle - 1), upstream))) {
+            if (locations.containsKey(new Location(blocks.hash(middle - 1), upstream))) {
                 low = middle;
             } else {
                 high = middle - 1;
--- a/trailladder-core/src/main/java/io/trailladder/core/routing/Router.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/routing/Router.java
@@ -37,15 +37,15 @@
  * @since 0.1
  */
 public final class Router {
-    private static final int HOMES = 3;
+    private static final int PREFERRED_UPSTREAMS = 3;
     private static final int RANDOM_CHOICES = 5;
     private static final int RANDOM_TRIES = 20;
-    private static final int REMEMBERED_PREFIXES = 50_000;
+    private static final int MAX_PREFIXES = 50_000;
 
     private final String dataCentre;
     private final LocalUpstreamDirectory directory;
     private final SplittableRandom random;
-    private final PrefixMemory prefixes = new PrefixMemory(REMEMBERED_PREFIXES);
+    private final PrefixLocations prefixes = new PrefixLocations(MAX_PREFIXES);
     private final Map<String, LocalUpstreamLoad> loads = new HashMap<>();
     private final Map<String, UpstreamRing> rings = new HashMap<>();
     private long ringsVersion = -1;
@@ -74,7 +74,7 @@
         List<Candidate> candidates = new ArrayList<>();
         Candidate best = null;
         for (String id : sample(query)) {
-            Candidate candidate = weigh(id, query, nowMillis);
+            Candidate candidate = evaluate(id, query, nowMillis);
             candidates.add(candidate);
             boolean eligible = candidate.reason() == Reason.SLOWER;
             if (eligible && (best == null || candidate.totalMillis() < best.totalMillis())) {
@@ -118,7 +118,7 @@
      *
      * @return the memory
      */
-    public PrefixMemory prefixes() {
+    public PrefixLocations prefixes() {
         return prefixes;
     }
 
@@ -134,7 +134,7 @@
         return ring != null && ring.upstreams().stream().anyMatch(this::takesNewWork);
     }
 
-    private Candidate weigh(String id, RoutingQuery query, long nowMillis) {
+    private Candidate evaluate(String id, RoutingQuery query, long nowMillis) {
         LocalUpstreamLoad load = load(id);
         int cached = cachedTokens(query, id);
         return new Candidate(
@@ -142,10 +142,10 @@
                 load.queueMillis(query.maxTokens(), nowMillis),
                 load.prefillMillis(query.promptTokens() - cached),
                 cached,
-                fitness(id, load, query, nowMillis));
+                eligibility(id, load, query, nowMillis));
     }
 
-    private Reason fitness(String id, LocalUpstreamLoad load, RoutingQuery query, long nowMillis) {
+    private Reason eligibility(String id, LocalUpstreamLoad load, RoutingQuery query, long nowMillis) {
         if (!takesNewWork(id)) {
             return Reason.LEAVING;
         }
@@ -168,16 +168,16 @@
         }
         List<String> all = ring.upstreams();
         if (query.blocks() != null) {
-            sample.addAll(ring.homes(query.blocks().hash(0), HOMES, this::takesNewWork));
+            sample.addAll(ring.preferred(query.blocks().hash(0), PREFERRED_UPSTREAMS, this::takesNewWork));
         }
-        if (all.size() <= HOMES + RANDOM_CHOICES) {
+        if (all.size() <= PREFERRED_UPSTREAMS + RANDOM_CHOICES) {
             int start = random.nextInt(all.size());
             for (int i = 0; i < all.size(); i++) {
                 sample.add(all.get((start + i) % all.size()));
             }
             return sample;
         }
-        for (int i = 0; i < RANDOM_TRIES && sample.size() < HOMES + RANDOM_CHOICES; i++) {
+        for (int i = 0; i < RANDOM_TRIES && sample.size() < PREFERRED_UPSTREAMS + RANDOM_CHOICES; i++) {
             String id = all.get(random.nextInt(all.size()));
             if (takesNewWork(id)) {
                 sample.add(id);
--- a/trailladder-core/src/main/java/io/trailladder/core/routing/UpstreamRing.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/routing/UpstreamRing.java
@@ -66,7 +66,7 @@
      * @param eligible tells which upstreams count
      * @return their names, home first; fewer if the ring has fewer
      */
-    public List<String> homes(long hash, int wanted, Predicate<String> eligible) {
+    public List<String> preferred(long hash, int wanted, Predicate<String> eligible) {
         List<String> found = new ArrayList<>(wanted);
         int at = Arrays.binarySearch(points, hash);
         int start = at >= 0 ? at : -at - 1;
--- a/trailladder-core/src/main/java/io/trailladder/core/table/HandlingPolicy.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/table/HandlingPolicy.java
@@ -49,7 +49,7 @@
         }
 
         /** Nowhere is sure to be allowed until the caller names the model in a header. */
-        record NameTarget() implements Handling {}
+        record TargetRequired() implements Handling {}
 
         /** The organisation has no row for what it asks for. */
         record NotAllowed() implements Handling {}
@@ -72,7 +72,7 @@
                     .orElse(new Handling.NotAllowed());
         }
         List<String> common = commonDataCentres(table.rowsOf(organisation));
-        return common.isEmpty() ? new Handling.NameTarget() : among(common, here);
+        return common.isEmpty() ? new Handling.TargetRequired() : among(common, here);
     }
 
     private static Handling among(List<String> allowed, String here) {
--- a/trailladder-core/src/main/java/io/trailladder/core/table/TableReplica.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/table/TableReplica.java
@@ -30,7 +30,7 @@
  */
 public final class TableReplica {
     /** How many changes are kept for peers that lag. */
-    public static final int KEPT_CHANGES = 256;
+    public static final int MAX_KEPT_CHANGES = 256;
 
     private final Deque<TableChange> recent = new ArrayDeque<>();
     private Table table = Table.empty();
@@ -70,7 +70,7 @@
         }
         table = table.apply(change);
         recent.addLast(change);
-        if (recent.size() > KEPT_CHANGES) {
+        if (recent.size() > MAX_KEPT_CHANGES) {
             recent.removeFirst();
         }
         return Offer.APPLIED;
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/CostTerms.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/CostTerms.java
@@ -114,7 +114,7 @@
         EngineEstimate engine = candidate.engine();
         int slots = candidate.upstream().slots();
         if (candidate.request().prompt().tokensIn() > 0) {
-            return engine.placeMillis(candidate.running(), slots);
+            return engine.slotWaitMillis(candidate.running(), slots);
         }
         return engine.runMillis() * (candidate.running() + 1.0) / Math.max(1, slots);
     }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/CrossRegionRule.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/CrossRegionRule.java
@@ -202,7 +202,7 @@
     }
 
     private static double slotWaitMillis(Candidate candidate) {
-        return candidate.engine().placeMillis(candidate.running(), candidate.upstream().slots());
+        return candidate.engine().slotWaitMillis(candidate.running(), candidate.upstream().slots());
     }
 
     private static boolean isPrompted(Candidate candidate) {
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/SlotForecast.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/SlotForecast.java
@@ -68,6 +68,6 @@
         double firstEndMillis = engine.runMillis() / Math.max(1, upstream.slots());
         return Math.max(
                 firstEndMillis,
-                engine.placeMillis(loads.requests(upstream.id()), upstream.slots()));
+                engine.slotWaitMillis(loads.requests(upstream.id()), upstream.slots()));
     }
 }
--- a/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamSelector.java
+++ b/trailladder-core/src/main/java/io/trailladder/core/upstream/UpstreamSelector.java
@@ -296,7 +296,7 @@
         }
         EngineEstimate engine = best.engine();
         int slots = best.upstream().slots();
-        double slotWait = engine.isLearned() ? engine.placeMillis(best.running(), slots) : 0;
+        double slotWait = engine.isLearned() ? engine.slotWaitMillis(best.running(), slots) : 0;
         return Optional.of(
                 new Selection(
                         best.upstream(),
--- a/trailladder-core/src/test/java/io/trailladder/core/claim/AtMostOnceProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/claim/AtMostOnceProperties.java
@@ -119,7 +119,7 @@
                                 perform(
                                         all.backup(),
                                         entries.get(all.backup())
-                                                .allSent(
+                                                .receiveAll(
                                                         from,
                                                         all.range(),
                                                         all.epoch(),
@@ -135,12 +135,12 @@
             return key(Integer.parseInt(requestId.substring(requestId.indexOf('/') + 1)));
         }
 
-        void ask(int key) {
+        void requestClaim(int key) {
             String holder = any();
             String owner = entries.get(holder).map().get(key(key).range(RANGES)).owner();
             String requestId = "r" + requests++ + "/" + key;
             Claim claim = new Claim(key(key), 7, holder, requestId, now + RETENTION);
-            deliver(owner, () -> perform(owner, entries.get(owner).ask(claim, now)));
+            deliver(owner, () -> perform(owner, entries.get(owner).request(claim, now)));
         }
 
         void plan(String name) {
@@ -177,7 +177,7 @@
 
         void readMap(String name) {
             if (!frozen.contains(name)) {
-                perform(name, entries.get(name).mapRead(platform, now));
+                perform(name, entries.get(name).updateMap(platform, now));
             }
         }
 
@@ -186,7 +186,7 @@
             switch (random.nextInt(16)) {
                 case 0 -> plan(any());
                 case 1 -> readMap(any());
-                case 2, 3 -> ask(random.nextInt(KEYS));
+                case 2, 3 -> requestClaim(random.nextInt(KEYS));
                 case 4 -> {
                     if (random.nextInt(6) == 0) {
                         frozen.add(any());
@@ -259,8 +259,8 @@
             }
         }
         for (int key = 0; key < KEYS; key++) {
-            cluster.ask(key);
-            cluster.ask(key);
+            cluster.requestClaim(key);
+            cluster.requestClaim(key);
             drain(cluster);
         }
         assertEquals(KEYS, cluster.grants.size());
--- a/trailladder-core/src/test/java/io/trailladder/core/duty/FleetPlannerTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/duty/FleetPlannerTest.java
@@ -267,9 +267,9 @@
      */
     @Example
     void marginAfterALossShrinksWithTheSizeOfTheFleet() {
-        assertEquals(1.9, new FleetNeed(1.9, 1).staffed(), 1e-9);
-        assertEquals(6, new FleetNeed(8, 4).staffed(), 1e-9);
-        assertEquals(42, new FleetNeed(72, 36).staffed(), 1e-9);
+        assertEquals(1.9, new FleetNeed(1.9, 1).withMargin(), 1e-9);
+        assertEquals(6, new FleetNeed(8, 4).withMargin(), 1e-9);
+        assertEquals(42, new FleetNeed(72, 36).withMargin(), 1e-9);
     }
 
     /** A load that triples is met by reclaimable upstreams in one order, not one by one. */
--- a/trailladder-core/src/test/java/io/trailladder/core/engine/AnyEngineTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/engine/AnyEngineTest.java
@@ -49,7 +49,7 @@
                     scaling(12, 0.6, Map.of("a", 1.0, "b", 2.0, "c", 0.5)));
 
     /** Many places, prompts and answers of middling size. */
-    private static final Kind MANY_PLACES =
+    private static final Kind MANY_SLOTS =
             new Kind(
                     32,
                     128,
@@ -61,7 +61,7 @@
                     scaling(10, 0.22, Map.of("a", 0.85, "b", 1.2, "c", 1.0)));
 
     /** A fast engine with few places: long answers fill them. */
-    private static final Kind FEW_PLACES =
+    private static final Kind FEW_SLOTS =
             new Kind(
                     157,
                     24,
@@ -84,47 +84,47 @@
                     120,
                     scaling(14, 0.3, Map.of("a", 1.0, "b", 1.0, "c", 3.0, "d", 0.2)));
 
-    private static void servesWell(Kind kind, List<String> dataCentres) {
+    private static void assertServedInTime(Kind kind, List<String> dataCentres) {
         for (long seed = 1; seed <= 3; seed++) {
             SimulatedFleet fleet = new SimulatedFleet(kind, dataCentres, 9, seed);
-            fleet.play(150, 60);
+            fleet.simulate(150, 60);
             String told =
                     kind
                             + ": in time "
-                            + fleet.inTimePart()
+                            + fleet.inTimeFraction()
                             + ", upstreams "
                             + fleet.meanUpstreams()
                             + ", least "
-                            + kind.leastUpstreams()
+                            + kind.minUpstreams()
                             + ", reads "
-                            + fleet.believedTokensPerMilli();
-            assertTrue(fleet.inTimePart() > 0.95, told);
+                            + fleet.estimatedTokensPerMilli();
+            assertTrue(fleet.inTimeFraction() > 0.95, told);
             // A data centre may be lost at once, and places are planned to be 0.6 taken.
             double spare = dataCentres.size() / (dataCentres.size() - 1.0);
-            double most = 4 * spare * kind.leastUpstreams() + dataCentres.size();
+            double most = 4 * spare * kind.minUpstreams() + dataCentres.size();
             assertTrue(fleet.meanUpstreams() <= most, told);
-            assertTrue(fleet.believedTokensPerMilli() > 0.4 * kind.tokensPerMilli(), told);
-            assertTrue(fleet.believedTokensPerMilli() < 2.5 * kind.tokensPerMilli(), told);
+            assertTrue(fleet.estimatedTokensPerMilli() > 0.4 * kind.tokensPerMilli(), told);
+            assertTrue(fleet.estimatedTokensPerMilli() < 2.5 * kind.tokensPerMilli(), told);
         }
     }
 
     @Example
-    void slowReaderIsServedInTimeByAFleetOfItsSize() {
-        servesWell(SLOW_READER, THREE);
+    void slowReaderIsSizedToServeInTime() {
+        assertServedInTime(SLOW_READER, THREE);
     }
 
     @Example
-    void manyPlacesAreServedInTimeByAFleetOfTheirSize() {
-        servesWell(MANY_PLACES, THREE);
+    void manySlotsAreSizedToServeInTime() {
+        assertServedInTime(MANY_SLOTS, THREE);
     }
 
     @Example
-    void fewPlacesAreServedInTimeByAFleetOfTheirSize() {
-        servesWell(FEW_PLACES, FOUR);
+    void fewSlotsAreSizedToServeInTime() {
+        assertServedInTime(FEW_SLOTS, FOUR);
     }
 
     @Example
-    void veryFastEnginesAreServedInTimeByAFleetOfTheirSize() {
-        servesWell(VERY_FAST, FOUR);
+    void veryFastEnginesAreSizedToServeInTime() {
+        assertServedInTime(VERY_FAST, FOUR);
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/engine/EngineModelProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/engine/EngineModelProperties.java
@@ -58,7 +58,7 @@
     }
 
     @Property(tries = 1_000, seed = "20261202")
-    void anySpeedIsFoundWithinTenSeconds(
+    void anySpeedIsEstimatedWithinTenSeconds(
             @ForAll @DoubleRange(min = 5, max = 400) double speed,
             @ForAll @DoubleRange(min = 0, max = 200) double first,
             @ForAll @LongRange(min = 0, max = 1_000) long seed) {
@@ -69,13 +69,13 @@
     }
 
     @Example
-    void veryFastEnginesAreFoundWithinTenSecondsToo() {
-        anySpeedIsFoundWithinTenSeconds(337.81, 3.72, 2);
-        anySpeedIsFoundWithinTenSeconds(400, 4.91, 2);
+    void veryFastEnginesAreEstimatedWithinTenSeconds() {
+        anySpeedIsEstimatedWithinTenSeconds(337.81, 3.72, 2);
+        anySpeedIsEstimatedWithinTenSeconds(400, 4.91, 2);
     }
 
     @Property(tries = 1_000, seed = "20261202")
-    void oneSlowUpstreamOfTenDoesNotSpoilTheFiguresOfHalfAMinute(
+    void oneSlowUpstreamInTenDoesNotDistortTheEstimate(
             @ForAll @DoubleRange(min = 20, max = 200) double speed,
             @ForAll @LongRange(min = 0, max = 1_000) long seed) {
         SimulatedEngine sound = new SimulatedEngine(30, speed, 1);
@@ -91,7 +91,7 @@
     }
 
     @Property(tries = 1_000, seed = "20261202")
-    void aChangeOfSpeedIsFollowed(@ForAll @LongRange(min = 0, max = 1_000) long seed) {
+    void estimateFollowsAChangeOfSpeed(@ForAll @LongRange(min = 0, max = 1_000) long seed) {
         EngineModel model = new EngineModel();
         serve(model, List.of(new SimulatedEngine(30, 100, 1)), 0, seed);
         for (int i = 1; i <= 6; i++) {
@@ -109,11 +109,11 @@
     }
 
     @Example
-    void whatPeersSawIsKnownRightAfterAStart() {
+    void peerEvidenceIsUsedRightAfterAStart() {
         EngineModel peer = new EngineModel();
         serve(peer, List.of(new SimulatedEngine(30, 150, 1)), 0, 1);
         EngineModel started = new EngineModel();
-        started.others(peer.evidence(SECONDS * 1_000L));
+        started.peerEvidence(peer.evidence(SECONDS * 1_000L));
         assertEquals(150, tokensPerMilli(started, SECONDS * 1_000L), 25);
     }
 
@@ -122,8 +122,8 @@
         EngineModel peer = new EngineModel();
         serve(peer, List.of(new SimulatedEngine(30, 150, 1)), 0, 1);
         EngineModel model = new EngineModel();
-        model.others(peer.evidence(10_000));
-        model.others(peer.evidence(10_000));
+        model.peerEvidence(peer.evidence(10_000));
+        model.peerEvidence(peer.evidence(10_000));
         double once = peer.evidence(10_000).get(0).runs();
         assertEquals(once, model.estimate("s", 10_000).observations(), 0.01);
     }
@@ -141,24 +141,24 @@
             model.paused("s", tokens.get(i), times.get(i).doubleValue(), now);
         }
         EngineEstimate estimate = model.estimate("s", now + 1_000);
-        assertTrue(estimate.millisPerToken() >= EngineModel.LEAST_MILLIS_PER_TOKEN);
-        assertTrue(estimate.millisPerToken() <= EngineModel.MOST_MILLIS_PER_TOKEN);
+        assertTrue(estimate.millisPerToken() >= EngineModel.MIN_MILLIS_PER_TOKEN);
+        assertTrue(estimate.millisPerToken() <= EngineModel.MAX_MILLIS_PER_TOKEN);
         assertTrue(estimate.firstMillis() >= 0 && estimate.runMillis() >= 1);
         assertTrue(estimate.pauseMillisPerRequest() >= 0);
-        assertTrue(model.evidence(now + 1_000).stream().allMatch(EngineEvidence::isSound));
+        assertTrue(model.evidence(now + 1_000).stream().allMatch(EngineEvidence::isValid));
     }
 
     @Example
-    void absurdEvidenceIsNotSound() {
+    void outOfRangeEvidenceIsInvalid() {
         FitSums notANumber = new FitSums(Double.NaN, 1, 1, 1, 1);
         FitSums negative = new FitSums(1, -1, 1, 1, 1);
         FitSums absurd = new FitSums(1, 1e300, 1, 1, 1);
         for (FitSums sums : List.of(notANumber, negative, absurd)) {
-            assertFalse(new EngineEvidence("s", sums, FitSums.NONE, 1, 1).isSound());
-            assertFalse(new EngineEvidence("s", FitSums.NONE, sums, 1, 1).isSound());
+            assertFalse(new EngineEvidence("s", sums, FitSums.NONE, 1, 1).isValid());
+            assertFalse(new EngineEvidence("s", FitSums.NONE, sums, 1, 1).isValid());
         }
-        assertFalse(new EngineEvidence("s", FitSums.NONE, FitSums.NONE, 1, 1e9).isSound());
-        assertFalse(new EngineEvidence(null, FitSums.NONE, FitSums.NONE, 1, 1).isSound());
-        assertTrue(EngineEvidence.none("s").isSound());
+        assertFalse(new EngineEvidence("s", FitSums.NONE, FitSums.NONE, 1, 1e9).isValid());
+        assertFalse(new EngineEvidence(null, FitSums.NONE, FitSums.NONE, 1, 1).isValid());
+        assertTrue(EngineEvidence.none("s").isValid());
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/engine/FleetNeedTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/engine/FleetNeedTest.java
@@ -22,9 +22,9 @@
 /** How many upstreams are needed beside some that serve nearly nothing. */
 class FleetNeedTest {
     @Example
-    void limitedUpstreamsAreNeededOnceMore() {
+    void unproductiveUpstreamsAreAddedToTheNeed() {
         FleetNeed need = new FleetNeed(5.5, 3);
-        assertEquals(need, need.beside(0));
-        assertEquals(new FleetNeed(7.5, 5), need.beside(2));
+        assertEquals(need, need.plusUpstreams(0));
+        assertEquals(new FleetNeed(7.5, 5), need.plusUpstreams(2));
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/engine/FleetSizerTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/engine/FleetSizerTest.java
@@ -32,30 +32,30 @@
     @Example
     void theSameLoadNeedsFewerFasterEngines() {
         ServiceLoad load = new ServiceLoad(200, 400_000, 40);
-        double slow = FleetSizer.need(load, engine(30), 128, 1_000).comfortable();
-        double fast = FleetSizer.need(load, engine(150), 128, 1_000).comfortable();
+        double slow = FleetSizer.need(load, engine(30), 128, 1_000).recommended();
+        double fast = FleetSizer.need(load, engine(150), 128, 1_000).recommended();
         assertTrue(slow > 3 * fast, slow + " and " + fast);
     }
 
     @Example
-    void fewPlacesNeedMoreEngines() {
+    void fewSlotsNeedMoreEngines() {
         ServiceLoad load = new ServiceLoad(10, 10_000, 96);
-        double few = FleetSizer.need(load, engine(150), 24, 500).comfortable();
+        double few = FleetSizer.need(load, engine(150), 24, 500).recommended();
         assertTrue(few > 6 && few < 8, "96 requests in places of 24: " + few);
-        assertTrue(FleetSizer.need(load, engine(150), 128, 500).comfortable() < 2);
+        assertTrue(FleetSizer.need(load, engine(150), 128, 500).recommended() < 2);
     }
 
     @Example
     void largePromptsBeforeATightObjectiveNeedMoreEngines() {
         ServiceLoad small = new ServiceLoad(60, 60 * 1_000, 10);
         ServiceLoad large = new ServiceLoad(60, 60 * 20_000, 10);
-        double withSmall = FleetSizer.need(small, engine(30), 128, 600).comfortable();
-        double withLarge = FleetSizer.need(large, engine(30), 128, 600).comfortable();
+        double withSmall = FleetSizer.need(small, engine(30), 128, 600).recommended();
+        double withLarge = FleetSizer.need(large, engine(30), 128, 600).recommended();
         assertTrue(withLarge > 1.5 * withSmall, withSmall + " and " + withLarge);
     }
 
     @Property(tries = 1_000, seed = "20261202")
-    void needIsFiniteAndTheTightOneIsNeverMore(
+    void needIsFiniteAndTheMinimumNeverExceedsTheRecommendation(
             @ForAll @DoubleRange(min = 0, max = 10_000) double tokens,
             @ForAll @DoubleRange(min = 1, max = 50_000) double promptSize,
             @ForAll @DoubleRange(min = 0, max = 5_000) double running,
@@ -64,14 +64,14 @@
             @ForAll @DoubleRange(min = 0, max = 5_000) double objective) {
         ServiceLoad load = new ServiceLoad(tokens, tokens * promptSize, running);
         FleetNeed need = FleetSizer.need(load, engine(speed), slots, objective);
-        assertTrue(Double.isFinite(need.comfortable()) && need.tight() >= 0);
-        assertTrue(need.tight() <= need.comfortable() + 1e-9, need.toString());
+        assertTrue(Double.isFinite(need.recommended()) && need.minimum() >= 0);
+        assertTrue(need.minimum() <= need.recommended() + 1e-9, need.toString());
     }
 
     @Example
-    void aRequestWaitsForAPlaceOnlyWhenAllAreTaken() {
+    void requestWaitsForASlotOnlyWhenAllAreOccupied() {
         EngineEstimate engine = engine(150);
-        assertEquals(0, engine.placeMillis(23, 24));
-        assertTrue(engine.placeMillis(30, 24) > engine.placeMillis(24, 24));
+        assertEquals(0, engine.slotWaitMillis(23, 24));
+        assertTrue(engine.slotWaitMillis(30, 24) > engine.slotWaitMillis(24, 24));
     }
 }
--- a/trailladder-core/src/test/java/io/trailladder/core/engine/SimulatedFleet.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/engine/SimulatedFleet.java
@@ -71,7 +71,7 @@
             long objectiveMillis,
             ScalingSpec scaling) {
         /** Upstreams that this load keeps wholly busy, by either measure. */
-        double leastUpstreams() {
+        double minUpstreams() {
             double reading = perSecond / 1_000 * promptTokens / tokensPerMilli;
             double places = perSecond / 1_000 * answerTokens * tokenMillis / slots;
             return reading + places;
@@ -80,21 +80,21 @@
 
     /** One engine: reads prompts one after the other, and answers in its places. */
     private static final class Engine {
-        private final PriorityQueue<Double> placesFreeAt = new PriorityQueue<>();
-        private double readsUntil;
+        private final PriorityQueue<Double> slotsFreeAt = new PriorityQueue<>();
+        private double readingUntil;
 
         double firstEventAt(Kind kind, double now, int tokens) {
             double place = now;
-            if (placesFreeAt.size() >= kind.slots()) {
-                place = Math.max(now, placesFreeAt.remove());
+            if (slotsFreeAt.size() >= kind.slots()) {
+                place = Math.max(now, slotsFreeAt.remove());
             }
-            readsUntil = Math.max(place, readsUntil) + tokens / kind.tokensPerMilli();
-            return readsUntil;
+            readingUntil = Math.max(place, readingUntil) + tokens / kind.tokensPerMilli();
+            return readingUntil;
         }
     }
 
     /** Something that happens later. */
-    private record Due(double at, Runnable task) {}
+    private record Event(double at, Runnable task) {}
 
     private final Kind kind;
     private final SplittableRandom random;
@@ -105,7 +105,7 @@
     private final FleetPlanner planner = new FleetPlanner(SERVICE, false);
     private final UpstreamSelector selector = new UpstreamSelector("a", directory, loads, model);
     private final Map<String, Engine> engines = new HashMap<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparing(Due::at));
+    private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparing(Event::at));
     private final Route route;
     private double now;
     private double running = -1;
@@ -138,16 +138,16 @@
     }
 
     /** Plays some seconds; what is measured counts from the given second on. */
-    void play(int seconds, int measuredFrom) {
+    void simulate(int seconds, int measuredFrom) {
         for (int step = 0; step < seconds * 1_000 / STEP_MILLIS; step++) {
             double from = step * (double) STEP_MILLIS;
             arrivals(from, from >= measuredFrom * 1_000.0);
-            until(from + STEP_MILLIS);
+            runUntil(from + STEP_MILLIS);
             order(from >= measuredFrom * 1_000.0);
         }
     }
 
-    double inTimePart() {
+    double inTimeFraction() {
         return (double) inTime / Math.max(1, served);
     }
 
@@ -155,7 +155,7 @@
         return fleetSum / Math.max(1, fleetCount);
     }
 
-    double believedTokensPerMilli() {
+    double estimatedTokensPerMilli() {
         return 1 / model.estimate(SERVICE, Math.round(now)).millisPerToken();
     }
 
@@ -164,13 +164,13 @@
         int count = (int) expected + (random.nextDouble() < expected % 1 ? 1 : 0);
         for (int i = 0; i < count; i++) {
             double at = from + random.nextDouble() * STEP_MILLIS;
-            due.add(new Due(at, () -> send(measured)));
+            events.add(new Event(at, () -> send(measured)));
         }
     }
 
-    private void until(double end) {
-        while (!due.isEmpty() && due.peek().at() < end) {
-            Due next = due.remove();
+    private void runUntil(double end) {
+        while (!events.isEmpty() && events.peek().at() < end) {
+            Event next = events.remove();
             now = next.at();
             next.task().run();
         }
@@ -189,12 +189,12 @@
         Engine engine = engines.get(upstream);
         double first = engine.firstEventAt(kind, now, tokens);
         double end = first + kind.answerTokens() * kind.tokenMillis();
-        engine.placesFreeAt.add(end);
+        engine.slotsFreeAt.add(end);
         loads.sent(upstream, tokens);
         demand.sent(SERVICE, tokens, nowMillis);
         long took = Math.round(first - now);
-        due.add(new Due(first, () -> firstEvent(upstream, tokens, choice.waitingTokens(), took)));
-        due.add(new Due(end, () -> ended(upstream, Math.round(end - nowMillis))));
+        events.add(new Event(first, () -> firstEvent(upstream, tokens, choice.waitingTokens(), took)));
+        events.add(new Event(end, () -> ended(upstream, Math.round(end - nowMillis))));
         if (measured) {
             served++;
             inTime += took <= kind.objectiveMillis() ? 1 : 0;
@@ -218,7 +218,7 @@
         Optional<FleetNeed> need = need(nowMillis);
         List<UpstreamOrder> orders =
                 planner.plan(kind.scaling(), directory.all(), need, Set.of(), nowMillis);
-        orders.forEach(this::follow);
+        orders.forEach(this::carryOut);
         if (measured) {
             fleetSum += directory.serving(SERVICE).size();
             fleetCount++;
@@ -238,7 +238,7 @@
                 FleetSizer.need(load, engine, kind.slots(), (double) kind.objectiveMillis()));
     }
 
-    private void follow(UpstreamOrder order) {
+    private void carryOut(UpstreamOrder order) {
         List<Upstream> there = new ArrayList<>();
         for (Upstream upstream : directory.serving(SERVICE)) {
             if (upstream.dataCentre().equals(order.dataCentre())
--- a/trailladder-core/src/test/java/io/trailladder/core/memory/AnswerChoiceTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/memory/AnswerChoiceTest.java
@@ -31,38 +31,38 @@
             waiting.add(new WaitingAnswer(key, "slow", 100, false));
         }
         waiting.add(new WaitingAnswer(500, "other", 5_000, true));
-        List<WaitingAnswer> chosen = AnswerChoice.toEnd(waiting, 40_000);
+        List<WaitingAnswer> chosen = AnswerChoice.answersToEnd(waiting, 40_000);
         assertEquals(400, chosen.size());
         assertTrue(chosen.stream().allMatch(answer -> answer.organisation().equals("slow")));
     }
 
     @Example
-    void streamsThatCanBeResumedGoFirstAndTheLargestOfThem() {
+    void resumableStreamsAreEndedFirstLargestFirst() {
         List<WaitingAnswer> waiting =
                 List.of(
                         new WaitingAnswer(0, "one", 900, false),
                         new WaitingAnswer(1, "one", 100, true),
                         new WaitingAnswer(2, "one", 300, true));
-        assertEquals(List.of(2, 1, 0), keys(AnswerChoice.toEnd(waiting, 1_300)));
-        assertEquals(List.of(2), keys(AnswerChoice.toEnd(waiting, 300)));
+        assertEquals(List.of(2, 1, 0), keys(AnswerChoice.answersToEnd(waiting, 1_300)));
+        assertEquals(List.of(2), keys(AnswerChoice.answersToEnd(waiting, 300)));
     }
 
     @Example
-    void organisationsGiveInTurnOnceTheyHoldAlike() {
+    void organisationsWithEqualReservationsLoseAnswersAlternately() {
         List<WaitingAnswer> waiting = new ArrayList<>();
         for (int key = 0; key < 4; key++) {
             waiting.add(new WaitingAnswer(key, "one", 100, true));
             waiting.add(new WaitingAnswer(10 + key, "two", 100, true));
         }
-        List<Integer> chosen = keys(AnswerChoice.toEnd(waiting, 400));
+        List<Integer> chosen = keys(AnswerChoice.answersToEnd(waiting, 400));
         assertEquals(List.of(0, 10, 1, 11), chosen);
     }
 
     @Example
-    void allGoIfTheyDoNotSuffice() {
+    void allAreEndedIfTheyDoNotSuffice() {
         List<WaitingAnswer> waiting = List.of(new WaitingAnswer(7, "", 10, false));
-        assertEquals(List.of(7), keys(AnswerChoice.toEnd(waiting, 1_000)));
-        assertEquals(List.of(), keys(AnswerChoice.toEnd(waiting, 0)));
+        assertEquals(List.of(7), keys(AnswerChoice.answersToEnd(waiting, 1_000)));
+        assertEquals(List.of(), keys(AnswerChoice.answersToEnd(waiting, 0)));
     }
 
     private static List<Integer> keys(List<WaitingAnswer> answers) {
--- a/trailladder-core/src/test/java/io/trailladder/core/memory/MemoryAccountProperties.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/memory/MemoryAccountProperties.java
@@ -33,31 +33,31 @@
     private static final long BUDGET = 1_000;
 
     @Property(tries = 300, seed = SEED)
-    void whatIsHeldIsWhatHoldersSay(@ForAll long seed, @ForAll @IntRange(max = 400) int steps) {
+    void totalIsTheSumOfOpenReservations(@ForAll long seed, @ForAll @IntRange(max = 400) int steps) {
         Random random = new Random(seed);
         MemoryAccount account = new MemoryAccount(new MemoryBudget(BUDGET));
-        List<MemoryAccount.Holding> open = new ArrayList<>();
+        List<MemoryAccount.Reservation> open = new ArrayList<>();
         for (int step = 0; step < steps; step++) {
             int action = random.nextInt(4);
             if (action == 0 || open.isEmpty()) {
-                HeldKind[] kinds = HeldKind.values();
+                ReservationKind[] kinds = ReservationKind.values();
                 open.add(account.open(kinds[random.nextInt(kinds.length)]));
             } else if (action == 1) {
-                MemoryAccount.Holding left = open.remove(random.nextInt(open.size()));
+                MemoryAccount.Reservation left = open.remove(random.nextInt(open.size()));
                 left.close();
                 left.set(random.nextInt(100));
                 left.close();
             } else {
                 open.get(random.nextInt(open.size())).set(random.nextInt(200));
             }
-            long sum = open.stream().mapToLong(MemoryAccount.Holding::bytes).sum();
+            long sum = open.stream().mapToLong(MemoryAccount.Reservation::bytes).sum();
             assertEquals(sum, account.total());
             assertTrue(account.peak() >= sum);
         }
-        open.forEach(MemoryAccount.Holding::close);
+        open.forEach(MemoryAccount.Reservation::close);
         assertEquals(0, account.total());
-        for (HeldKind kind : HeldKind.values()) {
-            assertEquals(0, account.held(kind), kind.name());
+        for (ReservationKind kind : ReservationKind.values()) {
+            assertEquals(0, account.reserved(kind), kind.name());
         }
         assertEquals(MemoryLevel.CALM, account.level());
     }
@@ -66,8 +66,8 @@
     void levelsEndLowerThanTheyBegin() {
         MemoryAccount account = new MemoryAccount(new MemoryBudget(BUDGET));
         List<MemoryLevel> seen = new ArrayList<>();
-        account.onLevel((before, now) -> seen.add(now));
-        MemoryAccount.Holding holding = account.open(HeldKind.ANSWERS_WAITING);
+        account.setLevelListener((before, now) -> seen.add(now));
+        MemoryAccount.Reservation holding = account.open(ReservationKind.ANSWERS_WAITING);
         for (long held : new long[] {599, 600, 500, 460, 849, 850, 800, 700, 699, 450, 449, 500}) {
             holding.set(held);
         }
@@ -81,14 +81,14 @@
     }
 
     @Example
-    void requestThatWouldFillTheProcessHasNoRoom() {
+    void requestThatWouldFillTheProcessHasNoCapacity() {
         MemoryAccount account = new MemoryAccount(new MemoryBudget(BUDGET));
-        assertFalse(account.hasRoom(BUDGET));
-        assertTrue(account.hasRoom(BUDGET / 2));
-        account.open(HeldKind.REQUESTS).set(BUDGET / 2);
-        assertFalse(account.hasRoom(BUDGET / 2));
-        account.open(HeldKind.REQUESTS).set(BUDGET / 2);
-        assertFalse(account.hasRoom(0));
+        assertFalse(account.hasCapacity(BUDGET));
+        assertTrue(account.hasCapacity(BUDGET / 2));
+        account.open(ReservationKind.REQUESTS).set(BUDGET / 2);
+        assertFalse(account.hasCapacity(BUDGET / 2));
+        account.open(ReservationKind.REQUESTS).set(BUDGET / 2);
+        assertFalse(account.hasCapacity(0));
     }
 
     @Example
--- a/trailladder-core/src/test/java/io/trailladder/core/request/GenerationMachineTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/request/GenerationMachineTest.java
@@ -73,10 +73,10 @@
     }
 
     @Example
-    void doubledAndLateFramesNeverReachTheAnswer() {
+    void duplicateAndLateFramesNeverReachTheAnswer() {
         run(2);
         machine.token(1, 1, "again", 5);
-        machine.broken(1, true, 6);
+        machine.attemptFailed(1, true, 6);
         machine.tick(100);
         machine.placed("e2", 100);
         machine.token(1, 2, "late", 101);
@@ -96,7 +96,7 @@
     @Example
     void brokenAnswerIsContinuedElsewhereFromItsTokens() {
         run(3);
-        WakeAt wake = only(WakeAt.class, machine.broken(1, true, 10));
+        WakeAt wake = only(WakeAt.class, machine.attemptFailed(1, true, 10));
         machine.tick(wake.atMillis());
         Dispatch dispatch = only(Dispatch.class, machine.placed("e2", wake.atMillis()));
         assertEquals(new Dispatch(3, "e2", 3, ""), dispatch);
@@ -115,7 +115,7 @@
     }
 
     @Example
-    void exportSlowerThanTheNoticeIsGivenUp() {
+    void exportSlowerThanTheNoticeIsAbandoned() {
         run(3);
         machine.leaving("e1", 2_000, 10);
         machine.placed("e2", 11);
@@ -137,17 +137,17 @@
     }
 
     @Example
-    void upstreamThatDiesWhileMovingIsReplacedAtOnce() {
+    void upstreamThatFailsWhileMovingIsReplacedAtOnce() {
         run(3);
         machine.leaving("e1", 2_000, 10);
-        WakeAt wake = only(WakeAt.class, machine.broken(1, true, 50));
+        WakeAt wake = only(WakeAt.class, machine.attemptFailed(1, true, 50));
         assertEquals(50, wake.atMillis());
         machine.tick(50);
         assertEquals(3, only(Dispatch.class, machine.placed("e3", 50)).resumeFrom());
     }
 
     @Example
-    void requestThatFindsNoRoomWaitsAndThenIsToldNotRun() {
+    void requestWithoutCapacityWaitsAndThenFailsAsNotRun() {
         machine.start();
         only(WakeAt.class, machine.notPlaced(700, 100));
         Fail fail = only(Fail.class, machine.notPlaced(700, 10_000));
@@ -156,9 +156,9 @@
     }
 
     @Example
-    void requestThatWasSentIsNeverToldNotRun() {
+    void requestThatWasSentNeverFailsAsNotRun() {
         run(0);
-        machine.broken(1, true, 5);
+        machine.attemptFailed(1, true, 5);
         machine.tick(100);
         Fail fail = only(Fail.class, machine.notPlaced(700, 20_100));
         assertEquals(Outcome.UNKNOWN, fail.failure().outcome());
@@ -177,7 +177,7 @@
         once.leaving("e1", 200, 1);
         assertTrue(once.placed("e2", 2).isEmpty());
         assertEquals("e1", once.upstream());
-        Fail fail = only(Fail.class, once.broken(1, true, 10));
+        Fail fail = only(Fail.class, once.attemptFailed(1, true, 10));
         assertEquals(Outcome.UNKNOWN, fail.failure().outcome());
     }
 
@@ -191,7 +191,7 @@
                         0);
         once.start();
         once.placed("e1", 0);
-        only(WakeAt.class, once.broken(1, false, 10));
+        only(WakeAt.class, once.attemptFailed(1, false, 10));
         once.tick(50);
         assertEquals("e2", only(Dispatch.class, once.placed("e2", 50)).upstream());
     }
--- a/trailladder-core/src/test/java/io/trailladder/core/routing/RouterTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/routing/RouterTest.java
@@ -74,10 +74,10 @@
     }
 
     @Example
-    void prefixesOfTwoOrganisationsNeverMeet() {
+    void prefixesOfTwoOrganisationsAreNeverShared() {
         PromptBlocks mine = PromptBlocks.of("banco-sur", "modelo-hipo", PROMPT);
         PromptBlocks other = PromptBlocks.of("banco-norte", "modelo-hipo", PROMPT);
-        PrefixMemory memory = new PrefixMemory(100);
+        PrefixLocations memory = new PrefixLocations(100);
         memory.sent(mine, "a1");
         assertTrue(memory.cachedTokens(mine, "a1") > 0);
         assertEquals(0, memory.cachedTokens(other, "a1"));
--- a/trailladder-core/src/test/java/io/trailladder/core/table/HandlingPolicyTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/table/HandlingPolicyTest.java
@@ -58,7 +58,7 @@
     @Example
     void callerMustNameTheModelIfNoDataCentreIsCommon() {
         assertEquals(
-                new Handling.NameTarget(),
+                new Handling.TargetRequired(),
                 decide(Optional.empty(), row("m1", "baires-a"), row("m2", "baires-b")));
         assertEquals(
                 new Handling.Elsewhere(List.of("baires-b")),
--- a/trailladder-core/src/test/java/io/trailladder/core/table/TableReplicaTest.java
+++ b/trailladder-core/src/test/java/io/trailladder/core/table/TableReplicaTest.java
@@ -65,7 +65,7 @@
     }
 
     @Example
-    void everyFaultOfALineIsNamed() {
+    void everyFaultOfALineIsReported() {
         RowChecker checker = new RowChecker();
         Map<String, String> cells =
                 Map.of("organisation", "Banco", "target", "modelo-hipo", "kind", "modle");
--- a/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
@@ -30,7 +30,7 @@
 import io.trailladder.entry.serve.PeerRelay;
 import io.trailladder.entry.serve.PeerServer;
 import io.trailladder.entry.serve.Placements;
-import io.trailladder.entry.serve.RequestBook;
+import io.trailladder.entry.serve.RequestRegistry;
 import io.trailladder.entry.serve.RequestDispatcher;
 import io.trailladder.entry.serve.RequestFinder;
 import io.trailladder.entry.serve.RowPolicies;
@@ -47,7 +47,7 @@
 import io.trailladder.wire.EntryInfo;
 import io.trailladder.wire.PeerMessage;
 import io.trailladder.wire.PeerMessage.Heartbeat;
-import io.trailladder.wire.PeerMessage.RangeMapNews;
+import io.trailladder.wire.PeerMessage.RangeMapUpdate;
 import java.io.IOException;
 import java.util.HexFormat;
 import java.util.List;
@@ -67,14 +67,14 @@
  * @since 0.1
  */
 public final class EntryDaemon {
-    private static final long HEARTBEAT_MILLIS = 1_000;
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 1_000;
     private static final int MAX_CLAIMS = 300_000;
-    private static final long HEAD_MILLIS = 10_000;
-    private static final long LAST_ANSWERS_MILLIS = 200;
+    private static final long HEAD_TIMEOUT_MILLIS = 10_000;
+    private static final long LAST_ANSWERS_DELAY_MILLIS = 200;
     private static final int TIMER_THREADS = 2;
     private static final long DRAIN_POLL_MILLIS = 50;
-    private static final long HAND_OVER_MILLIS = 300;
-    private static final long RANGES_MILLIS = 5_000;
+    private static final long HAND_OVER_DELAY_MILLIS = 300;
+    private static final long RANGE_HAND_OVER_TIMEOUT_MILLIS = 5_000;
     private static final long NOTICE_MARGIN_MILLIS = 700;
 
     private final EntrySettings settings;
@@ -87,7 +87,7 @@
     private final Placements placements;
     private final ServingContext context;
     private final Members members;
-    private final RequestBook book;
+    private final RequestRegistry book;
     private final ClaimService claims;
     private final DataCentreChooser chooser;
     private final PeerRelay relay;
@@ -110,10 +110,10 @@
      */
     public EntryDaemon(EntrySettings settings) {
         this.settings = settings;
-        this.self = presentation(settings);
+        this.self = selfInfo(settings);
         this.timer = PeriodicTasks.newTimer(TIMER_THREADS);
         this.client = new HttpClient(timer);
-        this.links = new PeerLinks(self, settings.peerKey(), new LateHandler());
+        this.links = new PeerLinks(self, settings.peerKey(), new DelegatingPeerHandler());
         this.placements =
                 new Placements(
                         settings.dataCentre(), ThreadLocalRandom.current().nextLong(), timer);
@@ -131,7 +131,7 @@
                         policies);
         this.members = new Members(self, links, settings.peers());
         this.chooser = new DataCentreChooser(links, placements);
-        this.book = new RequestBook(context, chooser::isStopping);
+        this.book = new RequestRegistry(context, chooser::isStopping);
         this.claims =
                 new ClaimService(
                         self.id(),
@@ -171,7 +171,7 @@
                                 relay,
                                 new PeerServer(links, dispatcher, book),
                                 claims,
-                                new Greeter()));
+                                new InitialStateSender()));
         this.heartbeats =
                 new HeartbeatSender(
                         self,
@@ -190,7 +190,7 @@
                         this::status,
                         placements,
                         this::isReady);
-        policies.onChange(table -> tableInForce());
+        policies.onChange(table -> tableChanged());
     }
 
     /**
@@ -206,7 +206,7 @@
         entrySync.start();
         fleetSync.start();
         claimSync.start();
-        PeriodicTasks.repeat(timer, "heartbeat", this::beat, HEARTBEAT_MILLIS);
+        PeriodicTasks.repeat(timer, "heartbeat", this::sendHeartbeats, HEARTBEAT_INTERVAL_MILLIS);
         Logger.info("entry {} in {} started", self.id(), self.dataCentre());
     }
 
@@ -274,11 +274,11 @@
                 self.dataCentre(),
                 policies.table().revision(),
                 dispatcher.draining(),
-                book.open(),
-                relay.size(),
+                book.openCount(),
+                relay.openCount(),
                 book.copies(),
                 claims.size(),
-                claims.owned(),
+                claims.ownedRanges(),
                 heard == 0 ? -1 : System.currentTimeMillis() - heard,
                 peers,
                 upstreams);
@@ -291,18 +291,18 @@
         stopping = true;
         Logger.info("entry {} stops within {} ms", self.id(), drainMillis);
         dispatcher.drain();
-        beat();
+        sendHeartbeats();
         claimSync.drain();
         long started = MonotonicClock.millis();
         long deadline = started + drainMillis;
         while (busy(started) && MonotonicClock.millis() < deadline) {
             pause(DRAIN_POLL_MILLIS);
         }
-        int unfinished = book.open();
-        book.handOver();
+        int unfinished = book.openCount();
+        book.handOverAll();
         if (unfinished > 0) {
             Logger.info("entry {} hands over {} requests", self.id(), unfinished);
-            pause(HAND_OVER_MILLIS);
+            pause(HAND_OVER_DELAY_MILLIS);
         }
         book.endUnfinished();
         shutDown();
@@ -310,10 +310,10 @@
 
     private boolean busy(long sinceMillis) {
         boolean handsRangesOver =
-                claims.owned() > 0
-                        && MonotonicClock.millis() - sinceMillis < RANGES_MILLIS
+                claims.ownedRanges() > 0
+                        && MonotonicClock.millis() - sinceMillis < RANGE_HAND_OVER_TIMEOUT_MILLIS
                         && links.live().stream().anyMatch(peer -> serves(peer));
-        return book.open() > 0 || relay.size() > 0 || handsRangesOver;
+        return book.openCount() > 0 || relay.openCount() > 0 || handsRangesOver;
     }
 
     private boolean serves(EntryInfo peer) {
@@ -338,7 +338,7 @@
             Thread stopper = new Thread(() -> stop(drain), "reclaim");
             stopper.start();
         } else {
-            book.leaving(instance, remainingMillis);
+            book.upstreamLeaving(instance, remainingMillis);
         }
     }
 
@@ -347,7 +347,7 @@
         ServerBounds bounds =
                 new ServerBounds(
                         limits.maxBodyBytes(),
-                        Math.min(HEAD_MILLIS, limits.callerIdleMillis()),
+                        Math.min(HEAD_TIMEOUT_MILLIS, limits.callerIdleMillis()),
                         limits.callerIdleMillis());
         return new HttpServer(
                 callerLoop,
@@ -367,9 +367,9 @@
                 () -> {
                     callers.closing();
                     callers.stopListening();
-                    callers.closeResting();
+                    callers.closeIdle();
                 });
-        pause(LAST_ANSWERS_MILLIS);
+        pause(LAST_ANSWERS_DELAY_MILLIS);
         closeCallers();
     }
 
@@ -381,12 +381,12 @@
         }
     }
 
-    private void beat() {
-        heartbeats.beat();
-        metrics.openRequests(book.open());
+    private void sendHeartbeats() {
+        heartbeats.sendHeartbeats();
+        metrics.openRequests(book.openCount());
     }
 
-    private void tableInForce() {
+    private void tableChanged() {
         metrics.tableRevision(policies.table().revision());
         links.sendAll(heartbeats.heartbeat(List.of()));
         Logger.info("table revision {} is in force", policies.table().revision());
@@ -397,21 +397,21 @@
     }
 
     /** Sends peers what they should know. */
-    private final class Greeter implements PeerRouter.PeerSender {
+    private final class InitialStateSender implements PeerRouter.PeerSender {
         @Override
-        public void greet(String peer) {
+        public void sendInitialState(String peer) {
             links.send(peer, new PeerMessage.Members(members.known()));
             links.send(peer, heartbeats.heartbeat(List.of()));
         }
 
         @Override
         public void sendRangeMap(String peer) {
-            links.send(peer, new RangeMapNews(claims.map()));
+            links.send(peer, new RangeMapUpdate(claims.map()));
         }
     }
 
     /** Breaks the circle between the links and the parts that use them. */
-    private final class LateHandler implements PeerHandler {
+    private final class DelegatingPeerHandler implements PeerHandler {
         @Override
         public void linked(EntryInfo peer) {
             router.linked(peer);
@@ -428,7 +428,7 @@
         }
     }
 
-    private static EntryInfo presentation(EntrySettings settings) {
+    private static EntryInfo selfInfo(EntrySettings settings) {
         String suffix = HexFormat.of().toHexDigits(ThreadLocalRandom.current().nextInt());
         return new EntryInfo(
                 settings.dataCentre() + "-" + suffix,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/EntryMetrics.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/EntryMetrics.java
@@ -49,7 +49,7 @@
                     "outcome");
     private final Counter events =
             counter("trailladder_events_total", "Events inside the entry", "event");
-    private final Counter computed =
+    private final Counter resumedTokens =
             counter(
                     "trailladder_resumed_tokens_total",
                     "Tokens a request had when it was resumed elsewhere",
@@ -158,7 +158,7 @@
      * @param tokens how many
      */
     public void resumed(boolean imported, int tokens) {
-        computed.labelValues(imported ? "imported" : "recomputed").inc(tokens);
+        resumedTokens.labelValues(imported ? "imported" : "recomputed").inc(tokens);
     }
 
     /**
--- a/trailladder-entry/src/main/java/io/trailladder/entry/EntrySettings.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/EntrySettings.java
@@ -73,11 +73,11 @@
             int maxHeaderBytes,
             int maxStreams,
             long callerIdleMillis,
-            long patienceMillis,
+            long queueTimeoutMillis,
             long upstreamIdleMillis,
             long reattachMillis) {
-        private static final long LEAST_QUEUE_MILLIS = 2_000;
-        private static final long TARGETS_IN_QUEUE = 4;
+        private static final long MIN_QUEUE_MILLIS = 2_000;
+        private static final long MAX_QUEUED_TARGETS = 4;
 
         /**
          * Returns how long a request that was not yet begun may wait. A wait of several latency
@@ -87,8 +87,8 @@
          * @return milliseconds
          */
         public long queueMillis(int latencyTargetMillis) {
-            long wait = Math.max(LEAST_QUEUE_MILLIS, TARGETS_IN_QUEUE * latencyTargetMillis);
-            return Math.min(patienceMillis, wait);
+            long wait = Math.max(MIN_QUEUE_MILLIS, MAX_QUEUED_TARGETS * latencyTargetMillis);
+            return Math.min(queueTimeoutMillis, wait);
         }
 
         /** The bounds unless settings say otherwise. */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/HeartbeatSender.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/HeartbeatSender.java
@@ -76,16 +76,16 @@
     }
 
     /** Sends a heartbeat with the demand of the last second, and takes stock of the peers. */
-    void beat() {
+    void sendHeartbeats() {
         links.sendAll(heartbeat(policies.measureDemand()));
         shareLimits();
-        noticeSilentPeers();
+        detectLostPeers();
     }
 
     /** Makes a heartbeat. */
     Heartbeat heartbeat(List<RowDemand> demand) {
         List<TargetLoad> loads = new ArrayList<>();
-        placements.waits().forEach((target, wait) -> loads.add(new TargetLoad(target, wait)));
+        placements.minQueueMillis().forEach((target, wait) -> loads.add(new TargetLoad(target, wait)));
         return new Heartbeat(
                 policies.table().revision(),
                 claims.mapVersion(),
@@ -107,11 +107,11 @@
                 }
             }
         }
-        policies.share(others, peers);
+        policies.updateShares(others, peers);
     }
 
     /** A peer that is linked but silent, because frozen or cut off, counts as lost once. */
-    private void noticeSilentPeers() {
+    private void detectLostPeers() {
         Set<String> live = new HashSet<>();
         links.live().forEach(peer -> live.add(peer.id()));
         lostPeers.removeIf(live::contains);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/JsonFields.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/JsonFields.java
@@ -33,7 +33,7 @@
  */
 public final class JsonFields {
     /** Most characters of a value that are shown. */
-    private static final int MOST_SHOWN = 60;
+    private static final int MAX_SHOWN_CHARS = 60;
 
     private final JsonNode node;
 
@@ -74,7 +74,7 @@
     public String text(String name) {
         JsonNode field = node.path(name);
         if (!field.isTextual() || field.textValue().isEmpty()) {
-            throw fault(name, field, "a text");
+            throw invalid(name, field, "a text");
         }
         return field.textValue();
     }
@@ -90,7 +90,7 @@
     public String oneOf(String name, List<String> known) {
         JsonNode field = node.path(name);
         if (!field.isTextual() || !known.contains(field.textValue())) {
-            throw fault(name, field, "one of " + known);
+            throw invalid(name, field, "one of " + known);
         }
         return field.textValue();
     }
@@ -106,7 +106,7 @@
     public int wholeFrom(String name, int least) {
         JsonNode field = node.path(name);
         if (!field.isInt() || field.intValue() < least) {
-            throw fault(name, field, "a whole number from " + least);
+            throw invalid(name, field, "a whole number from " + least);
         }
         return field.intValue();
     }
@@ -124,7 +124,7 @@
             return 0;
         }
         if (!field.isNumber() || !(field.doubleValue() >= 0) || !field.canConvertToLong()) {
-            throw fault(name, field, "a number from 0");
+            throw invalid(name, field, "a number from 0");
         }
         return field.longValue();
     }
@@ -150,12 +150,12 @@
     public boolean flagIfAny(String name) {
         JsonNode field = node.path(name);
         if (!field.isMissingNode() && !field.isBoolean()) {
-            throw fault(name, field, "true or false");
+            throw invalid(name, field, "true or false");
         }
         return field.booleanValue();
     }
 
-    private static FieldException fault(String name, JsonNode field, String expected) {
+    private static FieldException invalid(String name, JsonNode field, String expected) {
         String found = field.isMissingNode() ? "missing" : shown(field);
         return new FieldException("field '" + name + "' is " + found + ", expected " + expected);
     }
@@ -166,6 +166,6 @@
             return field.isArray() ? "a list" : "an object";
         }
         String text = field.isTextual() ? "'" + field.textValue() + "'" : field.asText();
-        return text.length() > MOST_SHOWN ? text.substring(0, MOST_SHOWN) + "..." : text;
+        return text.length() > MAX_SHOWN_CHARS ? text.substring(0, MAX_SHOWN_CHARS) + "..." : text;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/PeerRouter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/PeerRouter.java
@@ -20,7 +20,7 @@
 import io.trailladder.entry.serve.DataCentreChooser;
 import io.trailladder.entry.serve.PeerRelay;
 import io.trailladder.entry.serve.PeerServer;
-import io.trailladder.entry.serve.RequestBook;
+import io.trailladder.entry.serve.RequestRegistry;
 import io.trailladder.entry.serve.RequestFinder;
 import io.trailladder.entry.sync.FleetSync;
 import io.trailladder.entry.sync.Members;
@@ -34,7 +34,7 @@
 import io.trailladder.wire.PeerMessage.Forward;
 import io.trailladder.wire.PeerMessage.Heartbeat;
 import io.trailladder.wire.PeerMessage.LeavingNotice;
-import io.trailladder.wire.PeerMessage.RangeMapNews;
+import io.trailladder.wire.PeerMessage.RangeMapUpdate;
 import io.trailladder.wire.PeerMessage.RecordDrop;
 import io.trailladder.wire.PeerMessage.RecordFind;
 import io.trailladder.wire.PeerMessage.RecordFound;
@@ -60,7 +60,7 @@
             DataCentreChooser chooser,
             TableSync tables,
             FleetSync fleet,
-            RequestBook book,
+            RequestRegistry book,
             RequestFinder finder,
             PeerRelay relay,
             PeerServer server,
@@ -69,7 +69,7 @@
 
     /** Sends what a new or lagging peer should know. */
     interface PeerSender {
-        void greet(String peer);
+        void sendInitialState(String peer);
 
         void sendRangeMap(String peer);
     }
@@ -80,7 +80,7 @@
 
     @Override
     public void linked(EntryInfo peer) {
-        parts.sender().greet(peer.id());
+        parts.sender().sendInitialState(peer.id());
     }
 
     @Override
@@ -91,9 +91,9 @@
     /** Is also called for a peer that is linked but silent. */
     void lost(EntryInfo peer) {
         parts.chooser().lost(peer.id());
-        parts.server().lost(peer.id());
-        parts.book().lost(peer.id());
-        parts.relay().lost(peer.id());
+        parts.server().peerLost(peer.id());
+        parts.book().peerLost(peer.id());
+        parts.relay().peerLost(peer.id());
     }
 
     @Override
@@ -110,13 +110,13 @@
 
     private boolean control(EntryInfo from, PeerMessage message) {
         if (message instanceof Heartbeat heartbeat) {
-            parts.chooser().heard(from.id(), heartbeat);
-            parts.tables().heard(from, heartbeat);
+            parts.chooser().heartbeatReceived(from.id(), heartbeat);
+            parts.tables().heartbeatReceived(from, heartbeat);
             if (heartbeat.rangeMapVersion() < parts.claims().mapVersion()) {
                 parts.sender().sendRangeMap(from.id());
             }
         } else if (message instanceof PeerMessage.Members known) {
-            parts.members().heard(known.entries());
+            parts.members().received(known.entries());
         } else if (message instanceof TableDelta delta) {
             parts.tables().received(delta);
         } else if (message instanceof TableSnapshot snapshot) {
@@ -125,8 +125,8 @@
             parts.fleet().received(list);
         } else if (message instanceof LeavingNotice notice) {
             parts.fleet().received(notice);
-        } else if (message instanceof RangeMapNews news) {
-            parts.claims().mapHeard(news.map());
+        } else if (message instanceof RangeMapUpdate news) {
+            parts.claims().mapReceived(news.map());
         } else {
             return false;
         }
@@ -152,20 +152,20 @@
         } else if (message instanceof AnswerCancel cancel) {
             parts.server().cancel(from.id(), cancel);
         } else if (message instanceof RecordPut put) {
-            parts.book().put(from, put);
+            parts.book().storeCopy(from, put);
         } else if (message instanceof RecordKept kept) {
-            parts.book().kept(kept);
+            parts.book().copyStored(kept);
         } else if (message instanceof RecordTokens tokens) {
-            parts.book().tokens(tokens);
+            parts.book().appendTokens(tokens);
         } else if (message instanceof RecordDrop drop) {
-            parts.book().drop(from, drop);
+            parts.book().dropReceived(from, drop);
         } else if (message instanceof RecordHandOver handOver) {
-            parts.book().handedOver(from, handOver);
+            parts.book().acceptHandOver(from, handOver);
         } else if (message instanceof RecordFind find) {
-            parts.server().find(from.id(), find);
+            parts.server().answerFind(from.id(), find);
         } else if (message instanceof RecordFound found) {
-            parts.book().found(from.id(), found);
-            parts.finder().found(from.id(), found);
+            parts.book().findAnswered(from.id(), found);
+            parts.finder().answerReceived(from.id(), found);
         } else {
             return false;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/caller/CallerHandler.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/caller/CallerHandler.java
@@ -116,7 +116,7 @@
         Outcome refused = refusedOutcome(request);
         if (table.revision() == 0) {
             Failure failure = new Failure(refused, Failure.Kind.NO_TABLE, RETRY_AFTER_MILLIS);
-            Answers.failure(sink, "", failure);
+            Answers.sendFailure(sink, "", failure);
             return true;
         }
         if (organisation.isEmpty()) {
@@ -154,8 +154,8 @@
                         target,
                         context.self().dataCentre());
         if (handling instanceof Handling.NotAllowed) {
-            Answers.failure(sink, "", new Failure(refused, Failure.Kind.NO_ROW, 0));
-        } else if (handling instanceof Handling.NameTarget) {
+            Answers.sendFailure(sink, "", new Failure(refused, Failure.Kind.NO_ROW, 0));
+        } else if (handling instanceof Handling.TargetRequired) {
             Answers.refuse(
                     sink,
                     400,
@@ -180,13 +180,13 @@
 
     private void redirect(
             String path, Optional<String> target, List<String> dataCentres, CallerSink sink) {
-        Optional<EntryInfo> peer = chooser.foreign(target, dataCentres);
+        Optional<EntryInfo> peer = chooser.entryIn(target, dataCentres);
         if (peer.isEmpty()) {
             Answers.refuse(sink, 503, "no entry is live where the data may be handled");
             return;
         }
         Header location = new Header("Location", "http://" + peer.get().callerAddress() + path);
-        Answers.whole(sink, 307, "text/plain", List.of(location), NO_BYTES);
+        Answers.send(sink, 307, "text/plain", List.of(location), NO_BYTES);
     }
 
     private static IncomingRequest incoming(
--- a/trailladder-entry/src/main/java/io/trailladder/entry/caller/ExchangeSink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/caller/ExchangeSink.java
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void whenGone(Runnable action) {
-        loop.execute(() -> exchange.onGone(action));
+    public void whenDisconnected(Runnable action) {
+        loop.execute(() -> exchange.onDisconnect(action));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AnswerRelay.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/AnswerRelay.java
@@ -15,7 +15,7 @@
  */
 package io.trailladder.entry.gateway;
 
-import io.trailladder.core.memory.HeldKind;
+import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.pipeline.AttemptHistory;
 import io.trailladder.entry.gateway.EventSplitter.StreamEvent;
@@ -32,7 +32,7 @@
     private static final int MAX_SUCCESS_STATUS = 299;
 
     private final MemoryManager memory;
-    private final MemoryAccount.Holding reservation;
+    private final MemoryAccount.Reservation reservation;
     private final ServerExchange exchange;
     private final AttemptHistory history;
     private final boolean stream;
@@ -59,7 +59,7 @@
             boolean stream,
             Runnable onFirstByte) {
         this.memory = memory;
-        this.reservation = memory.account().open(HeldKind.ANSWERS_PARSED);
+        this.reservation = memory.account().open(ReservationKind.ANSWERS_PARSED);
         this.exchange = exchange;
         this.history = history;
         this.stream = stream;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
@@ -35,8 +35,8 @@
 import io.trailladder.wire.NodeMessage.RegionDigest;
 import io.trailladder.wire.NodeMessage.RolloutReport;
 import io.trailladder.wire.NodeMessage.Snapshot;
-import io.trailladder.wire.NodeMessage.SnapshotAsk;
-import io.trailladder.wire.NodeMessage.UpstreamNews;
+import io.trailladder.wire.NodeMessage.SnapshotRequest;
+import io.trailladder.wire.NodeMessage.UpstreamUpdate;
 import io.trailladder.wire.NodeMessage.UsageHistory;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -72,8 +72,8 @@
     private static final long MIN_EXTRA_DIGEST_INTERVAL_MILLIS = 50;
 
     private final LongSupplier nowMillis;
-    private final PolicyKeeper policies;
-    private final DirectoryKeeper directory;
+    private final PolicyManager policies;
+    private final DirectoryManager directory;
     private final StoreHealth store;
     private final LimitExchange limits;
     private final UpstreamLoads loads;
@@ -111,8 +111,8 @@
      */
     public ClusterView(
             LongSupplier nowMillis,
-            PolicyKeeper policies,
-            DirectoryKeeper directory,
+            PolicyManager policies,
+            DirectoryManager directory,
             StoreHealth store,
             Quotas quotas,
             UpstreamLoads loads,
@@ -134,10 +134,10 @@
         this.snapshots = new SnapshotExchange(nowMillis, policies, directory, store, metrics);
         this.regions = new RegionExchange(directory, limits, loads, usage, parts, writer);
         this.peers = new LinkedPeers(nowMillis, regions);
-        this.leavingUpdates = new LeavingUpdates(directory::listedLeaving);
+        this.leavingUpdates = new LeavingUpdates(directory::leavingIncarnation);
         this.epochUpdates = new EpochUpdates(store.history());
         directory.onLeaving(upstream -> recordLeaving(upstream.id()));
-        directory.onNews(this::forward);
+        directory.onUpdate(this::forward);
         // registered first: peers must know the new epoch before they receive data of the new
         // history
         store.history().onReplaced(this::historyReplaced);
@@ -305,9 +305,9 @@
     public boolean isFed(boolean fedBefore) {
         long oldest = nowMillis.getAsLong() - FED_MAX_AGE_MILLIS;
         return peers.counted().stream()
-                .filter(peer -> !peer.isLeaf() && mesh.isFedBy(peer.hello()))
+                .filter(peer -> !peer.isLeaf() && mesh.receivesUpdatesFrom(peer.hello()))
                 .filter(peer -> peer.isStoreReachable() && peer.digestMillis() >= oldest)
-                .filter(peer -> store.history().mayBeOf(peer.storeEpoch()))
+                .filter(peer -> store.history().mayMatch(peer.storeEpoch()))
                 .anyMatch(peer -> fedBefore || snapshots.isAsRecentAs(peer));
     }
 
@@ -324,7 +324,7 @@
         parts.linked(peer.name(), nowMillis.getAsLong());
         epochUpdates.sendWithNext();
         sendDigestsTo(List.of(peer));
-        rollouts.ifPresent(exchange -> exchange.tell(mesh, List.of(peer)));
+        rollouts.ifPresent(exchange -> exchange.send(mesh, List.of(peer)));
         snapshots.linked(mesh, hello);
     }
 
@@ -335,10 +335,10 @@
         } else if (message instanceof RegionDigest digest) {
             mesh.regions().ifPresent(view -> regionDigest(view, hello, digest));
         } else if (message instanceof UsageHistory history) {
-            usage.merge(history.life(), history.usage(), peers.isLeaf(hello.name()));
-        } else if (message instanceof SnapshotAsk request) {
+            usage.merge(history.incarnation(), history.usage(), peers.isLeaf(hello.name()));
+        } else if (message instanceof SnapshotRequest request) {
             snapshots.requestReceived(mesh, peers.of(hello), request);
-        } else if (message instanceof UpstreamNews update && mesh.isFedBy(hello)) {
+        } else if (message instanceof UpstreamUpdate update && mesh.receivesUpdatesFrom(hello)) {
             upstreamUpdate(peers.of(hello), update);
         } else if (message instanceof Snapshot snapshot) {
             snapshots.snapshotReceived(mesh, peers.of(hello), snapshot);
@@ -350,16 +350,16 @@
     private void rolloutReport(Peer from, RolloutReport report) {
         StoreHistory history = store.history();
         boolean sameHistory = from.storeEpoch() == history.epoch();
-        if (history.mayBeOf(from.storeEpoch())) {
-            rollouts.ifPresent(exchange -> exchange.heard(from.hello(), report, sameHistory));
+        if (history.mayMatch(from.storeEpoch())) {
+            rollouts.ifPresent(exchange -> exchange.receive(from.hello(), report, sameHistory));
         }
     }
 
-    private void upstreamUpdate(Peer from, UpstreamNews update) {
-        if (store.history().mayBeOf(from.storeEpoch())) {
-            directory.fromPeer(update);
+    private void upstreamUpdate(Peer from, UpstreamUpdate update) {
+        if (store.history().mayMatch(from.storeEpoch())) {
+            directory.applyFromPeer(update);
         } else {
-            store.history().newsPassedOver(update, directory.revision());
+            store.history().updateIgnored(update, directory.revision());
         }
     }
 
@@ -370,7 +370,7 @@
         long now = nowMillis.getAsLong();
         Peer peer = peers.of(sender);
         epochUpdates.received(peer, StoreEpochSection.of(digest.digest()));
-        if (view.isElsewhere(sender)) {
+        if (view.isOtherRegion(sender)) {
             peer.messageReceived(now);
             snapshots.digest(mesh, peer, digest.digest());
         }
@@ -385,13 +385,13 @@
         peer.received(ValidFigures.of(peer.name(), digest), now);
         evidenceReceived |= !digest.evidence().isEmpty();
         LeavingIncarnations.of(digest)
-                .forEach(upstream -> directory.leavingSeenBy(upstream, peer.name()));
-        boolean feeds = mesh.isFedBy(peer.hello());
+                .forEach(upstream -> directory.leavingReportedBy(upstream, peer.name()));
+        boolean feeds = mesh.receivesUpdatesFrom(peer.hello());
         if (peer.revisionDecreased() && feeds) {
             directory.historyReplaced();
         }
         if (feeds && peer.isStoreReachable() && snapshots.isAsRecentAs(peer)) {
-            directory.heard();
+            directory.confirmedCurrent();
         }
         snapshots.digest(mesh, peer, digest);
         if (!peers.counts(peer)) {
@@ -401,7 +401,7 @@
             return;
         }
         boolean leaf = peer.isLeaf();
-        digest.usage().forEach(history -> usage.merge(history.life(), history.usage(), leaf));
+        digest.usage().forEach(history -> usage.merge(history.incarnation(), history.usage(), leaf));
         loads.setPeerUses(peer.name(), digest.uses());
         limits.received(peer, digest.quotas(), now);
         parts.received(peer.name(), digest, now);
@@ -419,7 +419,7 @@
      * Forwards a change to the leaves of this hub; a follower of the store forwards it to the other
      * hubs too.
      */
-    private void forward(UpstreamNews update) {
+    private void forward(UpstreamUpdate update) {
         if (mesh == null || !mesh.isHub()) {
             return;
         }
@@ -460,7 +460,7 @@
 
     /** Sends the progress of roll-outs to the peers. */
     void sendRolloutReports() {
-        rollouts.ifPresent(exchange -> exchange.tell(mesh, peers.all()));
+        rollouts.ifPresent(exchange -> exchange.send(mesh, peers.all()));
     }
 
     /**
@@ -473,7 +473,7 @@
             evidencePeers = counted;
             List<EngineEvidence> reported = new ArrayList<>();
             counted.forEach(peer -> reported.addAll(peer.evidence()));
-            engines.others(reported);
+            engines.peerEvidence(reported);
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ConnectionShares.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ConnectionShares.java
@@ -27,7 +27,7 @@
  * that have none yet.
  */
 final class ConnectionShares {
-    private final PolicyKeeper policies;
+    private final PolicyManager policies;
     private final IntSupplier processes;
 
     /**
@@ -36,7 +36,7 @@
      * @param policies returns how many connections services accept
      * @param processes returns the number of processes, this one included
      */
-    ConnectionShares(PolicyKeeper policies, IntSupplier processes) {
+    ConnectionShares(PolicyManager policies, IntSupplier processes) {
         this.policies = policies;
         this.processes = processes;
     }
@@ -55,12 +55,12 @@
                         .map(ServiceSpec::maxConnections)
                         .orElse(0);
         return accepted <= 0
-                ? OutgoingCall.MOST_RESTING
+                ? OutgoingCall.MAX_IDLE_CONNECTIONS
                 : share(accepted - upstream.slots(), processes.getAsInt());
     }
 
     static int share(int connections, int processes) {
         int evenShare = connections / Math.max(1, processes);
-        return Math.max(1, Math.min(OutgoingCall.MOST_RESTING, evenShare));
+        return Math.max(1, Math.min(OutgoingCall.MAX_IDLE_CONNECTIONS, evenShare));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CountedStore.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CountedStore.java
@@ -33,7 +33,7 @@
     private final StoreCalls calls;
     private final Purpose purpose;
     private final LongSupplier nowMillis;
-    private final LongConsumer answered;
+    private final LongConsumer latencyListener;
 
     CountedStore(
             CoordinationStore store,
@@ -42,7 +42,7 @@
             LongSupplier nowMillis,
             LongConsumer answered) {
         this.nowMillis = nowMillis;
-        this.answered = answered;
+        this.latencyListener = answered;
         this.store = store;
         this.calls = calls;
         this.purpose = purpose;
@@ -59,13 +59,13 @@
             String afterKey,
             Freshness freshness,
             Consumer<Either<StoreFailure, StoreBatch>> result) {
-        made(freshness == Freshness.LATEST ? Kind.FRESH_READ : Kind.RECENT_READ);
+        count(freshness == Freshness.LATEST ? Kind.FRESH_READ : Kind.RECENT_READ);
         store.list(prefix, afterKey, freshness, result);
     }
 
     @Override
     public void read(String key, Consumer<Either<StoreFailure, StoreItem>> result) {
-        made(Kind.FRESH_READ);
+        count(Kind.FRESH_READ);
         store.read(key, result);
     }
 
@@ -81,32 +81,32 @@
                 waitMillis,
                 batch -> {
                     boolean news = batch.isRight() && !batch.get().items().isEmpty();
-                    made(news ? Kind.WATCH_WITH_NEWS : Kind.WATCH_WITHOUT_NEWS);
+                    count(news ? Kind.WATCH_WITH_NEWS : Kind.WATCH_WITHOUT_NEWS);
                     result.accept(batch);
                 });
     }
 
     @Override
     public void write(StoreWrite write, Consumer<Either<StoreFailure, Long>> result) {
-        made(Kind.WRITE);
+        count(Kind.WRITE);
         store.write(write, result);
     }
 
     @Override
     public void grant(long ttlMillis, Consumer<Either<StoreFailure, Long>> result) {
-        made(Kind.GRANT);
+        count(Kind.GRANT);
         store.grant(ttlMillis, timed(result));
     }
 
     @Override
     public void renew(long lease, Consumer<Either<StoreFailure, Long>> result) {
-        made(Kind.RENEWAL);
+        count(Kind.RENEWAL);
         store.renew(lease, timed(result));
     }
 
     @Override
     public void end(long lease, Consumer<Either<StoreFailure, Long>> result) {
-        made(Kind.END);
+        count(Kind.END);
         store.end(lease, result);
     }
 
@@ -114,13 +114,13 @@
         long sent = nowMillis.getAsLong();
         return answer -> {
             if (answer.isRight()) {
-                answered.accept(nowMillis.getAsLong() - sent);
+                latencyListener.accept(nowMillis.getAsLong() - sent);
             }
             result.accept(answer);
         };
     }
 
-    private void made(Kind kind) {
-        calls.made(purpose, kind);
+    private void count(Kind kind) {
+        calls.countCall(purpose, kind);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashGuard.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashGuard.java
@@ -36,16 +36,16 @@
     void failed(Attempt attempt, AttemptFailure failure) {
         Upstream upstream = attempt.upstream();
         if (failure == AttemptFailure.UNREACHABLE) {
-            context.crashes().isGone(upstream);
+            context.crashes().upstreamLost(upstream);
         } else if (mayHaveEnded(upstream, failure)) {
-            context.crashes().ended(tryId, identity, upstream, attempt.ageMillis());
+            context.crashes().recordEnd(tryId, identity, upstream, attempt.ageMillis());
         }
     }
 
     /** Takes over that an attempt is broken off whose outcome is not known. */
-    void tookBack(Attempt attempt) {
+    void attemptAbandoned(Attempt attempt) {
         if (attempt.isSent()) {
-            context.crashes().tookBack(tryId, identity, attempt.upstream(), attempt.ageMillis());
+            context.crashes().attemptAbandoned(tryId, identity, attempt.upstream(), attempt.ageMillis());
         }
     }
 
@@ -60,18 +60,18 @@
         return ended && !context.directory().isLeaving(upstream.id());
     }
 
-    void ranWhole() {
-        context.crashes().ranWhole(identity);
+    void ranToCompletion() {
+        context.crashes().ranToCompletion(identity);
     }
 
     /** Tells whether the request is not to be sent again, by what is known by now. */
-    boolean refusesFurther() {
-        stopped |= context.crashes().refusesFurther(tryId, identity);
+    boolean refusesRetry() {
+        stopped |= context.crashes().refusesRetry(tryId, identity);
         return stopped;
     }
 
     /** Tells whether this is a request that was found to end upstreams; it is stopped then. */
-    boolean stops(RequestFingerprint found) {
+    boolean stopIfSame(RequestFingerprint found) {
         stopped |= identity.fingerprint().equals(found);
         return stopped;
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPages.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPages.java
@@ -38,7 +38,7 @@
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
     private static final JsonFactory JSON = new JsonFactory();
 
     private final CrashWatch crashes;
@@ -50,7 +50,7 @@
     }
 
     /** Answers a request if it asks for one of these pages; returns false if it does not. */
-    boolean answers(ServerExchange exchange) {
+    boolean handle(ServerExchange exchange) {
         String path = exchange.path();
         if (path.equals(PATH) && exchange.method().equals("GET")) {
             HeaderList type = HeaderList.of("Content-Type", "application/json");
@@ -66,7 +66,7 @@
 
     private void lift(ServerExchange exchange, String name) {
         try {
-            RequestFingerprint request = new RequestFingerprint(Long.parseUnsignedLong(name, HEX));
+            RequestFingerprint request = new RequestFingerprint(Long.parseUnsignedLong(name, HEX_RADIX));
             boolean lifted = crashes.lift(request);
             text(exchange, lifted ? OK : NOT_FOUND, lifted ? "lifted" : "no such request");
         } catch (NumberFormatException e) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashPart.java
@@ -113,9 +113,9 @@
             return Optional.empty();
         }
         byte[] reports =
-                CrashReports.write(
+                CrashReportCodec.write(
                         new ArrayList<>(selected.values()),
-                        DigestSection.MOST_BYTES - Long.BYTES,
+                        DigestSection.MAX_BODY_BYTES - Long.BYTES,
                         nowMillis);
         byte[] body =
                 ByteBuffer.allocate(Long.BYTES + reports.length)
@@ -140,12 +140,12 @@
             throw new IOException(body.remaining() + " bytes, expected at least " + Long.BYTES);
         }
         long peerIncarnation = body.getLong();
-        List<CrashReport> reports = CrashReports.read(body, nowMillis - section.ageMillis());
+        List<CrashReport> reports = CrashReportCodec.read(body, nowMillis - section.ageMillis());
         Long before = peerIncarnations.put(peer, peerIncarnation);
         if (before == null || before != peerIncarnation) {
             sendAllUntilMillis = nowMillis + REPEAT_MILLIS;
         }
-        reports.forEach(report -> crashes.told(peer, report));
+        reports.forEach(report -> crashes.receiveReport(peer, report));
     }
 
     @Override
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashRecords.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashRecords.java
@@ -40,23 +40,23 @@
  * process that starts reads it.
  *
  * <p>The value is the time of day at which it was written, in milliseconds, and reports by {@link
- * CrashReports}.
+ * CrashReportCodec}.
  */
 final class CrashRecords {
     /** Where it is kept. */
     static final String KEY = "trailladder/record/crashes";
 
     /** How often the leader looks whether something has changed, in milliseconds. */
-    private static final long WRITE_MILLIS = 1_000;
+    private static final long WRITE_CHECK_INTERVAL_MILLIS = 1_000;
 
     /** How long after a read that failed it is tried again, in milliseconds. */
-    private static final long READ_AGAIN_MILLIS = 2_000;
+    private static final long READ_RETRY_MILLIS = 2_000;
 
     /** Most reads that are tried: peers tell the same, and the store may be away for long. */
-    private static final int MOST_READS = 10;
+    private static final int MAX_READS = 10;
 
     /** Most bytes of the value: some 50 requests with four ends each. */
-    private static final int MOST_BYTES = 4_096;
+    private static final int MAX_VALUE_BYTES = 4_096;
 
     private static final String SOURCE = "store";
 
@@ -66,10 +66,10 @@
     private final StoreHealth health;
     private final CrashWatch crashes;
     private final BooleanSupplier leads;
-    private Set<RequestFingerprint> written = Set.of();
+    private Set<RequestFingerprint> writtenRequests = Set.of();
     private long revision;
-    private int reads;
-    private boolean known;
+    private int readCount;
+    private boolean loaded;
     private boolean busy;
     private boolean replaced;
 
@@ -95,54 +95,54 @@
      * @param firstStart true if nothing was kept before, so that nothing needs reading
      */
     void start(boolean firstStart) {
-        known = firstStart;
+        loaded = firstStart;
         if (!firstStart) {
             read();
         }
-        loop.repeat(WRITE_MILLIS, this::writeChanges);
+        loop.repeat(WRITE_CHECK_INTERVAL_MILLIS, this::writeChanges);
     }
 
     /** Tells whether what was kept before is known. */
-    boolean isKnown() {
-        return known;
+    boolean isLoaded() {
+        return loaded;
     }
 
     /** What was written may be gone: the leader reads what stands there and writes again. */
     private void historyReplaced() {
         revision = 0;
-        written = Set.of();
+        writtenRequests = Set.of();
         busy = false;
         replaced = true;
     }
 
     private void read() {
-        reads++;
-        store.list(KEY, "", Freshness.RECENT, this::wasRead);
+        readCount++;
+        store.list(KEY, "", Freshness.RECENT, this::onRead);
     }
 
-    private void wasRead(Either<StoreFailure, StoreBatch> result) {
+    private void onRead(Either<StoreFailure, StoreBatch> result) {
         if (result.isRight()) {
             health.answered();
-            result.get().items().forEach(this::takeOver);
-            known = true;
+            result.get().items().forEach(this::apply);
+            loaded = true;
             return;
         }
         health.failed(result.getLeft());
-        if (reads < MOST_READS) {
-            loop.schedule(READ_AGAIN_MILLIS, this::read);
+        if (readCount < MAX_READS) {
+            loop.schedule(READ_RETRY_MILLIS, this::read);
         }
     }
 
-    private void takeOver(StoreItem item) {
+    private void apply(StoreItem item) {
         revision = item.revision();
         ByteBuffer value = ByteBuffer.wrap(item.value());
-        if (item.gone() || value.remaining() < Long.BYTES) {
+        if (item.removed() || value.remaining() < Long.BYTES) {
             return;
         }
         long age = Math.max(0, clock.millis() - value.getLong());
         try {
-            List<CrashReport> reports = CrashReports.read(value, loop.nowMillis() - age);
-            reports.forEach(report -> crashes.told(SOURCE, report));
+            List<CrashReport> reports = CrashReportCodec.read(value, loop.nowMillis() - age);
+            reports.forEach(report -> crashes.receiveReport(SOURCE, report));
         } catch (IOException e) {
             DecisionLog.write(new Lifecycle(KEY, "passed over", e.getMessage()));
         }
@@ -158,29 +158,29 @@
         if (replaced) {
             replaced = false;
             readBack();
-        } else if (!now.equals(written)) {
+        } else if (!now.equals(writtenRequests)) {
             write(reports, now);
         }
     }
 
     private void write(List<CrashReport> reports, Set<RequestFingerprint> requests) {
         busy = true;
-        byte[] told = CrashReports.write(reports, MOST_BYTES - Long.BYTES, loop.nowMillis());
+        byte[] told = CrashReportCodec.write(reports, MAX_VALUE_BYTES - Long.BYTES, loop.nowMillis());
         byte[] value =
                 ByteBuffer.allocate(Long.BYTES + told.length)
                         .putLong(clock.millis())
                         .put(told)
                         .array();
         store.write(
-                new StoreWrite(KEY, value, revision, 0), result -> wasWritten(requests, result));
+                new StoreWrite(KEY, value, revision, 0), result -> onWritten(requests, result));
     }
 
-    private void wasWritten(Set<RequestFingerprint> requests, Either<StoreFailure, Long> result) {
+    private void onWritten(Set<RequestFingerprint> requests, Either<StoreFailure, Long> result) {
         busy = false;
         if (result.isRight()) {
             health.answered();
             revision = result.get();
-            written = requests;
+            writtenRequests = requests;
             return;
         }
         health.failed(result.getLeft());
@@ -193,14 +193,14 @@
 
     private void readBack() {
         busy = true;
-        store.read(KEY, this::wasReadBack);
+        store.read(KEY, this::onReadBack);
     }
 
-    private void wasReadBack(Either<StoreFailure, StoreItem> result) {
+    private void onReadBack(Either<StoreFailure, StoreItem> result) {
         busy = false;
         if (result.isRight()) {
             health.answered();
-            takeOver(result.get());
+            apply(result.get());
         } else {
             health.failed(result.getLeft());
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashReports.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashReportCodec.java
@@ -29,12 +29,12 @@
  * The form in which reports of requests that end upstreams are told and kept. Times are written as
  * ages, since each process has a clock of its own.
  */
-final class CrashReports {
+final class CrashReportCodec {
     private static final int NEVER = -1;
     private static final int END_BYTES = Long.BYTES + 1 + 2 * Integer.BYTES;
     private static final int HEAD_BYTES = Long.BYTES + Integer.BYTES + 1;
 
-    private CrashReports() {}
+    private CrashReportCodec() {}
 
     /** Writes as many reports, in their order, as fit into so many bytes. */
     static byte[] write(List<CrashReport> reports, int mostBytes, long nowMillis) {
@@ -53,17 +53,17 @@
     private static void write(ByteBuffer bytes, CrashReport report, long nowMillis) {
         boolean cleared = report.clearedMillis() != CrashReport.NEVER;
         bytes.putLong(report.request().value());
-        bytes.putInt(cleared ? number(nowMillis - report.clearedMillis()) : NEVER);
+        bytes.putInt(cleared ? clampMillis(nowMillis - report.clearedMillis()) : NEVER);
         bytes.put((byte) report.ends().size());
         for (UpstreamEnd end : report.ends()) {
             bytes.putLong(end.incarnation());
             bytes.put((byte) end.earlierEnds());
-            bytes.putInt(number(nowMillis - end.atMillis()));
-            bytes.putInt(number(end.ranMillis()));
+            bytes.putInt(clampMillis(nowMillis - end.atMillis()));
+            bytes.putInt(clampMillis(end.ranMillis()));
         }
     }
 
-    private static int number(long millis) {
+    private static int clampMillis(long millis) {
         return (int) Math.max(0, Math.min(Integer.MAX_VALUE, millis));
     }
 
@@ -90,14 +90,14 @@
         for (int i = 0; i < count; i++) {
             long upstream = bytes.getLong();
             int repeat = Byte.toUnsignedInt(bytes.get());
-            long at = nowMillis - age(bytes.getInt());
-            ends.add(new UpstreamEnd(upstream, repeat, at, age(bytes.getInt())));
+            long at = nowMillis - checkedAge(bytes.getInt());
+            ends.add(new UpstreamEnd(upstream, repeat, at, checkedAge(bytes.getInt())));
         }
-        long cleared = clearedAge == NEVER ? CrashReport.NEVER : nowMillis - age(clearedAge);
+        long cleared = clearedAge == NEVER ? CrashReport.NEVER : nowMillis - checkedAge(clearedAge);
         return new CrashReport(request, cleared, ends);
     }
 
-    private static int age(int millis) throws IOException {
+    private static int checkedAge(int millis) throws IOException {
         if (millis < 0 || millis > CrashLedger.REFUSED_RETENTION_MILLIS) {
             throw new IOException("an age of " + millis + " ms");
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/CrashWatch.java
@@ -35,22 +35,22 @@
 /** Watches for requests that end the upstreams that run them, and has them refused. */
 public final class CrashWatch {
     /** How often the watch looks through what it remembers, in milliseconds. */
-    static final long LOOK_MILLIS = 1_000;
+    static final long CHECK_INTERVAL_MILLIS = 1_000;
 
     /** How often a refused request's ends are logged, in milliseconds; its tries may be many. */
-    private static final long LOGGED_MILLIS = 10_000;
+    private static final long LOG_INTERVAL_MILLIS = 10_000;
 
     /** Most requests of which it is known when their ends were last logged. */
-    private static final int MOST_LOGGED = 256;
+    private static final int MAX_LOGGED_REQUESTS = 256;
 
     private final CrashLedger ledger = new CrashLedger();
-    private final CancelledRequests left = new CancelledRequests();
+    private final CancelledRequests abandoned = new CancelledRequests();
     private final LongSupplier nowMillis;
     private final GatewayMetrics metrics;
-    private final Map<RequestFingerprint, Long> loggedMillis = new RecentMap<>(MOST_LOGGED);
-    private Runnable onOwnNews = () -> {};
+    private final Map<RequestFingerprint, Long> loggedMillis = new RecentMap<>(MAX_LOGGED_REQUESTS);
+    private Runnable onNewEnd = () -> {};
     private Consumer<RequestFingerprint> onRefused = request -> {};
-    private long soundSinceMillis = Long.MAX_VALUE;
+    private long listValidSinceMillis = Long.MAX_VALUE;
 
     CrashWatch(LongSupplier nowMillis, GatewayMetrics metrics) {
         this.nowMillis = nowMillis;
@@ -58,8 +58,8 @@
     }
 
     /** Has a task run when an end was seen here that was not known. */
-    void onOwnNews(Runnable task) {
-        onOwnNews = task;
+    void onNewEnd(Runnable task) {
+        onNewEnd = task;
     }
 
     /** Has a listener told of each request that is refused from now on. */
@@ -80,12 +80,12 @@
                     new Lifecycle(
                             "request " + identity.fingerprint(), "sent once more", "try " + tryId));
         }
-        return verdict == CrashVerdict.REFUSED && refused(tryId, identity);
+        return verdict == CrashVerdict.REFUSED && recordRefusal(tryId, identity);
     }
 
     /** Tells whether a request whose attempt has failed is not to be sent again. */
-    boolean refusesFurther(String tryId, RequestIdentity identity) {
-        return verdict(identity) != CrashVerdict.SERVED && refused(tryId, identity);
+    boolean refusesRetry(String tryId, RequestIdentity identity) {
+        return verdict(identity) != CrashVerdict.SERVED && recordRefusal(tryId, identity);
     }
 
     private CrashVerdict verdict(RequestIdentity identity) {
@@ -94,12 +94,12 @@
                 : CrashVerdict.SERVED;
     }
 
-    private boolean refused(String tryId, RequestIdentity identity) {
+    private boolean recordRefusal(String tryId, RequestIdentity identity) {
         metrics.count(GatewayMetrics.Event.REFUSED_AS_CRASHING);
         RequestFingerprint request = identity.fingerprint();
         long now = nowMillis.getAsLong();
         Long logged = loggedMillis.get(request);
-        if (logged == null || now - logged >= LOGGED_MILLIS) {
+        if (logged == null || now - logged >= LOG_INTERVAL_MILLIS) {
             loggedMillis.put(request, now);
             DecisionLog.write(
                     new RefusedAsCrashing(tryId, request, ledger.countedEnds(request), now));
@@ -108,20 +108,20 @@
     }
 
     /** Records that an upstream ended, or its connection did, while it had a request. */
-    void ended(String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
-        ended(left(tryId, identity, upstream, ranMillis));
-        isGone(upstream);
+    void recordEnd(String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
+        recordEnd(abandoned(tryId, identity, upstream, ranMillis));
+        upstreamLost(upstream);
     }
 
     /** Records that a request was taken back from an upstream, which may end under it yet. */
-    void tookBack(String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
-        left.add(left(tryId, identity, upstream, ranMillis));
+    void attemptAbandoned(String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
+        abandoned.add(abandoned(tryId, identity, upstream, ranMillis));
     }
 
-    private CancelledRequest left(
+    private CancelledRequest abandoned(
             String tryId, RequestIdentity identity, Upstream upstream, long ranMillis) {
         long now = nowMillis.getAsLong();
-        long life = lifeOf(upstream);
+        long life = incarnationOf(upstream);
         return new CancelledRequest(
                 tryId, identity.fingerprint(), upstream.id(), life, now - ranMillis, now);
     }
@@ -130,13 +130,13 @@
      * Records that an upstream has ended, or seems to: requests that were taken back from it lately
      * had it too.
      */
-    void isGone(Upstream upstream) {
-        for (CancelledRequest one : left.takeFrom(upstream.id(), nowMillis.getAsLong())) {
-            ended(one);
+    void upstreamLost(Upstream upstream) {
+        for (CancelledRequest one : abandoned.takeFrom(upstream.id(), nowMillis.getAsLong())) {
+            recordEnd(one);
         }
     }
 
-    private void ended(CancelledRequest one) {
+    private void recordEnd(CancelledRequest one) {
         RequestFingerprint request = one.request();
         boolean news =
                 ledger.ended(
@@ -153,8 +153,8 @@
                         one.cancelledMillis() - one.sentMillis(),
                         ledger.countedEnds(request).size()));
         if (news) {
-            onOwnNews.run();
-            tellIfRefused(request);
+            onNewEnd.run();
+            notifyIfRefused(request);
         }
     }
 
@@ -164,7 +164,7 @@
      */
     void answered(Upstream upstream, long sentMillis) {
         if (ledger.hasSuspects() && upstream.startedMillis() > 0) {
-            ledger.observedAlive(lifeOf(upstream), sentMillis);
+            ledger.observedAlive(incarnationOf(upstream), sentMillis);
         }
     }
 
@@ -175,11 +175,11 @@
      */
     void announcedLeaving(Upstream upstream) {
         if (!ledger.isEmpty()) {
-            ledger.observedAlive(lifeOf(upstream), nowMillis.getAsLong());
+            ledger.observedAlive(incarnationOf(upstream), nowMillis.getAsLong());
         }
     }
 
-    private static long lifeOf(Upstream upstream) {
+    private static long incarnationOf(Upstream upstream) {
         return UpstreamEnd.incarnationOf(upstream.id(), upstream.startedMillis());
     }
 
@@ -187,7 +187,7 @@
      * Records that a request ran whole, which clears it of a single end too: those of several
      * processes would add up otherwise, although it ran whole between them.
      */
-    void ranWhole(RequestIdentity identity) {
+    void ranToCompletion(RequestIdentity identity) {
         if (!ledger.isEmpty() && ledger.cleared(identity.fingerprint(), nowMillis.getAsLong())) {
             DecisionLog.write(
                     new Lifecycle("request " + identity.fingerprint(), "cleared", "it ran whole"));
@@ -204,39 +204,39 @@
     }
 
     /** Takes over what a peer, or the store, tells. */
-    void told(String source, CrashReport report) {
+    void receiveReport(String source, CrashReport report) {
         if (ledger.received(source, report, nowMillis.getAsLong())) {
             DecisionLog.write(
                     new Lifecycle(
                             "request " + report.request(),
                             "refused from now",
                             report.ends().size() + " ends, told by " + source));
-            tellIfRefused(report.request());
+            notifyIfRefused(report.request());
         }
     }
 
-    private void tellIfRefused(RequestFingerprint request) {
+    private void notifyIfRefused(RequestFingerprint request) {
         if (ledger.verdict(request, nowMillis.getAsLong()) == CrashVerdict.REFUSED) {
             onRefused.accept(request);
         }
     }
 
     /**
-     * Looks through what is remembered. To be called every {@link #LOOK_MILLIS}.
+     * Looks through what is remembered. To be called every {@link #CHECK_INTERVAL_MILLIS}.
      *
      * @param listed the upstreams that are listed
      * @param sound true if the list is sound: the store answers, and no entries are missing that
      *     may come back
      */
-    void look(Collection<Upstream> listed, boolean sound) {
+    void check(Collection<Upstream> listed, boolean sound) {
         long now = nowMillis.getAsLong();
-        soundSinceMillis = sound ? Math.min(soundSinceMillis, now) : Long.MAX_VALUE;
+        listValidSinceMillis = sound ? Math.min(listValidSinceMillis, now) : Long.MAX_VALUE;
         if (ledger.isEmpty()) {
             return;
         }
         Set<Long> living = new HashSet<>();
-        listed.forEach(one -> living.add(lifeOf(one)));
-        ledger.cleanUp(living, Math.min(soundSinceMillis, now), now);
+        listed.forEach(one -> living.add(incarnationOf(one)));
+        ledger.cleanUp(living, Math.min(listValidSinceMillis, now), now);
         metrics.crashing(ledger.refused().size(), ledger.size());
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestParts.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestParts.java
@@ -66,7 +66,7 @@
      * ignored.
      */
     void received(String peer, NodeDigest digest, long nowMillis) {
-        if (digest.sections().size() > DigestSection.MOST_SECTIONS) {
+        if (digest.sections().size() > DigestSection.MAX_SECTIONS) {
             logDropped(peer, digest.sections().size() + " sections", nowMillis);
             return;
         }
@@ -88,7 +88,7 @@
     }
 
     private void deliver(DigestPart part, String peer, DigestSection section, long nowMillis) {
-        if (section.body().length > DigestSection.MOST_BYTES) {
+        if (section.body().length > DigestSection.MAX_BODY_BYTES) {
             logDropped(peer, section.name() + " of " + section.body().length + " bytes", nowMillis);
         } else if (section.ageMillis() < 0 || section.ageMillis() > MAX_AGE_MILLIS) {
             logDropped(peer, section.name() + " of age " + section.ageMillis() + " ms", nowMillis);
