--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DigestWriter.java
@@ -45,8 +45,8 @@
      */
     private static final long EVIDENCE_INTERVAL_MILLIS = 1_000;
 
-    private final PolicyKeeper policies;
-    private final DirectoryKeeper directory;
+    private final PolicyManager policies;
+    private final DirectoryManager directory;
     private final Quotas quotas;
     private final UpstreamLoads loads;
     private final UsageLedger usage;
@@ -78,8 +78,8 @@
     }
 
     DigestWriter(
-            PolicyKeeper policies,
-            DirectoryKeeper directory,
+            PolicyManager policies,
+            DirectoryManager directory,
             Quotas quotas,
             UpstreamLoads loads,
             UsageLedger usage,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryKeeper.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DirectoryManager.java
@@ -22,7 +22,7 @@
 import io.trailladder.entry.port.PlatformFormat;
 import io.trailladder.entry.port.StoreItem;
 import io.trailladder.wire.NodeMessage.UpstreamEntry;
-import io.trailladder.wire.NodeMessage.UpstreamNews;
+import io.trailladder.wire.NodeMessage.UpstreamUpdate;
 import io.vavr.control.Either;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -38,29 +38,29 @@
  *
  * @since 0.2
  */
-public final class DirectoryKeeper implements StoreWatcher.Listener {
+public final class DirectoryManager implements StoreWatcher.Listener {
     private static final byte[] NO_BYTES = {};
 
     /**
      * How long entries that lapsed while the store was away may take to come back, in milliseconds:
      * about two seconds by the platform's contract, and a message's way.
      */
-    static final long RETURN_MILLIS = 2_200;
+    static final long REAPPEARANCE_MILLIS = 2_200;
 
     private final PlatformFormat format;
     private final UpstreamDirectory directory;
     private final LongSupplier nowMillis;
-    private final Consumer<Runnable> afterReturn;
+    private final Consumer<Runnable> afterReappearance;
     private final List<Consumer<Upstream>> onLeaving = new ArrayList<>();
     private final Map<String, byte[]> entries = new HashMap<>();
     private final UnusableEntries unusable = new UnusableEntries();
-    private final RemovedEntries gone = new RemovedEntries();
-    private Consumer<UpstreamNews> onNews = news -> {};
-    private Consumer<UpstreamNews> onPassedOver = news -> {};
+    private final RemovedEntries removedEntries = new RemovedEntries();
+    private Consumer<UpstreamUpdate> onUpdate = news -> {};
+    private Consumer<UpstreamUpdate> onIgnoredUpdate = news -> {};
     private long revision;
     private boolean known;
-    private long heardMillis;
-    private long returnsUntilMillis = Long.MIN_VALUE;
+    private long confirmedMillis;
+    private long reappearUntilMillis = Long.MIN_VALUE;
 
     /**
      * Creates a keeper.
@@ -70,7 +70,7 @@
      * @param nowMillis tells the time
      * @param afterReturn runs a task {@value #RETURN_MILLIS} milliseconds later
      */
-    public DirectoryKeeper(
+    public DirectoryManager(
             PlatformFormat format,
             UpstreamDirectory directory,
             LongSupplier nowMillis,
@@ -78,7 +78,7 @@
         this.format = format;
         this.directory = directory;
         this.nowMillis = nowMillis;
-        this.afterReturn = afterReturn;
+        this.afterReappearance = afterReturn;
     }
 
     /**
@@ -86,8 +86,8 @@
      * the store was away, and entries lapse meanwhile though their upstreams live.
      */
     public void storeRegained() {
-        returnsUntilMillis = nowMillis.getAsLong() + RETURN_MILLIS;
-        afterReturn.accept(this::dropMissing);
+        reappearUntilMillis = nowMillis.getAsLong() + REAPPEARANCE_MILLIS;
+        afterReappearance.accept(this::dropMissing);
     }
 
     /**
@@ -96,9 +96,9 @@
      */
     public void historyReplaced() {
         revision = 0;
-        gone.historyReplaced();
+        removedEntries.historyReplaced();
         storeRegained();
-        afterReturn.accept(() -> afterReturn.accept(this::endDoubt));
+        afterReappearance.accept(() -> afterReappearance.accept(this::trustAllEntries));
     }
 
     /**
@@ -116,8 +116,8 @@
      *
      * @return false if the list is what the store has
      */
-    public boolean awaitsReturns() {
-        return nowMillis.getAsLong() < returnsUntilMillis;
+    public boolean awaitsReappearance() {
+        return nowMillis.getAsLong() < reappearUntilMillis;
     }
 
     /**
@@ -134,8 +134,8 @@
      *
      * @param listener the listener
      */
-    public void onNews(Consumer<UpstreamNews> listener) {
-        onNews = listener;
+    public void onUpdate(Consumer<UpstreamUpdate> listener) {
+        onUpdate = listener;
     }
 
     /**
@@ -144,13 +144,13 @@
      *
      * @param listener the listener
      */
-    public void onPassedOver(Consumer<UpstreamNews> listener) {
-        onPassedOver = listener;
+    public void onIgnoredUpdate(Consumer<UpstreamUpdate> listener) {
+        onIgnoredUpdate = listener;
     }
 
     @Override
-    public void heard() {
-        heardMillis = nowMillis.getAsLong();
+    public void confirmedCurrent() {
+        confirmedMillis = nowMillis.getAsLong();
     }
 
     /**
@@ -160,7 +160,7 @@
      * @return a time, in milliseconds
      */
     public long ageMillis() {
-        return nowMillis.getAsLong() - heardMillis;
+        return nowMillis.getAsLong() - confirmedMillis;
     }
 
     @Override
@@ -175,9 +175,9 @@
         long before = revision;
         revision = Math.max(revision, item.revision());
         String id = idOf(item.key());
-        byte[] value = item.gone() ? NO_BYTES : item.value();
+        byte[] value = item.removed() ? NO_BYTES : item.value();
         apply(id, value);
-        onNews.accept(new UpstreamNews(before, revision, new UpstreamEntry(id, value)));
+        onUpdate.accept(new UpstreamUpdate(before, revision, new UpstreamEntry(id, value)));
     }
 
     /**
@@ -185,14 +185,14 @@
      *
      * @param news the change
      */
-    public void fromPeer(UpstreamNews news) {
+    public void applyFromPeer(UpstreamUpdate news) {
         if (news.after() <= revision && news.revision() > revision) {
             revision = news.revision();
-            heard();
+            confirmedCurrent();
             apply(news.upstream().id(), news.upstream().value());
-            onNews.accept(news);
+            onUpdate.accept(news);
         } else if (news.revision() <= revision && differs(news.upstream())) {
-            onPassedOver.accept(news);
+            onIgnoredUpdate.accept(news);
         }
     }
 
@@ -202,21 +202,21 @@
 
     private void apply(String id, byte[] value) {
         if (value.length == 0) {
-            remember(id, entries.remove(id));
+            rememberRemoved(id, entries.remove(id));
             unusable.remove(id);
-            if (!mayReturn(id)) {
-                directory.removed(id).ifPresent(upstream -> left(upstream, "gone"));
+            if (!mayReappear(id)) {
+                directory.removed(id).ifPresent(upstream -> notifyLeaving(upstream, "gone"));
             }
             return;
         }
         entries.put(id, value);
-        gone.recordWritten(id);
+        removedEntries.recordWritten(id);
         read(id, value).ifPresent(this::changed);
     }
 
     private void changed(Upstream upstream) {
         boolean isNew = directory.find(upstream.id()).isEmpty();
-        directory.changed(upstream).ifPresent(leaving -> left(leaving, "draining"));
+        directory.changed(upstream).ifPresent(leaving -> notifyLeaving(leaving, "draining"));
         if (isNew) {
             DecisionLog.write(
                     new Belief("upstream " + upstream.id(), upstream.address(), "store", revision));
@@ -231,7 +231,7 @@
      * @param peer the peer's name
      * @return true if it says something else than the list here did
      */
-    public boolean fromPeer(List<UpstreamEntry> upstreams, long peerRevision, String peer) {
+    public boolean applyFromPeer(List<UpstreamEntry> upstreams, long peerRevision, String peer) {
         if (peerRevision <= revision) {
             return false;
         }
@@ -253,8 +253,8 @@
      * @param told the life that leaves
      * @param peer the peer's name
      */
-    public void leavingSeenBy(LeavingUpstream told, String peer) {
-        directory.leaving(told).ifPresent(upstream -> left(upstream, "draining, told by " + peer));
+    public void leavingReportedBy(LeavingUpstream told, String peer) {
+        directory.leaving(told).ifPresent(upstream -> notifyLeaving(upstream, "draining, told by " + peer));
     }
 
     /**
@@ -263,11 +263,11 @@
      * @param upstream the upstream
      * @return true if that is news
      */
-    public boolean leavingSaidBy(Upstream upstream) {
+    public boolean leavingAnnouncedBy(Upstream upstream) {
         boolean knownBefore = directory.isLeaving(upstream.id());
         directory
                 .leaving(new LeavingUpstream(upstream.id(), upstream.startedMillis()))
-                .ifPresent(known -> left(known, "draining, said by itself"));
+                .ifPresent(known -> notifyLeaving(known, "draining, said by itself"));
         return !knownBefore && directory.isLeaving(upstream.id());
     }
 
@@ -277,7 +277,7 @@
      * @param id the upstream's name
      * @return the life; empty if the upstream is not listed, or does not leave
      */
-    public Optional<LeavingUpstream> listedLeaving(String id) {
+    public Optional<LeavingUpstream> leavingIncarnation(String id) {
         return directory.find(id).isEmpty() ? Optional.empty() : directory.leavingIncarnation(id);
     }
 
@@ -333,11 +333,11 @@
     private void replaceAll(Map<String, byte[]> listed, long atRevision, String source) {
         revision = atRevision;
         known = true;
-        heard();
+        confirmedCurrent();
         entries.forEach(
                 (id, value) -> {
                     if (!listed.containsKey(id)) {
-                        remember(id, value);
+                        rememberRemoved(id, value);
                     }
                 });
         entries.clear();
@@ -346,15 +346,15 @@
         List<Upstream> upstreams = new ArrayList<>();
         entries.forEach(
                 (id, value) -> {
-                    if (!gone.isSuspect(id, value)) {
+                    if (!removedEntries.isSuspect(id, value)) {
                         read(id, value).ifPresent(upstreams::add);
                     }
                 });
         DecisionLog.write(new Belief("upstreams", upstreams.size() + " listed", source, revision));
         directory.all().stream()
-                .filter(upstream -> !entries.containsKey(upstream.id()) && mayReturn(upstream.id()))
+                .filter(upstream -> !entries.containsKey(upstream.id()) && mayReappear(upstream.id()))
                 .forEach(upstreams::add);
-        directory.replaceAll(upstreams).forEach(upstream -> left(upstream, "left, by list"));
+        directory.replaceAll(upstreams).forEach(upstream -> notifyLeaving(upstream, "left, by list"));
     }
 
     private Optional<Upstream> read(String id, byte[] value) {
@@ -367,15 +367,15 @@
         return upstream.toJavaOptional();
     }
 
-    private void remember(String id, byte[] lastValue) {
+    private void rememberRemoved(String id, byte[] lastValue) {
         if (lastValue != null) {
-            gone.recordRemoved(id, lastValue);
+            removedEntries.recordRemoved(id, lastValue);
         }
     }
 
     /** By now an upstream that lives has written itself again, and other entries have lapsed. */
-    private void endDoubt() {
-        gone.clearSuspects();
+    private void trustAllEntries() {
+        removedEntries.clearSuspects();
         entries.forEach(
                 (id, value) -> {
                     if (directory.find(id).isEmpty()) {
@@ -402,22 +402,22 @@
         return unusable.size();
     }
 
-    private boolean mayReturn(String id) {
-        return awaitsReturns() && !directory.isLeaving(id);
+    private boolean mayReappear(String id) {
+        return awaitsReappearance() && !directory.isLeaving(id);
     }
 
     private void dropMissing() {
-        if (awaitsReturns()) {
+        if (awaitsReappearance()) {
             return;
         }
         for (Upstream upstream : directory.all()) {
             if (!entries.containsKey(upstream.id())) {
-                directory.removed(upstream.id()).ifPresent(gone -> left(gone, "gone, not back"));
+                directory.removed(upstream.id()).ifPresent(gone -> notifyLeaving(gone, "gone, not back"));
             }
         }
     }
 
-    private void left(Upstream upstream, String how) {
+    private void notifyLeaving(Upstream upstream, String how) {
         DecisionLog.write(new Belief("upstream " + upstream.id(), how, "store", revision));
         onLeaving.forEach(listener -> listener.accept(upstream));
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DutyRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/DutyRunner.java
@@ -39,10 +39,10 @@
     /** Prefix of the leader's key. */
     public static final String LEADER_PREFIX = "trailladder/live/leader";
 
-    private static final long STEP_MILLIS = 100;
+    private static final long STEP_INTERVAL_MILLIS = 100;
 
     /** How often counts of old windows are dropped, in milliseconds: it looks at all counts. */
-    private static final long FORGET_MILLIS = 1_000;
+    private static final long CLEANUP_INTERVAL_MILLIS = 1_000;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -53,10 +53,10 @@
     private final LeaderTokens tokens;
     private final LeaderElection election;
     private final String name;
-    private final String life;
+    private final String incarnation;
     private final long ttlMillis;
     private long claimedRevision;
-    private boolean led;
+    private boolean wasLeading;
 
     /**
      * Creates the runner of a process that follows.
@@ -94,7 +94,7 @@
         this.usage = usage;
         this.election = election;
         this.name = name;
-        this.life = life;
+        this.incarnation = life;
         this.ttlMillis = timing.leaseMillis();
         this.tokens = new LeaderTokens(store, health, election, random);
         this.reporter =
@@ -119,8 +119,8 @@
         if (!firstStart) {
             election.started(loop.nowMillis());
         }
-        loop.repeat(STEP_MILLIS, this::step);
-        loop.repeat(FORGET_MILLIS, () -> usage.removeOldWindows(clock.millis()));
+        loop.repeat(STEP_INTERVAL_MILLIS, this::step);
+        loop.repeat(CLEANUP_INTERVAL_MILLIS, () -> usage.removeOldWindows(clock.millis()));
     }
 
     /** Gives the lease up if it is held, and asks for none any more. */
@@ -177,14 +177,14 @@
      *
      * @param token the token; 0 if the peer knows of none
      */
-    public void tokenTold(long token) {
+    public void tokenReported(long token) {
         election.tokenSeen(token);
     }
 
     @Override
     public void listed(List<StoreItem> items, long revision) {
         if (items.isEmpty()) {
-            keyGone(revision);
+            keyRemoved(revision);
         } else {
             changed(items.get(0));
         }
@@ -192,15 +192,15 @@
 
     @Override
     public void changed(StoreItem item) {
-        if (item.gone()) {
-            keyGone(item.revision());
+        if (item.removed()) {
+            keyRemoved(item.revision());
         } else {
             election.keySeen(LeaderKey.token(item));
         }
     }
 
     /** What was read before this process claimed the key may be told after it. */
-    private void keyGone(long revision) {
+    private void keyRemoved(long revision) {
         if (revision >= claimedRevision) {
             election.keyRemoved(loop.nowMillis());
         }
@@ -224,8 +224,8 @@
             case NONE -> {}
         }
         boolean leads = election.leads(now);
-        if (leads != led) {
-            led = leads;
+        if (leads != wasLeading) {
+            wasLeading = leads;
             String state = leads ? "leading" : "following";
             DecisionLog.write(new Lifecycle("leadership", state, "token " + election.token()));
         }
@@ -251,7 +251,7 @@
 
     private void claim() {
         long lease = election.lease();
-        byte[] value = new LeaderKey(life, election.highestToken()).write();
+        byte[] value = new LeaderKey(incarnation, election.highestToken()).write();
         store.write(
                 new StoreWrite(LEADER_PREFIX, value, election.claimedRevision(), lease),
                 result -> claimed(lease, result));
@@ -262,7 +262,7 @@
             health.answered();
             claimedRevision = result.get();
             election.claimed(claimedRevision);
-            tokens.led(claimedRevision);
+            tokens.leadershipClaimed(claimedRevision);
             step();
             return;
         }
@@ -301,14 +301,14 @@
     }
 
     private void displaced(StoreItem item) {
-        boolean none = item.gone();
+        boolean none = item.removed();
         long token = none ? 0 : LeaderKey.token(item);
         election.displaced(none ? 0 : item.revision(), token, loop.nowMillis());
         step();
     }
 
     private boolean isOwn(StoreItem item) {
-        return !item.gone() && LeaderKey.read(item.value()).life().equals(life);
+        return !item.removed() && LeaderKey.read(item.value()).incarnation().equals(incarnation);
     }
 
     private void renew(long sentMillis) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/EpochUpdates.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/EpochUpdates.java
@@ -78,7 +78,7 @@
     /** Applies the epoch and token of a peer's digest. */
     void received(Peer peer, StoreEpochSection section) {
         peer.storeEpoch(section.epoch());
-        history.told(peer.name(), section.epoch());
+        history.epochReported(peer.name(), section.epoch());
         tokenReceived.accept(section.token());
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/FleetRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/FleetRunner.java
@@ -52,27 +52,27 @@
  */
 public final class FleetRunner {
     /** How often the plan is looked at, in milliseconds: well below a reclaim's notice of 2 s. */
-    private static final long STEP_MILLIS = 250;
+    private static final long STEP_INTERVAL_MILLIS = 250;
 
     /** Time after which requests under way count a third, in milliseconds: as long as a boot. */
-    private static final double SMOOTHING_MILLIS = 4_000;
+    private static final double SMOOTHING_TIME_MILLIS = 4_000;
 
     /** Objective of a service whose routes name none, in milliseconds. */
     private static final long DEFAULT_OBJECTIVE_MILLIS = 1_000;
 
     private final EventLoop loop;
     private final DutyRunner leadership;
-    private final PolicyKeeper policies;
+    private final PolicyManager policies;
     private final UpstreamDirectory directory;
     private final LoadSource loads;
     private final UpstreamLimits limits;
     private final EngineModel engines;
     private final Predicate<String> isMoving;
     private final BooleanSupplier mayLead;
-    private final boolean takesOver;
+    private final boolean mayHavePredecessor;
     private boolean hasFollowed;
     private final Map<String, Fleet> fleets = new HashMap<>();
-    private final OrderDesk desk;
+    private final OrderDispatcher dispatcher;
 
     /** Tells the load of a service. */
     public interface LoadSource {
@@ -98,7 +98,7 @@
 
         /** Smooths the requests under way, which jump with each long answer. */
         ServiceLoad smooth(ServiceLoad load) {
-            double part = 1 - Math.exp(-STEP_MILLIS / SMOOTHING_MILLIS);
+            double part = 1 - Math.exp(-STEP_INTERVAL_MILLIS / SMOOTHING_TIME_MILLIS);
             running = running < 0 ? load.running() : running + part * (load.running() - running);
             return new ServiceLoad(load.tokensPerMilli(), load.squaredTokensPerMilli(), running);
         }
@@ -126,7 +126,7 @@
             EventLoop loop,
             DutyApi duties,
             DutyRunner leadership,
-            PolicyKeeper policies,
+            PolicyManager policies,
             UpstreamDirectory directory,
             LoadSource loads,
             UpstreamLimits limits,
@@ -136,7 +136,7 @@
             BooleanSupplier mayLead,
             boolean takesOver) {
         this.loop = loop;
-        this.desk = new OrderDesk(loop, duties, metrics);
+        this.dispatcher = new OrderDispatcher(loop, duties, metrics);
         this.leadership = leadership;
         this.policies = policies;
         this.directory = directory;
@@ -145,12 +145,12 @@
         this.engines = engines;
         this.isMoving = isMoving;
         this.mayLead = mayLead;
-        this.takesOver = takesOver;
+        this.mayHavePredecessor = takesOver;
     }
 
     /** Begins to order. */
     public void start() {
-        loop.repeat(STEP_MILLIS, this::step);
+        loop.repeat(STEP_INTERVAL_MILLIS, this::step);
     }
 
     private void step() {
@@ -162,7 +162,7 @@
         if (policies.policy().isEmpty() || directory.all().isEmpty()) {
             return;
         }
-        desk.follow(leadership.holder());
+        dispatcher.setHolder(leadership.holder());
         for (ServiceSpec service : policies.policy().get().services()) {
             service.scaling().ifPresent(scaling -> plan(service, scaling));
         }
@@ -178,11 +178,11 @@
         Fleet fleet =
                 fleets.computeIfAbsent(
                         service,
-                        name -> new Fleet(new FleetPlanner(name, takesOver || hasFollowed)));
+                        name -> new Fleet(new FleetPlanner(name, mayHavePredecessor || hasFollowed)));
         ServiceLoad load = fleet.smooth(loads.load(service, upstreams));
         Optional<FleetNeed> need = need(service, load, upstreams);
         boolean settled = fleet.registrations.isSettled(upstreams, loop.nowMillis());
-        Set<String> declined = desk.declined(service);
+        Set<String> declined = dispatcher.declined(service);
         List<UpstreamOrder> orders =
                 fleet.planner.plan(scaling, upstreams, need, declined, loop.nowMillis());
         if (!settled || !leadership.leads()) {
@@ -192,12 +192,12 @@
         boolean protectsBooting = need.isPresent();
         orders.forEach(
                 order ->
-                        desk.give(order, upstreams, scaling.bootMillis(), protectsBooting, reason));
+                        dispatcher.submit(order, upstreams, scaling.bootMillis(), protectsBooting, reason));
     }
 
     private Optional<FleetNeed> need(String service, ServiceLoad load, List<Upstream> upstreams) {
         EngineEstimate engine = engines.estimate(service, loop.nowMillis());
-        if (!load.isKnown() || !engine.isLearned()) {
+        if (!load.isSignificant() || !engine.isLearned()) {
             return Optional.empty();
         }
         int slots = upstreams.stream().mapToInt(Upstream::slots).min().orElse(1);
@@ -209,7 +209,7 @@
                         .sum();
         ServiceLoad served = load.withBacklog(places, engine.runMillis());
         FleetNeed need = FleetSizer.need(served, engine, slots, objectiveMillis(service));
-        return Optional.of(need.beside(limits.count(serving)));
+        return Optional.of(need.plusUpstreams(limits.count(serving)));
     }
 
     /** The tightest objective of the routes that lead to a service, in milliseconds. */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Gateway.java
@@ -113,8 +113,8 @@
     private final Optional<RegionMetrics> regionMetrics;
     private final ElectionDelay storeDelay = new ElectionDelay();
     private final StoreHealth storeHealth = new StoreHealth(metrics);
-    private final PolicyKeeper policyManager;
-    private final DirectoryKeeper directoryManager;
+    private final PolicyManager policyManager;
+    private final DirectoryManager directoryManager;
     private final Quotas quotas;
     private final ClusterView view;
     private final PeerMesh mesh;
@@ -160,19 +160,19 @@
         TimePart clock = new TimePart(steadyClock, loop::nowMillis);
         UsageLedger usage = new UsageLedger(incarnationId, settings.timing().usageWindowMillis());
         DemandMeter demand = new DemandMeter();
-        policyManager = new PolicyKeeper(platform.format());
+        policyManager = new PolicyManager(platform.format());
         directoryManager =
-                new DirectoryKeeper(
+                new DirectoryManager(
                         platform.format(),
                         directory,
                         loop::nowMillis,
-                        task -> loop.schedule(DirectoryKeeper.RETURN_MILLIS, task));
+                        task -> loop.schedule(DirectoryManager.REAPPEARANCE_MILLIS, task));
         storeHealth.onRegained(directoryManager::storeRegained);
         StoreHistory history = storeHealth.history();
         platform.store().onEpoch(history);
         history.onReplaced(directoryManager::historyReplaced);
-        directoryManager.onPassedOver(
-                change -> history.newsPassedOver(change, directoryManager.revision()));
+        directoryManager.onIgnoredUpdate(
+                change -> history.updateIgnored(change, directoryManager.revision()));
         quotas = new Quotas(settings.node().firstStart(), settings.tolerance());
         view =
                 new ClusterView(
@@ -193,7 +193,7 @@
         view.add(LimitPart.of(limits, loop::nowMillis, () -> loop.execute(view::sendDigestsSoon)));
         view.add(clock);
         view.add(new CrashPart(crashes, random.nextLong()));
-        crashes.onOwnNews(() -> loop.execute(view::sendDigestsSoon));
+        crashes.onNewEnd(() -> loop.execute(view::sendDigestsSoon));
         quotas.onMuchUnreported(() -> loop.execute(view::sendDigestsSoon));
         GatewayMember self = settings.self();
         regionMetrics =
@@ -230,7 +230,7 @@
                         settings.timing(),
                         random.split(),
                         metrics);
-        view.epochUpdates().tokens(duties::highestToken, duties::tokenTold);
+        view.epochUpdates().tokens(duties::highestToken, duties::tokenReported);
         crashRecords =
                 new CrashRecords(
                         loop,
@@ -265,7 +265,7 @@
                         limits,
                         engines,
                         metrics,
-                        rollouts.keeper()::isMoving,
+                        rollouts.manager()::isMoving,
                         mesh::isHub,
                         !settings.node().firstStart());
         memoryManager = memoryManager(settings.limits());
@@ -296,7 +296,7 @@
                         usage,
                         demand,
                         engines,
-                        rollouts.keeper(),
+                        rollouts.manager(),
                         new RetryAfterEstimator(
                                 policyManager, availability, loads, engines, random.split()),
                         metrics,
@@ -329,7 +329,7 @@
                         format.upstreamPrefix(),
                         DIRECTORY_WATCH_PAUSE_MILLIS,
                         directoryManager);
-        view.onMissedChange(directoryWatcher::watchAnew);
+        view.onMissedChange(directoryWatcher::relist);
         leaderWatcher =
                 watcher(
                         countedStore(platform, Purpose.LEADERSHIP),
@@ -357,7 +357,7 @@
         loop.repeat(ROLE_CHECK_INTERVAL_MILLIS, this::updateStoreWatches);
         loop.repeat(STORE_USE_LOG_INTERVAL_MILLIS, this::logStoreUse);
         loop.repeat(MemoryManager.CHECK_INTERVAL_MILLIS, memoryManager::tick);
-        loop.repeat(CrashWatch.LOOK_MILLIS, this::checkForCrashes);
+        loop.repeat(CrashWatch.CHECK_INTERVAL_MILLIS, this::checkForCrashes);
         loop.execute(
                 () -> {
                     policyWatcher.restart();
@@ -496,7 +496,7 @@
         if (!upstream.draining()) {
             intake.upstreamLost(upstream, LOST_UNRESPONSIVE_MILLIS);
             if (!directory.isLeaving(upstream.id())) {
-                crashes.isGone(upstream);
+                crashes.upstreamLost(upstream);
             }
         } else if (upstream.leavesInMillis() > 0) {
             long delayMillis = Math.max(0, upstream.leavesInMillis() - END_MARGIN_MILLIS);
@@ -505,7 +505,7 @@
     }
 
     private boolean isStateKnown() {
-        boolean recordsKnown = (rollouts.isKnown() && crashRecords.isKnown()) || isStoreGraceOver();
+        boolean recordsKnown = (rollouts.isKnown() && crashRecords.isLoaded()) || isStoreGraceOver();
         return policyManager.version() > 0 && directoryManager.isKnown() && recordsKnown;
     }
 
@@ -525,12 +525,12 @@
     }
 
     private void checkForCrashes() {
-        boolean reliable = storeHealth.isReachable() && !directoryManager.awaitsReturns();
-        crashes.look(directory.all(), reliable);
+        boolean reliable = storeHealth.isReachable() && !directoryManager.awaitsReappearance();
+        crashes.check(directory.all(), reliable);
     }
 
     private void serveMetrics(ServerExchange exchange) {
-        if (crashPages.answers(exchange)) {
+        if (crashPages.handle(exchange)) {
             return;
         }
         updateMetrics();
@@ -609,7 +609,7 @@
     }
 
     private void logStoreUse() {
-        List<StoreCalls.Count> counts = storeCalls.takeUntold();
+        List<StoreCalls.Count> counts = storeCalls.takeUnreported();
         if (!counts.isEmpty()) {
             DecisionLog.write(new StoreUse(counts));
         }
@@ -637,7 +637,7 @@
         if (elapsedMillis >= MIN_DRAIN_MILLIS) {
             callerServer.stopListening();
             intake.refuseNew();
-            callerServer.closeResting();
+            callerServer.closeIdle();
         }
         boolean idle = elapsedMillis >= MIN_DRAIN_MILLIS && callerServer.open() == 0;
         boolean timedOut = elapsedMillis >= settings.timing().graceMillis() - END_MARGIN_MILLIS;
@@ -661,7 +661,7 @@
 
         @Override
         public void changed(StoreItem item) {
-            if (item.gone()) {
+            if (item.removed()) {
                 Logger.warn("policy removed from the store; the policy in force is kept");
             } else {
                 policyManager.offer(item.value(), "store");
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderKey.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderKey.java
@@ -23,17 +23,17 @@
  * its own by one at least, for the revision at which the key was made may be lower than tokens of a
  * history of the store that was lost. Older builds write the life alone, and do not read it.
  *
- * @param life names the life of the process
- * @param above its token is higher than this; 0 if only the revision counts
+ * @param incarnation names the life of the process
+ * @param tokenLowerBound its token is higher than this; 0 if only the revision counts
  */
-record LeaderKey(String life, long above) {
+record LeaderKey(String incarnation, long tokenLowerBound) {
     /** Highest token that is taken for one: revisions do not come near it. */
-    private static final long HIGHEST = 1L << 48;
+    private static final long MAX_TOKEN = 1L << 48;
 
     private static final char SEPARATOR = ' ';
 
     byte[] write() {
-        String text = above == 0 ? life : life + SEPARATOR + above;
+        String text = tokenLowerBound == 0 ? incarnation : incarnation + SEPARATOR + tokenLowerBound;
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
@@ -44,23 +44,23 @@
         if (end < 0) {
             return new LeaderKey(text, 0);
         }
-        return new LeaderKey(text.substring(0, end), number(text.substring(end + 1)));
+        return new LeaderKey(text.substring(0, end), parseToken(text.substring(end + 1)));
     }
 
     /** Returns the token of the leader whose key it is. */
     static long token(StoreItem item) {
-        return Math.max(item.made(), read(item.value()).above() + 1);
+        return Math.max(item.createdRevision(), read(item.value()).tokenLowerBound() + 1);
     }
 
     /** Returns a token, or 0 for a number that cannot be one. */
-    static long sound(long token) {
-        return token > HIGHEST ? 0 : Math.max(0, token);
+    static long validOrZero(long token) {
+        return token > MAX_TOKEN ? 0 : Math.max(0, token);
     }
 
     /** Reads a token; what is none counts as 0. */
-    static long number(String text) {
+    static long parseToken(String text) {
         try {
-            return sound(Long.parseLong(text));
+            return validOrZero(Long.parseLong(text));
         } catch (NumberFormatException e) {
             return 0;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderTokens.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LeaderTokens.java
@@ -40,9 +40,9 @@
      * copy some seconds old are made up for in a few steps, and the store counts past the token
      * again in about the time that was lost, so that older builds can lead as well.
      */
-    private static final long FIRST_RAISE = 1_000;
+    private static final long FIRST_RAISE_STEP = 1_000;
 
-    private static final int MOST_DOUBLINGS = 10;
+    private static final int MAX_DOUBLINGS = 10;
 
     private final CoordinationStore store;
     private final StoreHealth health;
@@ -68,26 +68,26 @@
         store.read(
                 KEY,
                 result -> {
-                    take(result);
+                    apply(result);
                     then.run();
                 });
     }
 
-    private void take(Either<StoreFailure, StoreItem> result) {
+    private void apply(Either<StoreFailure, StoreItem> result) {
         if (result.isLeft()) {
             health.failed(result.getLeft());
             return;
         }
         health.answered();
-        revision = result.get().gone() ? 0 : result.get().revision();
-        if (!result.get().gone()) {
+        revision = result.get().removed() ? 0 : result.get().revision();
+        if (!result.get().removed()) {
             String text = new String(result.get().value(), StandardCharsets.US_ASCII);
-            election.tokenSeen(LeaderKey.number(text));
+            election.tokenSeen(LeaderKey.parseToken(text));
         }
     }
 
     /** Records the token of this process's leadership if revisions do not tell it. */
-    void led(long made) {
+    void leadershipClaimed(long made) {
         raises = 0;
         if (election.token() > made) {
             record();
@@ -97,7 +97,7 @@
     /** Takes a higher token: the platform has seen one above this leader's. */
     void raise() {
         long before = election.token();
-        long step = FIRST_RAISE << Math.min(raises, MOST_DOUBLINGS);
+        long step = FIRST_RAISE_STEP << Math.min(raises, MAX_DOUBLINGS);
         raises++;
         // drawn, so that two leaders which know nothing of each other do not take the same
         election.raiseToken(before + step + random.nextLong(step));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitPart.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LimitPart.java
@@ -108,7 +108,7 @@
         if (reports.isEmpty()) {
             return Optional.empty();
         }
-        byte[] body = LimitReports.write(reports, DigestSection.MOST_BYTES, nowMillis);
+        byte[] body = LimitReports.write(reports, DigestSection.MAX_BODY_BYTES, nowMillis);
         return Optional.of(new DigestSection(name(), version(), 0, body));
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LinkedPeers.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/LinkedPeers.java
@@ -78,7 +78,7 @@
 
     /** Removes the peers that have sent nothing for too long, and returns them. */
     List<Peer> removeUnresponsive() {
-        long oldest = nowMillis.getAsLong() - PeerMesh.HEARD_MILLIS;
+        long oldest = nowMillis.getAsLong() - PeerMesh.PEER_REACHABLE_MILLIS;
         List<Peer> unresponsive = new ArrayList<>();
         for (Peer peer : peers.values()) {
             if (peer.digestMillis() < oldest) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Membership.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Membership.java
@@ -344,7 +344,7 @@
             renew(current);
             return;
         }
-        result.peek(item -> ownRevision = item.gone() ? 0 : item.revision());
+        result.peek(item -> ownRevision = item.removed() ? 0 : item.revision());
         grant(current);
     }
 
@@ -355,7 +355,7 @@
     private boolean isAsWritten(StoreItem item) {
         return lease == 0
                 && writtenLease != 0
-                && !item.gone()
+                && !item.removed()
                 && item.revision() == ownRevision
                 && Arrays.equals(item.value(), value);
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryManager.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryManager.java
@@ -16,7 +16,7 @@
 package io.trailladder.entry.gateway;
 
 import io.trailladder.core.memory.AnswerChoice;
-import io.trailladder.core.memory.HeldKind;
+import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.memory.MemoryLevel;
 import io.trailladder.core.memory.WaitingAnswer;
@@ -90,7 +90,7 @@
         this.metrics = metrics;
         this.nowMillis = nowMillis;
         this.deferred = deferred;
-        account.onLevel(this::levelChanged);
+        account.setLevelListener(this::levelChanged);
     }
 
     /**
@@ -118,7 +118,7 @@
      * @return false if the request must be refused before it runs
      */
     public boolean hasCapacity(long bytes) {
-        boolean capacity = account.hasRoom(bytes);
+        boolean capacity = account.hasCapacity(bytes);
         if (!capacity) {
             metrics.requestRefused();
         }
@@ -217,8 +217,8 @@
                             exchange.unreadBytes(),
                             exchange.answerOwner().resumable()));
         }
-        long needed = account.total() - account.budget().roomFrom();
-        for (WaitingAnswer chosen : AnswerChoice.toEnd(waiting, needed)) {
+        long needed = account.total() - account.budget().fullUntil();
+        for (WaitingAnswer chosen : AnswerChoice.answersToEnd(waiting, needed)) {
             cut(exchanges.get(chosen.key()), CutReason.NO_ROOM);
         }
     }
@@ -243,11 +243,11 @@
                                 + " of "
                                 + account.budget().bytes()
                                 + " bytes: requests "
-                                + account.held(HeldKind.REQUESTS)
+                                + account.reserved(ReservationKind.REQUESTS)
                                 + ", answers parsed "
-                                + account.held(HeldKind.ANSWERS_PARSED)
+                                + account.reserved(ReservationKind.ANSWERS_PARSED)
                                 + ", answers waiting "
-                                + account.held(HeldKind.ANSWERS_WAITING)
+                                + account.reserved(ReservationKind.ANSWERS_WAITING)
                                 + "; was "
                                 + before.name().toLowerCase(Locale.ROOT)));
         if (now == MemoryLevel.FULL) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryMetrics.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/MemoryMetrics.java
@@ -18,7 +18,7 @@
 import io.prometheus.metrics.core.metrics.Counter;
 import io.prometheus.metrics.core.metrics.Gauge;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
-import io.trailladder.core.memory.HeldKind;
+import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.memory.MemoryLevel;
 import java.util.Locale;
@@ -105,9 +105,9 @@
      */
     public void state(MemoryAccount account, long refusedConnections) {
         connections.set((double) refusedConnections);
-        for (HeldKind kind : HeldKind.values()) {
+        for (ReservationKind kind : ReservationKind.values()) {
             reserved.labelValues(kind.name().toLowerCase(Locale.ROOT))
-                    .set((double) account.held(kind));
+                    .set((double) account.reserved(kind));
         }
         for (MemoryLevel candidate : MemoryLevel.values()) {
             level.labelValues(candidate.name().toLowerCase(Locale.ROOT))
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/OrderDesk.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/OrderDispatcher.java
@@ -34,19 +34,19 @@
  * Gives orders of upstreams to the cloud: each once, again if it was not accepted or had no effect,
  * and more slowly where the cloud declines.
  */
-final class OrderDesk {
+final class OrderDispatcher {
     /**
      * Least pause between two orders about the same upstreams, in milliseconds: each call costs.
      */
-    private static final long LEAST_PAUSE_MILLIS = 900;
+    private static final long MIN_PAUSE_MILLIS = 900;
 
     /**
      * Pause after an order that could not be had, in milliseconds; doubled with each further one,
      * as shortages last 5 to 15 s.
      */
-    private static final long DECLINED_MILLIS = 1_500;
+    private static final long DECLINED_PAUSE_MILLIS = 1_500;
 
-    private static final int MOST_DOUBLINGS = 2;
+    private static final int MAX_DOUBLINGS = 2;
 
     /** Time beyond the boot after which the list should follow an order, in milliseconds. */
     private static final long SETTLE_MILLIS = 4_000;
@@ -54,9 +54,9 @@
     private final EventLoop loop;
     private final DutyApi duties;
     private final GatewayMetrics metrics;
-    private final Map<Subject, Given> given = new HashMap<>();
+    private final Map<Subject, LastOrder> lastOrders = new HashMap<>();
     private DutyHolder holder = new DutyHolder("", 0);
-    private long heldSinceMillis;
+    private long holderSinceMillis;
 
     /** What an order is about. */
     private record Subject(String service, String dataCentre, boolean reclaimable) {
@@ -81,16 +81,16 @@
     }
 
     /** The last order about a subject. */
-    private static final class Given {
+    private static final class LastOrder {
         private int count = -1;
         private long sentMillis;
-        private boolean waiting;
+        private boolean unanswered;
         private boolean accepted;
         private int declined;
 
         long pauseMillis() {
-            int doublings = Math.min(MOST_DOUBLINGS, declined - 1);
-            return declined == 0 ? LEAST_PAUSE_MILLIS : DECLINED_MILLIS << doublings;
+            int doublings = Math.min(MAX_DOUBLINGS, declined - 1);
+            return declined == 0 ? MIN_PAUSE_MILLIS : DECLINED_PAUSE_MILLIS << doublings;
         }
     }
 
@@ -101,17 +101,17 @@
      * @param duties the platform's calls
      * @param metrics the process's figures
      */
-    OrderDesk(EventLoop loop, DutyApi duties, GatewayMetrics metrics) {
+    OrderDispatcher(EventLoop loop, DutyApi duties, GatewayMetrics metrics) {
         this.loop = loop;
         this.duties = duties;
         this.metrics = metrics;
     }
 
     /** Forgets all orders if another leader may have given some since. */
-    void follow(DutyHolder leader) {
+    void setHolder(DutyHolder leader) {
         if (leader.token() != holder.token()) {
-            given.clear();
-            heldSinceMillis = loop.nowMillis();
+            lastOrders.clear();
+            holderSinceMillis = loop.nowMillis();
         }
         holder = leader;
     }
@@ -119,7 +119,7 @@
     /** Returns the data centres where reclaimable upstreams could not be had when last ordered. */
     Set<String> declined(String service) {
         Set<String> dataCentres = new TreeSet<>();
-        given.forEach(
+        lastOrders.forEach(
                 (subject, last) -> {
                     if (subject.reclaimable()
                             && subject.service().equals(service)
@@ -139,28 +139,28 @@
      * @param protectsBooting true if upstreams that an earlier leader has bought may be needed
      * @param reason tells what led to it; asked only if it is given
      */
-    void give(
+    void submit(
             UpstreamOrder order,
             List<Upstream> upstreams,
             long bootMillis,
             boolean protectsBooting,
             Supplier<String> reason) {
-        boolean mayBoot = protectsBooting && loop.nowMillis() - heldSinceMillis < bootMillis;
-        if (mayBoot && givesBack(order, upstreams)) {
+        boolean mayBoot = protectsBooting && loop.nowMillis() - holderSinceMillis < bootMillis;
+        if (mayBoot && mayEndBooting(order, upstreams)) {
             return;
         }
-        Given last = given.computeIfAbsent(Subject.of(order), key -> new Given());
+        LastOrder last = lastOrders.computeIfAbsent(Subject.of(order), key -> new LastOrder());
         long since = loop.nowMillis() - last.sentMillis;
         boolean changed = last.count != order.count() || !last.accepted;
         boolean ignored =
                 since >= bootMillis + SETTLE_MILLIS
                         && serving(upstreams, Subject.of(order)) != order.count();
-        if (last.waiting || since < last.pauseMillis() || !(changed || ignored)) {
+        if (last.unanswered || since < last.pauseMillis() || !(changed || ignored)) {
             return;
         }
         last.count = order.count();
         last.sentMillis = loop.nowMillis();
-        last.waiting = true;
+        last.unanswered = true;
         DutyHolder giver = holder;
         String why = reason.get();
         duties.order(giver, order, result -> answered(giver, order, why, last, result));
@@ -171,13 +171,13 @@
      * and that still boot: a new one does not know of them, nor of what was declined to its
      * predecessor.
      */
-    private static boolean givesBack(UpstreamOrder order, List<Upstream> upstreams) {
+    private static boolean mayEndBooting(UpstreamOrder order, List<Upstream> upstreams) {
         return !order.reclaimable() && order.count() <= serving(upstreams, Subject.of(order));
     }
 
     private void answered(
-            DutyHolder giver, UpstreamOrder order, String reason, Given last, DutyResult result) {
-        last.waiting = false;
+            DutyHolder giver, UpstreamOrder order, String reason, LastOrder last, DutyResult result) {
+        last.unanswered = false;
         last.declined = result == DutyResult.DECLINED ? last.declined + 1 : 0;
         last.accepted = result == DutyResult.ACCEPTED;
         String kind = order.reclaimable() ? "reclaimable" : "full price";
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/PolicyKeeper.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/PolicyManager.java
@@ -30,7 +30,7 @@
  *
  * @since 0.2
  */
-public final class PolicyKeeper {
+public final class PolicyManager {
     private static final byte[] NO_BYTES = {};
 
     private final PlatformFormat format;
@@ -43,7 +43,7 @@
      *
      * @param format how policies are written
      */
-    public PolicyKeeper(PlatformFormat format) {
+    public PolicyManager(PlatformFormat format) {
         this.format = format;
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Quotas.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/Quotas.java
@@ -360,7 +360,7 @@
 
     private double increase(String incarnation, OrganisationUse use) {
         Double before = lastReported.put(key(incarnation, use), use.used());
-        return use.used() - (before == null ? use.toldBefore() : before);
+        return use.used() - (before == null ? use.reportedBefore() : before);
     }
 
     private static String key(String incarnation, OrganisationUse use) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
@@ -55,7 +55,7 @@
      */
     private static final long STANDBY_INTERVAL_MILLIS = 600;
 
-    private final DirectoryKeeper directory;
+    private final DirectoryManager directory;
     private final LimitExchange limits;
     private final UpstreamLoads loads;
     private final UsageLedger usage;
@@ -84,7 +84,7 @@
     private record RemoteView(String representative, long atMillis) {}
 
     RegionExchange(
-            DirectoryKeeper directory,
+            DirectoryManager directory,
             LimitExchange limits,
             UpstreamLoads loads,
             UsageLedger usage,
@@ -108,7 +108,7 @@
      * its hub.
      */
     static boolean isElsewhere(Mesh mesh, RegionView view, Peer peer) {
-        return view.isElsewhere(peer.hello()) && !peer.isLeaf() && !mesh.isOwnHub(peer.hello());
+        return view.isOtherRegion(peer.hello()) && !peer.isLeaf() && !mesh.isOwnHub(peer.hello());
     }
 
     /**
@@ -212,9 +212,9 @@
             long nowMillis) {
         NodeHello origin = message.origin();
         if (origin.name().equals(sender.name())) {
-            remoteViews.put(sender.name(), new RemoteView(message.hears(), nowMillis));
+            remoteViews.put(sender.name(), new RemoteView(message.receivesFrom(), nowMillis));
         }
-        if (!view.isElsewhere(origin) || !message.speaks()) {
+        if (!view.isOtherRegion(origin) || !message.represents()) {
             return;
         }
         boolean direct = origin.name().equals(sender.name());
@@ -267,9 +267,9 @@
     private void apply(
             RegionView view, String region, Peer peer, NodeDigest digest, long nowMillis) {
         LeavingIncarnations.of(digest)
-                .forEach(upstream -> directory.leavingSeenBy(upstream, peer.name()));
+                .forEach(upstream -> directory.leavingReportedBy(upstream, peer.name()));
         digest.usage()
-                .forEach(history -> usage.mergeFromOtherRegion(history.life(), history.usage()));
+                .forEach(history -> usage.mergeFromOtherRegion(history.incarnation(), history.usage()));
         loads.setPeerUses(
                 peer.name(),
                 RegionUse.spread(digest.uses(), region, directory.all(), view::regionOf));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestDriver.java
@@ -88,7 +88,7 @@
         exchange.answerOwner(new AnswerOwner(request.id(), request.organisation(), resumable));
         this.responseTimeout = new ResponseTimeoutWatch(context, request, history);
         this.selector = new BodyCapacitySelector(context, request);
-        exchange.onGone(this::callerDisconnected);
+        exchange.onDisconnect(this::callerDisconnected);
         long remainingMillis = request.deadlineMillis() - context.loop().nowMillis();
         this.deadline = context.loop().schedule(remainingMillis, this::deadlineReached);
     }
@@ -150,7 +150,7 @@
      * @param found the fingerprint of the request that makes upstreams end
      */
     void stopIfMatches(RequestFingerprint found) {
-        if (!finished && crashes.stops(found)) {
+        if (!finished && crashes.stopIfSame(found)) {
             stop();
         }
     }
@@ -186,7 +186,7 @@
         attempt = null;
         context.metrics().attempt(request.service(), "whole");
         if (answer.status() < MIN_FAILURE_STATUS) {
-            crashes.ranWhole();
+            crashes.ranToCompletion();
         }
         answer.end();
         end("whole", answer.status(), sender);
@@ -236,7 +236,7 @@
         if (finished) {
             return;
         }
-        if (crashes.refusesFurther()) {
+        if (crashes.refusesRetry()) {
             giveUp(RecoveryPolicy.endingOf(history, false));
         } else {
             nextAttempt();
@@ -303,7 +303,7 @@
         context.metrics().attempt(request.service(), failure.name());
         long now = context.loop().nowMillis();
         Recovery recovery = RecoveryPolicy.after(request, history, failure, true, now);
-        if (!(recovery instanceof GiveUp) && crashes.refusesFurther()) {
+        if (!(recovery instanceof GiveUp) && crashes.refusesRetry()) {
             recovery = RecoveryPolicy.after(request, history, failure, false, now);
         }
         boolean notReceived =
@@ -385,7 +385,7 @@
 
     private void cancelAttempt() {
         if (attempt != null) {
-            crashes.tookBack(attempt);
+            crashes.attemptAbandoned(attempt);
             attempt.cancel();
             attempt = null;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestIntake.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RequestIntake.java
@@ -71,7 +71,7 @@
                     .getBytes(StandardCharsets.UTF_8);
 
     private final ServingContext context;
-    private final PolicyKeeper policies;
+    private final PolicyManager policies;
     private final SplittableRandom random;
     private final StartupRequestQueue<ServerExchange> startupQueue;
     private final Set<RequestDriver> open = new HashSet<>();
@@ -87,7 +87,7 @@
      */
     public RequestIntake(
             ServingContext context,
-            PolicyKeeper policies,
+            PolicyManager policies,
             BooleanSupplier stateKnown,
             SplittableRandom random) {
         this.context = context;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RetryAfterEstimator.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RetryAfterEstimator.java
@@ -38,14 +38,14 @@
     private static final long MAX_PROMISED_DELAY_MILLIS = 10_000;
 
     private final Map<String, Double> lastPromisedMillis = new HashMap<>();
-    private final PolicyKeeper policies;
+    private final PolicyManager policies;
     private final UpstreamAvailability availability;
     private final UpstreamLoads loads;
     private final EngineModel engines;
     private final SplittableRandom random;
 
     RetryAfterEstimator(
-            PolicyKeeper policies,
+            PolicyManager policies,
             UpstreamAvailability availability,
             UpstreamLoads loads,
             EngineModel engines,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutExchange.java
@@ -36,19 +36,19 @@
  * replaces what it told before, so nothing is counted twice.
  */
 final class RolloutExchange {
-    private final RolloutKeeper keeper;
+    private final RolloutManager manager;
     private final LongSupplier nowMillis;
-    private final Map<String, Map<Long, List<RouteEvidence>>> byPeer = new HashMap<>();
+    private final Map<String, Map<Long, List<RouteEvidence>>> evidenceByPeer = new HashMap<>();
 
-    RolloutExchange(RolloutKeeper keeper, LongSupplier nowMillis) {
-        this.keeper = keeper;
+    RolloutExchange(RolloutManager keeper, LongSupplier nowMillis) {
+        this.manager = keeper;
         this.nowMillis = nowMillis;
     }
 
     /** Tells the peers, if there is a roll-out to tell of. */
-    void tell(Mesh mesh, Collection<Peer> peers) {
+    void send(Mesh mesh, Collection<Peer> peers) {
         // an order that was not found in the store's new history has a revision of the lost one
-        if (keeper.rollouts().isEmpty() || keeper.awaitsOrders()) {
+        if (manager.rollouts().isEmpty() || manager.awaitsOrders()) {
             return;
         }
         List<String> leaves = new ArrayList<>();
@@ -73,7 +73,7 @@
      *
      * @param sameHistory false if the peer may be on another history of the store
      */
-    void heard(NodeHello peer, RolloutReport report, boolean sameHistory) {
+    void receive(NodeHello peer, RolloutReport report, boolean sameHistory) {
         Map<Long, List<RouteEvidence>> told = new HashMap<>();
         for (RolloutUpdate news : report.rollouts()) {
             List<RouteEvidence> sound =
@@ -83,21 +83,21 @@
                         new Lifecycle("peer " + peer.name(), "figures refused", news.toString()));
             }
             told.put(news.order().revision(), sound);
-            keeper.heard(news, sameHistory);
+            manager.receive(news, sameHistory);
         }
-        byPeer.put(peer.name(), told);
+        evidenceByPeer.put(peer.name(), told);
     }
 
     /** Forgets what a peer told that is silent. */
     void forget(String peer) {
-        byPeer.remove(peer);
+        evidenceByPeer.remove(peer);
     }
 
     /** Returns what this process and some peers have seen. */
     List<RouteEvidence> evidence(Rollout rollout, Collection<String> peers) {
         Stream<RouteEvidence> told =
                 peers.stream()
-                        .map(peer -> byPeer.getOrDefault(peer, Map.of()))
+                        .map(peer -> evidenceByPeer.getOrDefault(peer, Map.of()))
                         .flatMap(
                                 byOrder ->
                                         byOrder
@@ -109,7 +109,7 @@
     private RolloutReport report(List<String> leaves, boolean withEvidence) {
         long now = nowMillis.getAsLong();
         List<RolloutUpdate> news = new ArrayList<>();
-        for (Rollout rollout : keeper.rollouts()) {
+        for (Rollout rollout : manager.rollouts()) {
             List<RouteEvidence> evidence =
                     withEvidence ? evidence(rollout, leaves) : List.<RouteEvidence>of();
             news.add(rollout.update(evidence, now));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutKeeper.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutManager.java
@@ -46,7 +46,7 @@
  * The roll-outs that this process knows of: orders and records as the store tells them, or a peer
  * does.
  */
-final class RolloutKeeper {
+final class RolloutManager {
     private final PlatformFormat format;
     private final VersionGate gate;
     private final GatewaySettings.Rollouts bounds;
@@ -56,7 +56,7 @@
     private Runnable onAdvance = () -> {};
     private final Map<String, RolloutStatus> records = new HashMap<>();
     private final Set<String> unreadable = new HashSet<>();
-    private final RolloutReturns returns = new RolloutReturns();
+    private final RolloutRecovery recovery = new RolloutRecovery();
 
     /**
      * Creates a keeper that knows of none.
@@ -68,7 +68,7 @@
      * @param nowMillis tells the time
      * @param metrics told of answers while traffic moves
      */
-    RolloutKeeper(
+    RolloutManager(
             PlatformFormat format,
             VersionGate gate,
             GatewaySettings.Rollouts bounds,
@@ -89,7 +89,7 @@
     }
 
     /** Goes on as the leader decides. */
-    void lead(Rollout rollout, RolloutPhase decided) {
+    void applyDecision(Rollout rollout, RolloutPhase decided) {
         advance(rollout, () -> rollout.lead(decided, nowMillis.getAsLong()));
     }
 
@@ -158,18 +158,18 @@
         }
         List<String> services = new ArrayList<>();
         gate.rollouts().forEach(rollout -> services.add(rollout.order().service()));
-        returns.begin(services, recorded, nowMillis.getAsLong());
+        recovery.begin(services, recorded, nowMillis.getAsLong());
         records.replaceAll((service, record) -> record.withRevision(0));
     }
 
     /** Tells whether orders known here were not found yet in the store's new history. */
     boolean awaitsOrders() {
         long now = nowMillis.getAsLong();
-        for (String missed : returns.takeMissed(now)) {
+        for (String missed : recovery.takeMissing(now)) {
             gate.rollout(missed)
                     .ifPresent(rollout -> rollout.renumbered(rollout.order().withRevision(0)));
         }
-        return returns.awaitsOrders(now);
+        return recovery.awaitsOrders(now);
     }
 
     /**
@@ -180,8 +180,8 @@
         RolloutOrder order = rollout.order();
         RolloutStatus record = record(order.service());
         Optional<State> result = rollout.phase().result();
-        if (result.isEmpty() || !returns.hasBegun()) {
-            return record.isAbout(order) ? Optional.empty() : returns.record(order.service());
+        if (result.isEmpty() || !recovery.hasBegun()) {
+            return record.isAbout(order) ? Optional.empty() : recovery.record(order.service());
         }
         boolean stands = record.isAbout(order) && record.state() == result.get();
         return stands
@@ -190,9 +190,9 @@
     }
 
     /** Returns under which revision a service's record is to be written. */
-    long standingRevision(String service) {
-        return returns.record(service).isPresent()
-                ? returns.standing(service)
+    long expectedRevision(String service) {
+        return recovery.record(service).isPresent()
+                ? recovery.storedRevision(service)
                 : record(service).revision();
     }
 
@@ -204,7 +204,7 @@
      */
     void read(String service, StoreItem item, boolean certain) {
         Optional<RolloutStatus> status =
-                sound(format.rolloutStatus(service, item.value(), item.revision()));
+                readable(format.rolloutStatus(service, item.value(), item.revision()));
         if (status.isPresent()) {
             unreadable.remove(service);
             recorded(status.get(), certain);
@@ -217,19 +217,19 @@
     void recorded(RolloutStatus status, boolean certain) {
         String service = status.service();
         RolloutStatus before = record(service);
-        boolean mayBeOlder = returns.record(service).isPresent() && !certain;
+        boolean mayBeOlder = recovery.record(service).isPresent() && !certain;
         if (mayBeOlder
-                && returns.isOpen(nowMillis.getAsLong())
+                && recovery.isRecovering(nowMillis.getAsLong())
                 && !status.equalsIgnoringRevision(before)) {
-            returns.stands(service, status.revision());
+            recovery.setStoredRevision(service, status.revision());
             return;
         }
         if (status.revision() < before.revision()) {
             return;
         }
-        returns.stands(service, status.revision());
+        recovery.setStoredRevision(service, status.revision());
         if (certain) {
-            returns.foundRecord(service);
+            recovery.foundRecord(service);
         }
         records.put(service, status);
         if (before.state() != status.state() || before.revision() == 0) {
@@ -280,14 +280,14 @@
      * @param sameHistory false if the peer does not say which history of the store its order's
      *     revision is of, though this process knows that there are several
      */
-    void heard(RolloutUpdate news, boolean sameHistory) {
+    void receive(RolloutUpdate news, boolean sameHistory) {
         RolloutOrder order = news.order();
         Optional<Rollout> known = gate.rollout(order.service());
         boolean alike =
                 known.filter(rollout -> rollout.order().equalsIgnoringRevision(order)).isPresent();
-        boolean numbered = sameHistory || !alike || !returns.hasBegun();
+        boolean numbered = sameHistory || !alike || !recovery.hasBegun();
         if (numbered) {
-            ordered(order, "peer", Written.BEFORE, sameHistory);
+            startIfNew(order, "peer", Written.BEFORE, sameHistory);
         }
         gate.rollout(order.service())
                 .filter(rollout -> !numbered || rollout.order().revision() == order.revision())
@@ -305,14 +305,14 @@
      * @param certain true if it was written in the store's current history, or found there by a
      *     peer; a list may hold older ones for a moment
      */
-    private void ordered(RolloutOrder order, String source, Written written, boolean certain) {
+    private void startIfNew(RolloutOrder order, String source, Written written, boolean certain) {
         Optional<Rollout> known = gate.rollout(order.service());
         if (known.isPresent() && isKnown(known.get(), order, certain)) {
             return;
         }
-        known.ifPresent(before -> returns.replaced(before.order()));
-        returns.foundOrder(order.service());
-        returns.foundRecord(order.service());
+        known.ifPresent(before -> recovery.replaced(before.order()));
+        recovery.foundOrder(order.service());
+        recovery.foundRecord(order.service());
         boolean fresh = written == Written.NOW;
         ExposureLedger ledger = ExposureLedger.of(bounds.share(), bounds.allowance(), random);
         long now = nowMillis.getAsLong();
@@ -336,17 +336,17 @@
     private boolean isKnown(Rollout known, RolloutOrder order, boolean certain) {
         long now = nowMillis.getAsLong();
         String service = order.service();
-        if (returns.isOpen(now) && known.order().equalsIgnoringRevision(order)) {
+        if (recovery.isRecovering(now) && known.order().equalsIgnoringRevision(order)) {
             known.renumbered(order);
-            returns.foundOrder(service);
+            recovery.foundOrder(service);
             return true;
         }
-        return returns.awaitsOrder(service, now)
-                ? !certain && returns.isEarlier(order)
+        return recovery.awaitsOrder(service, now)
+                ? !certain && recovery.isEarlier(order)
                 : known.order().revision() >= order.revision();
     }
 
-    private void withdrawn(String service) {
+    private void withdraw(String service) {
         gate.rollout(service)
                 .filter(rollout -> !rollout.phase().isFinal())
                 .ifPresent(
@@ -359,7 +359,7 @@
     }
 
     /** Reads what the store tells; one line tells of what cannot be read. */
-    private static <T> Optional<T> sound(Either<String, T> read) {
+    private static <T> Optional<T> readable(Either<String, T> read) {
         if (read.isLeft()) {
             Logger.warn("roll-out left as it is: {}", read.getLeft());
         }
@@ -389,12 +389,12 @@
 
         private void read(StoreItem item, Written written, boolean certain) {
             String service = serviceOf(item.key(), format.rolloutOrderPrefix());
-            if (item.gone()) {
-                withdrawn(service);
+            if (item.removed()) {
+                withdraw(service);
                 return;
             }
-            sound(format.rolloutOrder(service, item.value(), item.revision()))
-                    .ifPresent(order -> ordered(order, "store", written, certain));
+            readable(format.rolloutOrder(service, item.value(), item.revision()))
+                    .ifPresent(order -> startIfNew(order, "store", written, certain));
         }
     }
 
@@ -402,17 +402,17 @@
     private final class Records implements StoreWatcher.Listener {
         @Override
         public void listed(List<StoreItem> items, long revision) {
-            items.forEach(item -> take(item, false));
+            items.forEach(item -> apply(item, false));
         }
 
         @Override
         public void changed(StoreItem item) {
-            take(item, true);
+            apply(item, true);
         }
 
-        private void take(StoreItem item, boolean certain) {
+        private void apply(StoreItem item, boolean certain) {
             String service = serviceOf(item.key(), format.rolloutStatusPrefix());
-            if (!item.gone()) {
+            if (!item.removed()) {
                 read(service, item, certain);
             }
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutParts.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutParts.java
@@ -29,8 +29,8 @@
  * none, nothing of it runs and no call is made.
  */
 final class RolloutParts {
-    private final boolean ordered;
-    private final RolloutKeeper keeper;
+    private final boolean enabled;
+    private final RolloutManager manager;
     private final RolloutRunner runner;
     private final StoreWatcher records;
     private final StoreWatcher orders;
@@ -64,24 +64,24 @@
             ClusterView view,
             BooleanSupplier leads,
             GatewayMetrics metrics) {
-        ordered = settings.rollouts().ordered();
-        keeper =
-                new RolloutKeeper(
+        enabled = settings.rollouts().ordered();
+        manager =
+                new RolloutManager(
                         format,
                         gate,
                         settings.rollouts(),
                         random.split(),
                         loop::nowMillis,
                         metrics);
-        health.history().onReplaced(keeper::historyReplaced);
-        RolloutExchange exchange = new RolloutExchange(keeper, loop::nowMillis);
+        health.history().onReplaced(manager::historyReplaced);
+        RolloutExchange exchange = new RolloutExchange(manager, loop::nowMillis);
         runner =
                 new RolloutRunner(
                         loop,
                         store,
                         health,
                         format,
-                        keeper,
+                        manager,
                         directory,
                         loads,
                         leads,
@@ -93,12 +93,12 @@
                         health,
                         random,
                         format.rolloutStatusPrefix(),
-                        keeper.records());
-        orders = watcher(loop, store, health, random, format.rolloutOrderPrefix(), keeper.orders());
-        if (ordered) {
+                        manager.records());
+        orders = watcher(loop, store, health, random, format.rolloutOrderPrefix(), manager.orders());
+        if (enabled) {
             view.rollouts(exchange);
             // the old version stops with the record: whoever hears it late sends to nobody
-            keeper.onAdvance(view::sendRolloutReports);
+            manager.onAdvance(view::sendRolloutReports);
         }
     }
 
@@ -113,13 +113,13 @@
     }
 
     /** Returns the roll-outs known. */
-    RolloutKeeper keeper() {
-        return keeper;
+    RolloutManager manager() {
+        return manager;
     }
 
     /** Begins to follow and to lead. */
     void start() {
-        if (ordered) {
+        if (enabled) {
             // records first: an order whose result is known is not begun anew
             records.restart();
             orders.restart();
@@ -129,7 +129,7 @@
 
     /** Tells whether it is known if there are any: the store was read once, or need not be. */
     boolean isKnown() {
-        return !ordered || (records.isComplete() && orders.isComplete());
+        return !enabled || (records.isComplete() && orders.isComplete());
     }
 
     /**
@@ -138,12 +138,12 @@
      * @param fed true while a hub tells this process in time
      */
     void follow(boolean fed) {
-        if (!ordered) {
+        if (!enabled) {
             return;
         }
         follow(orders, !fed);
         // nobody else writes records, so they are followed only while there are some to come
-        follow(records, !fed && keeper.isAnyMoving());
+        follow(records, !fed && manager.isAnyMoving());
     }
 
     private static void follow(StoreWatcher watcher, boolean wanted) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutReturns.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRecovery.java
@@ -29,18 +29,18 @@
  * write their orders again, and the leader writes its records again. Until then a list may hold
  * older ones.
  */
-final class RolloutReturns {
+final class RolloutRecovery {
     /** How long orders and records may take to be written again, in milliseconds. */
-    static final long RETURN_MILLIS = 4_000;
+    static final long RECOVERY_MILLIS = 4_000;
 
-    private final Set<String> orders = new HashSet<>();
-    private final Map<String, RolloutStatus> records = new HashMap<>();
-    private final Map<String, Long> standing = new HashMap<>();
+    private final Set<String> missingOrders = new HashSet<>();
+    private final Map<String, RolloutStatus> lostRecords = new HashMap<>();
+    private final Map<String, Long> storedRevision = new HashMap<>();
 
     /** Of each service the order before the one that is known. */
-    private final Map<String, RolloutOrder> earlier = new HashMap<>();
+    private final Map<String, RolloutOrder> earlierOrders = new HashMap<>();
 
-    private long untilMillis = Long.MIN_VALUE;
+    private long recoveryEndMillis = Long.MIN_VALUE;
 
     /**
      * Begins to await.
@@ -50,76 +50,76 @@
      * @param nowMillis the time
      */
     void begin(Collection<String> services, Collection<RolloutStatus> recorded, long nowMillis) {
-        orders.addAll(services);
-        recorded.forEach(record -> records.put(record.service(), record));
-        standing.clear();
-        untilMillis = nowMillis + RETURN_MILLIS;
+        missingOrders.addAll(services);
+        recorded.forEach(record -> lostRecords.put(record.service(), record));
+        storedRevision.clear();
+        recoveryEndMillis = nowMillis + RECOVERY_MILLIS;
     }
 
     /** Records that an order was replaced by a later one. */
     void replaced(RolloutOrder order) {
-        earlier.put(order.service(), order);
+        earlierOrders.put(order.service(), order);
     }
 
     /** Tells whether an order in a list is one that was replaced, which a copy may still hold. */
     boolean isEarlier(RolloutOrder order) {
-        RolloutOrder before = earlier.get(order.service());
+        RolloutOrder before = earlierOrders.get(order.service());
         return before != null && before.equalsIgnoringRevision(order);
     }
 
     /** Tells whether the history was replaced since this process started. */
     boolean hasBegun() {
-        return untilMillis != Long.MIN_VALUE;
+        return recoveryEndMillis != Long.MIN_VALUE;
     }
 
     /** Tells whether what a list holds may be older than what is known. */
-    boolean isOpen(long nowMillis) {
-        return nowMillis < untilMillis;
+    boolean isRecovering(long nowMillis) {
+        return nowMillis < recoveryEndMillis;
     }
 
     /** Tells whether a service's order was not found yet. */
     boolean awaitsOrder(String service, long nowMillis) {
-        return isOpen(nowMillis) && orders.contains(service);
+        return isRecovering(nowMillis) && missingOrders.contains(service);
     }
 
     /** Tells whether any order was not found yet. */
     boolean awaitsOrders(long nowMillis) {
-        return isOpen(nowMillis) && !orders.isEmpty();
+        return isRecovering(nowMillis) && !missingOrders.isEmpty();
     }
 
     /** Records that an order was found. */
     void foundOrder(String service) {
-        orders.remove(service);
+        missingOrders.remove(service);
     }
 
     /** Returns the services whose orders were not found in time, once. */
-    Set<String> takeMissed(long nowMillis) {
-        if (isOpen(nowMillis) || orders.isEmpty()) {
+    Set<String> takeMissing(long nowMillis) {
+        if (isRecovering(nowMillis) || missingOrders.isEmpty()) {
             return Set.of();
         }
-        Set<String> missed = Set.copyOf(orders);
-        orders.clear();
+        Set<String> missed = Set.copyOf(missingOrders);
+        missingOrders.clear();
         return missed;
     }
 
     /** Returns the record that is to be written again. */
     Optional<RolloutStatus> record(String service) {
-        return Optional.ofNullable(records.get(service));
+        return Optional.ofNullable(lostRecords.get(service));
     }
 
     /** Records at which revision another record stands in its place. */
-    void stands(String service, long revision) {
-        standing.put(service, revision);
+    void setStoredRevision(String service, long revision) {
+        storedRevision.put(service, revision);
     }
 
     /** Returns under which revision the record is to be written; 0 if none stands there. */
-    long standing(String service) {
-        return standing.getOrDefault(service, 0L);
+    long storedRevision(String service) {
+        return storedRevision.getOrDefault(service, 0L);
     }
 
     /** Records that the record is there again, or that another one has taken its place. */
     void foundRecord(String service) {
-        records.remove(service);
-        standing.remove(service);
+        lostRecords.remove(service);
+        storedRevision.remove(service);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RolloutRunner.java
@@ -46,26 +46,26 @@
  * state in the store, each time under the condition that nobody else has.
  */
 final class RolloutRunner {
-    private static final long STEP_MILLIS = 100;
+    private static final long STEP_INTERVAL_MILLIS = 100;
 
     /** Time between lines that tell how a roll-out stands, in milliseconds. */
-    private static final long TOLD_MILLIS = 1_000;
+    private static final long STATUS_LOG_INTERVAL_MILLIS = 1_000;
 
     /** Pause after a write that failed, in milliseconds: the store's usual time for some calls. */
-    private static final long AGAIN_MILLIS = 300;
+    private static final long READ_BACK_DELAY_MILLIS = 300;
 
     private final EventLoop loop;
     private final CoordinationStore store;
     private final StoreHealth health;
     private final PlatformFormat format;
-    private final RolloutKeeper keeper;
+    private final RolloutManager manager;
     private final UpstreamDirectory directory;
     private final UpstreamLoads loads;
     private final BooleanSupplier leads;
     private final Function<Rollout, List<RouteEvidence>> evidence;
     private final Map<Rollout, RolloutController> deciders = new HashMap<>();
-    private final Map<String, String> logged = new HashMap<>();
-    private final Map<String, Long> toldMillis = new HashMap<>();
+    private final Map<String, String> loggedStates = new HashMap<>();
+    private final Map<String, Long> statusLoggedMillis = new HashMap<>();
     private final Set<String> writing = new HashSet<>();
 
     /**
@@ -86,7 +86,7 @@
             CoordinationStore store,
             StoreHealth health,
             PlatformFormat format,
-            RolloutKeeper keeper,
+            RolloutManager keeper,
             UpstreamDirectory directory,
             UpstreamLoads loads,
             BooleanSupplier leads,
@@ -95,7 +95,7 @@
         this.store = store;
         this.health = health;
         this.format = format;
-        this.keeper = keeper;
+        this.manager = keeper;
         this.directory = directory;
         this.loads = loads;
         this.leads = leads;
@@ -104,20 +104,20 @@
 
     /** Begins to take part. */
     void start() {
-        loop.repeat(STEP_MILLIS, this::step);
+        loop.repeat(STEP_INTERVAL_MILLIS, this::step);
     }
 
     private void step() {
         // what others have seen is filed under the orders' revisions
-        if (keeper.awaitsOrders()) {
+        if (manager.awaitsOrders()) {
             return;
         }
         if (!leads.getAsBoolean()) {
             deciders.clear();
             return;
         }
-        for (Rollout rollout : keeper.rollouts()) {
-            keeper.lostRecord(rollout).ifPresent(this::recordAgain);
+        for (Rollout rollout : manager.rollouts()) {
+            manager.lostRecord(rollout).ifPresent(this::recordAgain);
             if (!rollout.phase().isFinal() && isKnown(rollout.order().service())) {
                 lead(rollout);
             }
@@ -128,16 +128,16 @@
     private boolean isKnown(String service) {
         boolean hasUpstreams =
                 directory.all().stream().anyMatch(upstream -> upstream.service().equals(service));
-        return hasUpstreams && !keeper.isRecordUnreadable(service);
+        return hasUpstreams && !manager.isRecordUnreadable(service);
     }
 
     private void lead(Rollout rollout) {
         RolloutController decider = deciders.computeIfAbsent(rollout, RolloutController::new);
         String service = rollout.order().service();
-        RolloutStatus status = keeper.record(service);
+        RolloutStatus status = manager.record(service);
         List<RouteEvidence> seen = evidence.apply(rollout);
         Step step = decider.next(seen, status, fleet(rollout), loop.nowMillis());
-        keeper.lead(rollout, step.phase());
+        manager.applyDecision(rollout, step.phase());
         log(rollout, step, status, seen);
         step.record().ifPresent(state -> record(rollout, state));
     }
@@ -158,7 +158,7 @@
         String service = rollout.order().service();
         String state =
                 step.phase() + step.record().map(record -> ", recording " + record).orElse("");
-        boolean changed = !state.equals(logged.put(service, state));
+        boolean changed = !state.equals(loggedStates.put(service, state));
         if (changed) {
             String subject = "roll-out of " + service + " to " + rollout.order().version();
             String spent =
@@ -169,13 +169,13 @@
             DecisionLog.write(new Lifecycle(subject, state, step.reason() + spent));
         }
         long now = loop.nowMillis();
-        if (changed || now - toldMillis.getOrDefault(service, now - TOLD_MILLIS) >= TOLD_MILLIS) {
-            toldMillis.put(service, now);
-            DecisionLog.write(stands(rollout, step, status, seen));
+        if (changed || now - statusLoggedMillis.getOrDefault(service, now - STATUS_LOG_INTERVAL_MILLIS) >= STATUS_LOG_INTERVAL_MILLIS) {
+            statusLoggedMillis.put(service, now);
+            DecisionLog.write(statusLine(rollout, step, status, seen));
         }
     }
 
-    private RolloutStep stands(
+    private RolloutStep statusLine(
             Rollout rollout, Step step, RolloutStatus status, List<RouteEvidence> seen) {
         long left = rollout.deadlineMillis() - loop.nowMillis();
         State recorded = status.isAbout(rollout.order()) ? status.state() : State.NONE;
@@ -209,7 +209,7 @@
             return;
         }
         String key = format.rolloutStatusPrefix() + service;
-        long expected = keeper.standingRevision(service);
+        long expected = manager.expectedRevision(service);
         store.write(
                 new StoreWrite(key, format.rolloutStatus(next), expected, 0),
                 result -> recorded(key, next, result));
@@ -220,11 +220,11 @@
         if (result.isRight()) {
             health.answered();
             writing.remove(service);
-            keeper.recorded(next.withRevision(result.get()), true);
+            manager.recorded(next.withRevision(result.get()), true);
             return;
         }
         health.failed(result.getLeft());
-        loop.schedule(AGAIN_MILLIS, () -> store.read(key, read -> readBack(service, read)));
+        loop.schedule(READ_BACK_DELAY_MILLIS, () -> store.read(key, read -> readBack(service, read)));
     }
 
     /** The write may have been done though its answer was lost, or another leader has written. */
@@ -235,8 +235,8 @@
             return;
         }
         health.answered();
-        if (!read.get().gone()) {
-            keeper.read(service, read.get(), false);
+        if (!read.get().removed()) {
+            manager.read(service, read.get(), false);
         }
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SameHistoryStore.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SameHistoryStore.java
@@ -47,12 +47,12 @@
             String afterKey,
             Freshness freshness,
             Consumer<Either<StoreFailure, StoreBatch>> result) {
-        store.list(prefix, afterKey, freshness, ofNow(result));
+        store.list(prefix, afterKey, freshness, ifHistoryUnchanged(result));
     }
 
     @Override
     public void read(String key, Consumer<Either<StoreFailure, StoreItem>> result) {
-        store.read(key, ofNow(result));
+        store.read(key, ifHistoryUnchanged(result));
     }
 
     @Override
@@ -61,30 +61,30 @@
             long afterRevision,
             long waitMillis,
             Consumer<Either<StoreFailure, StoreBatch>> result) {
-        return store.watch(prefix, afterRevision, waitMillis, ofNow(result));
+        return store.watch(prefix, afterRevision, waitMillis, ifHistoryUnchanged(result));
     }
 
     @Override
     public void write(StoreWrite write, Consumer<Either<StoreFailure, Long>> result) {
-        store.write(write, ofNow(result));
+        store.write(write, ifHistoryUnchanged(result));
     }
 
     @Override
     public void grant(long ttlMillis, Consumer<Either<StoreFailure, Long>> result) {
-        store.grant(ttlMillis, ofNow(result));
+        store.grant(ttlMillis, ifHistoryUnchanged(result));
     }
 
     @Override
     public void renew(long lease, Consumer<Either<StoreFailure, Long>> result) {
-        store.renew(lease, ofNow(result));
+        store.renew(lease, ifHistoryUnchanged(result));
     }
 
     @Override
     public void end(long lease, Consumer<Either<StoreFailure, Long>> result) {
-        store.end(lease, ofNow(result));
+        store.end(lease, ifHistoryUnchanged(result));
     }
 
-    private <T> Consumer<Either<StoreFailure, T>> ofNow(Consumer<Either<StoreFailure, T>> result) {
+    private <T> Consumer<Either<StoreFailure, T>> ifHistoryUnchanged(Consumer<Either<StoreFailure, T>> result) {
         long made = history.epoch();
         return answer -> {
             boolean same = made == 0 || made == history.epoch();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ServingContext.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ServingContext.java
@@ -76,7 +76,7 @@
         UsageLedger usage,
         DemandMeter demand,
         EngineModel engines,
-        RolloutKeeper rollouts,
+        RolloutManager rollouts,
         RetryAfterEstimator retryAfter,
         GatewayMetrics metrics,
         LongSupplier peersAgeMillis,
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SnapshotExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SnapshotExchange.java
@@ -20,7 +20,7 @@
 import io.trailladder.wire.NodeMessage.NodeDigest;
 import io.trailladder.wire.NodeMessage.NodeHello;
 import io.trailladder.wire.NodeMessage.Snapshot;
-import io.trailladder.wire.NodeMessage.SnapshotAsk;
+import io.trailladder.wire.NodeMessage.SnapshotRequest;
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongSupplier;
@@ -46,8 +46,8 @@
     private static final byte[] NO_BYTES = {};
 
     private final LongSupplier nowMillis;
-    private final PolicyKeeper policies;
-    private final DirectoryKeeper directory;
+    private final PolicyManager policies;
+    private final DirectoryManager directory;
     private final StoreHealth store;
     private final GatewayMetrics metrics;
     private final Map<String, Long> requestedAfterRevision = new RecentMap<>(MAX_TRACKED_PEERS);
@@ -57,8 +57,8 @@
 
     SnapshotExchange(
             LongSupplier nowMillis,
-            PolicyKeeper policies,
-            DirectoryKeeper directory,
+            PolicyManager policies,
+            DirectoryManager directory,
             StoreHealth store,
             GatewayMetrics metrics) {
         this.nowMillis = nowMillis;
@@ -90,7 +90,7 @@
         boolean newerPolicy = digest.policyVersion() > policies.version();
         boolean newerList =
                 isNewer(from, digest)
-                        && (!store.isReachable() || mesh.isFedBy(peer) || isMissed(peer, now));
+                        && (!store.isReachable() || mesh.receivesUpdatesFrom(peer) || isMissed(peer, now));
         if ((newerPolicy || newerList) && now - requestedMillis >= REQUEST_INTERVAL_MILLIS) {
             requestedMillis = now;
             request(mesh, peer);
@@ -99,7 +99,7 @@
 
     private boolean isNewer(Peer from, NodeDigest digest) {
         boolean newer =
-                store.history().mayBeOf(from.storeEpoch())
+                store.history().mayMatch(from.storeEpoch())
                         && digest.directoryRevision() > directory.revision();
         if (!newer) {
             newerSinceMillis.remove(from.name());
@@ -116,9 +116,9 @@
      * Answers a peer with what is newer at this process; any list counts as newer than one of
      * another history.
      */
-    void requestReceived(Mesh mesh, Peer peer, SnapshotAsk request) {
+    void requestReceived(Mesh mesh, Peer peer, SnapshotRequest request) {
         boolean newerPolicy = policies.version() > request.policyVersion();
-        boolean sameHistory = store.history().mayBeOf(peer.storeEpoch());
+        boolean sameHistory = store.history().mayMatch(peer.storeEpoch());
         long peerRevision = sameHistory ? request.directoryRevision() : 0;
         boolean newerList = directory.revision() > peerRevision;
         Snapshot snapshot =
@@ -138,11 +138,11 @@
             metrics.count(GatewayMetrics.Event.POLICY_FROM_PEER);
         }
         boolean missed = newerSinceMillis.remove(peer.name()) != null;
-        boolean fed = !store.isReachable() || directory.revision() == 0 || mesh.isFedBy(peer);
+        boolean fed = !store.isReachable() || directory.revision() == 0 || mesh.receivesUpdatesFrom(peer);
         boolean wanted = (fed || missed) && hasList(peer, snapshot);
-        if (wanted && store.history().mayBeOf(from.storeEpoch())) {
+        if (wanted && store.history().mayMatch(from.storeEpoch())) {
             boolean changed =
-                    directory.fromPeer(
+                    directory.applyFromPeer(
                             snapshot.upstreams(), snapshot.directoryRevision(), peer.name());
             if (changed && missed && !fed) {
                 onMissed.run();
@@ -170,6 +170,6 @@
 
     private void request(Mesh mesh, NodeHello peer) {
         requestedAfterRevision.put(peer.name(), directory.revision());
-        mesh.send(peer.name(), new SnapshotAsk(policies.version(), directory.revision()));
+        mesh.send(peer.name(), new SnapshotRequest(policies.version(), directory.revision()));
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreCalls.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreCalls.java
@@ -27,7 +27,7 @@
  */
 public final class StoreCalls {
     private final GatewayMetrics metrics;
-    private final Map<Purpose, Map<Kind, Integer>> untold = new EnumMap<>(Purpose.class);
+    private final Map<Purpose, Map<Kind, Integer>> unreported = new EnumMap<>(Purpose.class);
 
     /** What a call is for. */
     public enum Purpose {
@@ -89,8 +89,8 @@
      * @param purpose what it is for
      * @param kind its kind
      */
-    public void made(Purpose purpose, Kind kind) {
-        untold.computeIfAbsent(purpose, key -> new EnumMap<>(Kind.class))
+    public void countCall(Purpose purpose, Kind kind) {
+        unreported.computeIfAbsent(purpose, key -> new EnumMap<>(Kind.class))
                 .merge(kind, 1, Integer::sum);
         metrics.storeCall(purpose, kind);
     }
@@ -100,13 +100,13 @@
      *
      * @return the counts that are not 0
      */
-    public List<Count> takeUntold() {
+    public List<Count> takeUnreported() {
         List<Count> counts = new ArrayList<>();
-        untold.forEach(
+        unreported.forEach(
                 (purpose, kinds) ->
                         kinds.forEach(
                                 (kind, calls) -> counts.add(new Count(purpose, kind, calls))));
-        untold.clear();
+        unreported.clear();
         return counts;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreEpochSection.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreEpochSection.java
@@ -51,7 +51,7 @@
             if (matches && section.body().length == BYTES) {
                 ByteBuffer body = ByteBuffer.wrap(section.body());
                 long epoch = body.getLong();
-                return new StoreEpochSection(epoch, LeaderKey.sound(body.getLong()));
+                return new StoreEpochSection(epoch, LeaderKey.validOrZero(body.getLong()));
             }
         }
         return NONE;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreHistory.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreHistory.java
@@ -19,7 +19,7 @@
 import io.trailladder.core.store.StoreEpoch.Observation;
 import io.trailladder.entry.gateway.DecisionLog.Lifecycle;
 import io.trailladder.entry.port.CoordinationStore.EpochListener;
-import io.trailladder.wire.NodeMessage.UpstreamNews;
+import io.trailladder.wire.NodeMessage.UpstreamUpdate;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -35,7 +35,7 @@
     private final GatewayMetrics metrics;
     private final StoreEpoch epoch = new StoreEpoch();
     private final List<Runnable> onReplaced = new ArrayList<>();
-    private long passedOver;
+    private long ignoredCount;
 
     /**
      * Creates the state of a store that has named no epoch yet.
@@ -58,7 +58,7 @@
 
     @Override
     public boolean isCurrent(long named) {
-        return named(STORE, named);
+        return applyEpoch(STORE, named);
     }
 
     /**
@@ -67,8 +67,8 @@
      * @param peer the peer's name
      * @param named the epoch that it names; 0 if none
      */
-    void told(String peer, long named) {
-        named(peer, named);
+    void epochReported(String peer, long named) {
+        applyEpoch(peer, named);
     }
 
     /**
@@ -86,7 +86,7 @@
      * @param peerEpoch the epoch that the peer named last; 0 if none, as older builds do
      * @return false if the peer has named another epoch
      */
-    boolean mayBeOf(long peerEpoch) {
+    boolean mayMatch(long peerEpoch) {
         return peerEpoch == 0 || epoch() == 0 || peerEpoch == epoch();
     }
 
@@ -96,13 +96,13 @@
      * @param news the change
      * @param ownRevision the list's revision
      */
-    void newsPassedOver(UpstreamNews news, long ownRevision) {
+    void updateIgnored(UpstreamUpdate news, long ownRevision) {
         metrics.count(GatewayMetrics.Event.UPSTREAM_NEWS_PASSED_OVER);
         String what = news.upstream().id() + " at " + news.revision() + ", list at " + ownRevision;
-        logSome("upstream news", what);
+        logSampled("upstream news", what);
     }
 
-    private boolean named(String source, long named) {
+    private boolean applyEpoch(String source, long named) {
         long before = epoch.current();
         Observation meaning = epoch.observe(named);
         if (meaning == Observation.NEW) {
@@ -112,17 +112,17 @@
             onReplaced.forEach(Runnable::run);
         } else if (meaning != Observation.CURRENT) {
             metrics.count(GatewayMetrics.Event.STORE_EPOCH_PASSED_OVER);
-            logSome("store epoch", meaning + " epoch " + named + " of " + source);
+            logSampled("store epoch", meaning + " epoch " + named + " of " + source);
         }
         // an answer whose epoch is spoiled counts as one that names none
         return meaning != Observation.OLD;
     }
 
     /** Logs the first, second, fourth, eighth: what is passed over comes in rows. */
-    private void logSome(String what, String detail) {
-        passedOver++;
-        if (Long.bitCount(passedOver) == 1) {
-            String counted = detail + ", " + passedOver + " so far";
+    private void logSampled(String what, String detail) {
+        ignoredCount++;
+        if (Long.bitCount(ignoredCount) == 1) {
+            String counted = detail + ", " + ignoredCount + " so far";
             DecisionLog.write(new Lifecycle(what, "passed over", counted));
         }
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreWatcher.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/StoreWatcher.java
@@ -34,16 +34,16 @@
  * @since 0.2
  */
 public final class StoreWatcher {
-    private static final long WATCH_MILLIS = 10_000;
+    private static final long WATCH_TIMEOUT_MILLIS = 10_000;
 
     /**
      * Pause between a list and the first watch after it, in milliseconds: most processes that start
      * are told by a peer by then and need no watch, which is a call to pay for.
      */
-    private static final long FIRST_WATCH_MILLIS = 400;
+    private static final long FIRST_WATCH_DELAY_MILLIS = 400;
 
-    private static final long FIRST_BACKOFF_MILLIS = 150;
-    private static final long LONGEST_BACKOFF_MILLIS = 1_200;
+    private static final long INITIAL_BACKOFF_MILLIS = 150;
+    private static final long MAX_BACKOFF_MILLIS = 1_200;
 
     private final EventLoop loop;
     private final CoordinationStore store;
@@ -55,7 +55,7 @@
     private final List<StoreItem> listed = new ArrayList<>();
     private Runnable cancelWatch = () -> {};
     private long revision;
-    private long backoffMillis = FIRST_BACKOFF_MILLIS;
+    private long backoffMillis = INITIAL_BACKOFF_MILLIS;
     private int round;
     private boolean complete;
     private boolean running;
@@ -78,7 +78,7 @@
         void changed(StoreItem item);
 
         /** Called when the store has shown that no change was missed. */
-        default void heard() {}
+        default void confirmedCurrent() {}
     }
 
     /**
@@ -121,7 +121,7 @@
     }
 
     /** Reads all keys again if they are followed: the wait for changes has heard nothing of one. */
-    public void watchAnew() {
+    public void relist() {
         if (running) {
             DecisionLog.write(new DecisionLog.Lifecycle("watch of " + prefix, "anew", "silent"));
             restart();
@@ -160,12 +160,12 @@
                 afterKey,
                 Freshness.LATEST,
                 result ->
-                        awaited(current, result)
+                        currentResult(current, result)
                                 .ifPresent(batch -> page(current, afterKey, batch)));
     }
 
     /** Returns what a call brought, unless it failed or is no longer awaited. */
-    private Optional<StoreBatch> awaited(int current, Either<StoreFailure, StoreBatch> result) {
+    private Optional<StoreBatch> currentResult(int current, Either<StoreFailure, StoreBatch> result) {
         if (current != round) {
             return Optional.empty();
         }
@@ -188,10 +188,10 @@
             return;
         }
         complete = true;
-        backoffMillis = FIRST_BACKOFF_MILLIS;
+        backoffMillis = INITIAL_BACKOFF_MILLIS;
         listener.listed(List.copyOf(listed), revision);
         listed.clear();
-        loop.schedule(FIRST_WATCH_MILLIS, () -> watchIfCurrent(current));
+        loop.schedule(FIRST_WATCH_DELAY_MILLIS, () -> watchIfCurrent(current));
     }
 
     private void watch(int current) {
@@ -199,15 +199,15 @@
                 store.watch(
                         prefix,
                         revision,
-                        WATCH_MILLIS,
+                        WATCH_TIMEOUT_MILLIS,
                         result ->
-                                awaited(current, result)
+                                currentResult(current, result)
                                         .ifPresent(batch -> changes(current, batch)));
     }
 
     private void changes(int current, StoreBatch batch) {
-        backoffMillis = FIRST_BACKOFF_MILLIS;
-        listener.heard();
+        backoffMillis = INITIAL_BACKOFF_MILLIS;
+        listener.confirmedCurrent();
         for (StoreItem item : batch.items()) {
             revision = Math.max(revision, item.revision());
             listener.changed(item);
@@ -239,7 +239,7 @@
             return;
         }
         long pause = failure == StoreFailure.HISTORY_LOST ? 0 : backoffMillis;
-        backoffMillis = Math.min(LONGEST_BACKOFF_MILLIS, backoffMillis * 2);
+        backoffMillis = Math.min(MAX_BACKOFF_MILLIS, backoffMillis * 2);
         long jittered = pause / 2 + random.nextLong(pause / 2 + 1);
         round++;
         int next = round;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UpstreamNotices.java
@@ -38,7 +38,7 @@
     private static final int MAX_FAULTY_UPSTREAMS = 1_000;
 
     private final LongSupplier nowMillis;
-    private final DirectoryKeeper directory;
+    private final DirectoryManager directory;
     private final UpstreamBackoffs backoffs;
     private final UpstreamLimits limits;
     private final GatewayMetrics metrics;
@@ -46,7 +46,7 @@
 
     UpstreamNotices(
             LongSupplier nowMillis,
-            DirectoryKeeper directory,
+            DirectoryManager directory,
             UpstreamBackoffs backoffs,
             UpstreamLimits limits,
             GatewayMetrics metrics) {
@@ -77,7 +77,7 @@
         if (!changed && notice.isNone()) {
             return;
         }
-        if (notice.leaving() && directory.leavingSaidBy(upstream)) {
+        if (notice.leaving() && directory.leavingAnnouncedBy(upstream)) {
             metrics.count(Event.UPSTREAM_SAID_IT_LEAVES);
             changed = true;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UsageReporter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/UsageReporter.java
@@ -46,7 +46,7 @@
 final class UsageReporter {
     private static final String USAGE_PREFIX = "trailladder/record/usage/";
     private static final long SETTLE_MILLIS = 1_800;
-    private static final long WINDOWS_BACK = 4;
+    private static final long WINDOWS_REPORTED = 4;
 
     /** Windows whose counts are kept to be stored again: twice those that are still reported. */
     private static final long WINDOWS_KEPT = 8;
@@ -64,9 +64,9 @@
     private final Set<Long> reported = new HashSet<>();
     private final Set<Long> busy = new HashSet<>();
     private final Map<Long, byte[]> stored = new TreeMap<>();
-    private long reachableMillis = NEVER;
-    private long othersLedMillis = NEVER;
-    private long uncertainUntil = Long.MIN_VALUE;
+    private long lastReachableMillis = NEVER;
+    private long lastFollowedMillis = NEVER;
+    private long lastUncertainWindow = Long.MIN_VALUE;
 
     /**
      * Creates a reporter.
@@ -107,22 +107,22 @@
      */
     void tick(boolean leads, long nowMillis) {
         if (health.isReachable()) {
-            reachableMillis = nowMillis;
+            lastReachableMillis = nowMillis;
         }
         if (!leads) {
-            othersLedMillis = nowMillis;
+            lastFollowedMillis = nowMillis;
         }
     }
 
     /** Reports the windows that are due. To be called a few times a second by the leader. */
     void reportDue() {
         long settled = settledBefore(0);
-        for (long window = settled - WINDOWS_BACK + 1; window <= settled; window++) {
+        for (long window = settled - WINDOWS_REPORTED + 1; window <= settled; window++) {
             if (!reported.contains(window) && busy.add(window)) {
                 record(window);
             }
         }
-        reported.removeIf(window -> window < settled - WINDOWS_BACK);
+        reported.removeIf(window -> window < settled - WINDOWS_REPORTED);
         stored.keySet().removeIf(window -> window < settled - WINDOWS_KEPT);
     }
 
@@ -132,8 +132,8 @@
 
     /** Stores again what this process knows to have been stored. */
     void historyReplaced(long nowMillis) {
-        long othersUntilMillis = Math.min(reachableMillis, othersLedMillis);
-        uncertainUntil = Math.max(uncertainUntil, settledBefore(nowMillis - othersUntilMillis));
+        long othersUntilMillis = Math.min(lastReachableMillis, lastFollowedMillis);
+        lastUncertainWindow = Math.max(lastUncertainWindow, settledBefore(nowMillis - othersUntilMillis));
         busy.clear();
         stored.forEach(
                 (window, value) ->
@@ -143,7 +143,7 @@
 
     /** Stores the counts of a window unless an earlier leader did, then reports what is stored. */
     private void record(long window) {
-        if (window <= uncertainUntil && !stored.containsKey(window)) {
+        if (window <= lastUncertainWindow && !stored.containsKey(window)) {
             readRecord(window);
             return;
         }
@@ -167,11 +167,11 @@
         store.read(
                 USAGE_PREFIX + window,
                 result -> {
-                    if (result.isRight() && !result.get().gone()) {
+                    if (result.isRight() && !result.get().removed()) {
                         stored.put(window, result.get().value());
                         report(window, decode(result.get().value()));
-                    } else if (result.isRight() && window <= uncertainUntil) {
-                        leaveOut(window);
+                    } else if (result.isRight() && window <= lastUncertainWindow) {
+                        skip(window);
                     } else {
                         busy.remove(window);
                     }
@@ -179,7 +179,7 @@
     }
 
     /** Other counts may have been reported under a record that the store has lost. */
-    private void leaveOut(long window) {
+    private void skip(long window) {
         busy.remove(window);
         reported.add(window);
         DecisionLog.write(
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ValidFigures.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ValidFigures.java
@@ -42,7 +42,7 @@
         List<ServiceDemand> demands =
                 digest.demands().stream().filter(ServiceDemand::isValid).toList();
         List<EngineEvidence> evidence =
-                digest.evidence().stream().filter(EngineEvidence::isSound).toList();
+                digest.evidence().stream().filter(EngineEvidence::isValid).toList();
         int received = digest.demands().size() + digest.evidence().size();
         int refused = received - demands.size() - evidence.size();
         if (refused == 0) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/AnswerWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/AnswerWriter.java
@@ -15,8 +15,8 @@
  */
 package io.trailladder.entry.http;
 
-import io.trailladder.core.memory.HeldKind;
-import io.trailladder.core.memory.MemoryAccount.Holding;
+import io.trailladder.core.memory.ReservationKind;
+import io.trailladder.core.memory.MemoryAccount.Reservation;
 import java.net.SocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -54,7 +54,7 @@
     private final HttpResponsePacket head;
     private ArrayDeque<byte[]> waiting;
     private List<Runnable> whenWritable;
-    private Holding holding;
+    private Reservation holding;
     private int waitingBytes;
     private int writingBytes;
     private boolean headSent;
@@ -62,8 +62,8 @@
     private boolean writingLast;
     private boolean ended;
     private boolean cut;
-    private boolean brokenOff;
-    private volatile int heldBytes;
+    private boolean aborted;
+    private volatile int unsentBytes;
     private boolean progressed;
     private int leftAtCheck;
     private long progressMillis;
@@ -76,24 +76,24 @@
 
     void write(byte[] bytes, boolean last) {
         if (writing) {
-            keep(bytes);
+            enqueue(bytes);
             ended |= last;
         } else {
             send(bytes, last);
         }
-        account();
-        if (heldBytes > owner.server().account().budget().answerBytes()) {
+        updateAccount();
+        if (unsentBytes > owner.server().account().budget().answerBytes()) {
             owner.server().unread().overBound(exchange);
         }
     }
 
     /** Returns what is held of the answer, in bytes. May be called on any thread. */
-    int heldBytes() {
-        return heldBytes;
+    int unsentBytes() {
+        return unsentBytes;
     }
 
     boolean isWritable() {
-        return heldBytes < WRITABLE_BYTES;
+        return unsentBytes < WRITABLE_BYTES;
     }
 
     void whenWritable(Runnable task) {
@@ -124,15 +124,15 @@
         waiting = null;
         waitingBytes = 0;
         if (writing) {
-            account();
+            updateAccount();
         } else {
             owner.close();
         }
     }
 
     /** Closes without an end once all that was written has left. */
-    void breakOff() {
-        brokenOff = true;
+    void abort() {
+        aborted = true;
         if (!writing) {
             owner.close();
         }
@@ -143,11 +143,11 @@
         waiting = null;
         waitingBytes = 0;
         writingBytes = 0;
-        heldBytes = 0;
+        unsentBytes = 0;
         if (holding != null) {
             holding.close();
         }
-        tellWritable();
+        notifyWritable();
     }
 
     @Override
@@ -165,8 +165,8 @@
             owner.close();
         } else if (ended || waitingBytes > 0) {
             sendWaiting();
-            account();
-        } else if (brokenOff) {
+            updateAccount();
+        } else if (aborted) {
             owner.close();
         }
     }
@@ -176,7 +176,7 @@
         owner.terminate();
     }
 
-    private void keep(byte[] bytes) {
+    private void enqueue(byte[] bytes) {
         if (cut || bytes.length == 0) {
             return;
         }
@@ -247,23 +247,23 @@
     }
 
     /** Brings the account up to date; costs nothing while the caller keeps up. */
-    private void account() {
+    private void updateAccount() {
         int held = writingBytes + waitingBytes;
-        if (held == heldBytes) {
+        if (held == unsentBytes) {
             return;
         }
         if (holding == null) {
-            holding = owner.server().account().open(HeldKind.ANSWERS_WAITING);
+            holding = owner.server().account().open(ReservationKind.ANSWERS_WAITING);
             progressMillis = owner.server().nowMillis();
         }
-        heldBytes = held;
+        unsentBytes = held;
         holding.set(held);
         if (whenWritable != null && isWritable()) {
-            tellWritable();
+            notifyWritable();
         }
     }
 
-    private void tellWritable() {
+    private void notifyWritable() {
         if (whenWritable != null) {
             List<Runnable> tasks = whenWritable;
             whenWritable = null;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/ClientCall.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/ClientCall.java
@@ -31,7 +31,7 @@
     private boolean requestWritten;
     private boolean reusable = true;
     private boolean endsWithConnection;
-    private long keptMillis = KeepAlive.NOT_TOLD;
+    private long reuseMillis = KeepAlive.NOT_SPECIFIED;
     private Runnable onWritten;
 
     ClientCall(OutgoingCall request, CallListener listener) {
@@ -66,7 +66,7 @@
 
     void written() {
         requestWritten = true;
-        tellWritten();
+        notifyWritten();
     }
 
     boolean isWritten() {
@@ -80,10 +80,10 @@
 
     private void over() {
         over = true;
-        tellWritten();
+        notifyWritten();
     }
 
-    private void tellWritten() {
+    private void notifyWritten() {
         if (onWritten != null) {
             Runnable task = onWritten;
             onWritten = null;
@@ -92,12 +92,12 @@
     }
 
     boolean canKeepConnection() {
-        return requestWritten && reusable && keptMillis > 0;
+        return requestWritten && reusable && reuseMillis > 0;
     }
 
     /** Returns how long the server lets the connection be used again, in milliseconds. */
-    long keptMillis() {
-        return keptMillis;
+    long reuseMillis() {
+        return reuseMillis;
     }
 
     void head(int status, HeaderList headers, long length) {
@@ -111,7 +111,7 @@
         if (closes) {
             reusable = false;
         }
-        keptMillis = KeepAlive.restMillis(headers);
+        reuseMillis = KeepAlive.reuseMillis(headers);
         listener.head(status, headers, length);
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/HttpConnector.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/HttpConnector.java
@@ -57,7 +57,7 @@
 
     private final EventLoop loop;
     private final FilterChain chain;
-    private final Map<HostPort, Deque<Resting>> resting = new HashMap<>();
+    private final Map<HostPort, Deque<IdleConnection>> idleConnections = new HashMap<>();
 
     /** Bytes of requests that servers have not taken yet; none for those that keep up. */
     private final Map<HostPort, Long> unwritten = new HashMap<>();
@@ -71,10 +71,10 @@
      * @param sinceMillis when it began to rest
      * @param keptMillis how long its server lets it be used again, in milliseconds
      */
-    private record Resting(Connection<?> connection, long sinceMillis, long keptMillis) {
+    private record IdleConnection(Connection<?> connection, long idleSinceMillis, long reuseMillis) {
         boolean isUsable(long mostMillis, long nowMillis) {
-            long rested = nowMillis - sinceMillis;
-            return connection.isOpen() && rested <= mostMillis && rested < keptMillis;
+            long rested = nowMillis - idleSinceMillis;
+            return connection.isOpen() && rested <= mostMillis && rested < reuseMillis;
         }
     }
 
@@ -105,7 +105,7 @@
      */
     public ClientCall send(OutgoingCall request, CallListener listener) {
         ClientCall call = new ClientCall(request, listener);
-        Connection<?> kept = request.maxRestMillis() > 0 ? takeResting(request) : null;
+        Connection<?> kept = request.maxIdleMillis() > 0 ? takeIdle(request) : null;
         if (kept != null) {
             write(call, kept);
         } else {
@@ -120,8 +120,8 @@
      *
      * @param target the server
      */
-    public void closeResting(HostPort target) {
-        Deque<Resting> idle = resting.remove(target);
+    public void closeIdle(HostPort target) {
+        Deque<IdleConnection> idle = idleConnections.remove(target);
         if (idle != null) {
             idle.forEach(rested -> rested.connection().terminateSilently());
         }
@@ -169,7 +169,7 @@
         HostPort target = call.request().target();
         LoopTimer timeout =
                 loop.schedule(
-                        call.request().connectMillis(), () -> call.fail(CallFailure.UNREACHABLE));
+                        call.request().connectTimeoutMillis(), () -> call.fail(CallFailure.UNREACHABLE));
         loop.connect(
                 new InetSocketAddress(target.host(), target.port()),
                 chain,
@@ -237,11 +237,11 @@
         return method.equals("POST") || method.equals("PUT") || method.equals("PATCH");
     }
 
-    private Connection<?> takeResting(OutgoingCall request) {
-        Deque<Resting> idle = resting.get(request.target());
+    private Connection<?> takeIdle(OutgoingCall request) {
+        Deque<IdleConnection> idle = idleConnections.get(request.target());
         while (idle != null && !idle.isEmpty()) {
-            Resting last = idle.removeLast();
-            if (last.isUsable(request.maxRestMillis(), loop.nowMillis())) {
+            IdleConnection last = idle.removeLast();
+            if (last.isUsable(request.maxIdleMillis(), loop.nowMillis())) {
                 return last.connection();
             }
             last.connection().terminateSilently();
@@ -253,16 +253,16 @@
     private void keep(OutgoingCall request, Connection<?> connection, long keptMillis) {
         loop.execute(
                 () -> {
-                    Deque<Resting> idle =
-                            resting.computeIfAbsent(
+                    Deque<IdleConnection> idle =
+                            idleConnections.computeIfAbsent(
                                     request.target(), address -> new ArrayDeque<>());
                     if (!connection.isOpen()) {
                         return;
                     }
-                    while (idle.size() >= request.mostResting()) {
+                    while (idle.size() >= request.maxIdleConnections()) {
                         idle.removeFirst().connection().terminateSilently();
                     }
-                    idle.addLast(new Resting(connection, loop.nowMillis(), keptMillis));
+                    idle.addLast(new IdleConnection(connection, loop.nowMillis(), keptMillis));
                 });
     }
 
@@ -306,8 +306,8 @@
         }
 
         private void finish(ClientCall call, Connection<?> connection) {
-            if (call.canKeepConnection() && call.request().maxRestMillis() > 0) {
-                keep(call.request(), connection, call.keptMillis());
+            if (call.canKeepConnection() && call.request().maxIdleMillis() > 0) {
+                keep(call.request(), connection, call.reuseMillis());
             } else if (call.isWritten()) {
                 connection.closeSilently();
             } else {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/HttpServer.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/HttpServer.java
@@ -143,7 +143,7 @@
      * @param most largest number of connections
      */
     public void maxConnections(int most) {
-        connections.bound(most);
+        connections.maxConnections(most);
     }
 
     /**
@@ -189,9 +189,9 @@
     }
 
     /** Closes connections that have no request. */
-    public void closeResting() {
+    public void closeIdle() {
         for (ServerConnection connection : connections.copy()) {
-            if (connection.isResting()) {
+            if (connection.isIdle()) {
                 connection.close();
             }
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/JsonCalls.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/JsonCalls.java
@@ -34,7 +34,7 @@
  * @since 0.2
  */
 public final class JsonCalls {
-    private static final long REST_MILLIS = 3_000;
+    private static final long MAX_IDLE_MILLIS = 3_000;
     private static final long CONNECT_MILLIS = 800;
     private static final byte[] NO_BYTES = {};
 
@@ -135,7 +135,7 @@
         pending.call =
                 connector.send(
                         new OutgoingCall(
-                                server, method, uri, headers, body, REST_MILLIS, CONNECT_MILLIS),
+                                server, method, uri, headers, body, MAX_IDLE_MILLIS, CONNECT_MILLIS),
                         pending);
         return pending::cancel;
     }
@@ -162,7 +162,7 @@
 
         void timeOut() {
             call.cancel();
-            connector.closeResting(server);
+            connector.closeIdle(server);
             finish(Reply.NONE);
         }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/KeepAlive.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/KeepAlive.java
@@ -21,13 +21,13 @@
 /** Reads how long a server keeps a connection that rests, from the head of its answer. */
 final class KeepAlive {
     /** Told where an answer says nothing, in milliseconds. */
-    static final long NOT_TOLD = Long.MAX_VALUE;
+    static final long NOT_SPECIFIED = Long.MAX_VALUE;
 
     /**
      * Part of the time told in which a connection is used again. The server counts from when its
      * answer left, in whole seconds, and a request that meets its close may or may not have run.
      */
-    private static final int SAFE_PART = 2;
+    private static final int SAFETY_DIVISOR = 2;
 
     private static final long MILLIS_PER_SECOND = 1_000;
 
@@ -38,15 +38,15 @@
     private KeepAlive() {}
 
     /**
-     * Returns how long a connection may rest and be used again, in milliseconds: {@link #NOT_TOLD}
+     * Returns how long a connection may rest and be used again, in milliseconds: {@link #NOT_SPECIFIED}
      * if the answer does not say so, or says it in no known form.
      */
-    static long restMillis(HeaderList headers) {
+    static long reuseMillis(HeaderList headers) {
         String value = headers.first("Keep-Alive").orElse("").trim();
         Matcher seconds = SECONDS.matcher(value);
         if (value.isEmpty() || !seconds.matches()) {
-            return NOT_TOLD;
+            return NOT_SPECIFIED;
         }
-        return Long.parseLong(seconds.group(1)) * MILLIS_PER_SECOND / SAFE_PART;
+        return Long.parseLong(seconds.group(1)) * MILLIS_PER_SECOND / SAFETY_DIVISOR;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/OutgoingCall.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/OutgoingCall.java
@@ -25,10 +25,10 @@
  * @param uri path with query, sent as it is
  * @param headers header fields with the host, without those that concern the connection
  * @param body the body; empty for none
- * @param maxRestMillis longest rest of a kept connection that may be used, in milliseconds; 0 for a
+ * @param maxIdleMillis longest rest of a kept connection that may be used, in milliseconds; 0 for a
  *     new connection
- * @param connectMillis longest time for a new connection, in milliseconds
- * @param mostResting how many connections to the server may rest between calls
+ * @param connectTimeoutMillis longest time for a new connection, in milliseconds
+ * @param maxIdleConnections how many connections to the server may rest between calls
  * @since 0.2
  */
 public record OutgoingCall(
@@ -37,11 +37,11 @@
         String uri,
         HeaderList headers,
         byte[] body,
-        long maxRestMillis,
-        long connectMillis,
-        int mostResting) {
+        long maxIdleMillis,
+        long connectTimeoutMillis,
+        int maxIdleConnections) {
     /** Connections to a server that may rest, where it does not share them out. */
-    public static final int MOST_RESTING = 64;
+    public static final int MAX_IDLE_CONNECTIONS = 64;
 
     /**
      * Creates a call to a server that accepts as many connections as are opened.
@@ -62,6 +62,6 @@
             byte[] body,
             long maxRestMillis,
             long connectMillis) {
-        this(target, method, uri, headers, body, maxRestMillis, connectMillis, MOST_RESTING);
+        this(target, method, uri, headers, body, maxRestMillis, connectMillis, MAX_IDLE_CONNECTIONS);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnection.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnection.java
@@ -15,7 +15,7 @@
  */
 package io.trailladder.entry.http;
 
-import io.trailladder.core.memory.HeldKind;
+import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.memory.MemoryLevel;
 import java.io.ByteArrayOutputStream;
@@ -28,7 +28,7 @@
 
 /** One caller's connection: it is answered one request after the other, in order. */
 final class ServerConnection {
-    private static final int MAX_WAITING = 32;
+    private static final int MAX_PIPELINED_REQUESTS = 32;
     private static final long DROP_BODY_MILLIS = 1_000;
     private static final int BAD_REQUEST = 400;
     private static final int REQUEST_TIMEOUT = 408;
@@ -38,7 +38,7 @@
 
     private final HttpServer server;
     private final Connection<?> connection;
-    private final MemoryAccount.Holding holding;
+    private final MemoryAccount.Reservation holding;
     private final Deque<ServerExchange> waiting = new ArrayDeque<>();
     private HttpRequestPacket reading;
 
@@ -50,15 +50,15 @@
     private boolean refusing;
     private boolean bodyEnded;
     private long closeAtMillis;
-    private long restingSinceMillis;
-    private long restingOrder;
+    private long idleSinceMillis;
+    private long idleOrder;
     private long headSinceMillis = -1;
 
     ServerConnection(HttpServer server, Connection<?> connection) {
         this.server = server;
         this.connection = connection;
-        this.holding = server.account().open(HeldKind.REQUESTS);
-        rests();
+        this.holding = server.account().open(ReservationKind.REQUESTS);
+        markIdle();
     }
 
     Connection<?> connection() {
@@ -89,7 +89,7 @@
             reading = request;
             headers = HeaderList.of(request.getHeaders());
             headSinceMillis = -1;
-            rests();
+            markIdle();
             if (!acceptable(request) || answeredWithoutBody(request, content)) {
                 bodyDropped(content);
                 return;
@@ -105,7 +105,7 @@
                 bodyDropped(content);
                 return;
             }
-            account();
+            updateAccount();
             if (!content.isLast() && server.account().level() == MemoryLevel.FULL) {
                 refuse(request, UNAVAILABLE);
                 bodyDropped(content);
@@ -116,7 +116,7 @@
             reading = null;
             byte[] whole = takeBody();
             accept(new ServerExchange(this, request, headers, whole));
-            account();
+            updateAccount();
         }
     }
 
@@ -126,8 +126,8 @@
             return;
         }
         current = null;
-        account();
-        rests();
+        updateAccount();
+        markIdle();
         if (exchange.closesAfter()) {
             closeAfterAnswer();
         } else {
@@ -140,7 +140,7 @@
             ServerExchange left = current;
             current = null;
             left.release();
-            left.gone();
+            left.disconnected();
         }
         waiting.clear();
         holding.close();
@@ -168,18 +168,18 @@
         }
     }
 
-    boolean isResting() {
+    boolean isIdle() {
         return current == null && reading == null && headSinceMillis < 0;
     }
 
-    private void rests() {
-        restingSinceMillis = server.nowMillis();
-        restingOrder = server.nextOrder();
+    private void markIdle() {
+        idleSinceMillis = server.nowMillis();
+        idleOrder = server.nextOrder();
     }
 
     /** Returns a number that is lower the earlier it began to rest; of use while it rests. */
-    long restingOrder() {
-        return restingOrder;
+    long idleOrder() {
+        return idleOrder;
     }
 
     boolean hasRequest() {
@@ -200,12 +200,12 @@
         boolean headLate =
                 headSinceMillis >= 0 && nowMillis - headSinceMillis > bounds.headerTimeoutMillis();
         boolean bodyLate =
-                reading != null && nowMillis - restingSinceMillis > bounds.idleTimeoutMillis();
+                reading != null && nowMillis - idleSinceMillis > bounds.idleTimeoutMillis();
         if (bodyLate && current == null) {
             refuse(reading, REQUEST_TIMEOUT);
         } else if (headLate) {
             close();
-        } else if (isResting() && nowMillis - restingSinceMillis > bounds.idleTimeoutMillis()) {
+        } else if (isIdle() && nowMillis - idleSinceMillis > bounds.idleTimeoutMillis()) {
             close();
         }
     }
@@ -220,7 +220,7 @@
     }
 
     /** Tells what the requests of the connection hold. */
-    private void account() {
+    private void updateAccount() {
         long held = body.size();
         if (current != null) {
             held += current.requestBytes();
@@ -234,7 +234,7 @@
     private void accept(ServerExchange exchange) {
         if (current == null) {
             start(exchange);
-        } else if (waiting.size() < MAX_WAITING) {
+        } else if (waiting.size() < MAX_PIPELINED_REQUESTS) {
             waiting.addLast(exchange);
         } else {
             close();
@@ -283,7 +283,7 @@
     private void refuse(HttpRequestPacket request, int status) {
         refusing = true;
         takeBody();
-        account();
+        updateAccount();
         if (current != null) {
             close();
             return;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnections.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnections.java
@@ -34,13 +34,13 @@
      * Part of the bound that is closed when it is reached, so that the search for whom to close is
      * made once for many new connections.
      */
-    private static final int CLOSED_PART = 32;
+    private static final int CLOSED_DIVISOR = 32;
 
     private final Set<ServerConnection> all = new HashSet<>();
-    private int bound = Integer.MAX_VALUE;
+    private int maxConnections = Integer.MAX_VALUE;
 
-    void bound(int most) {
-        bound = most;
+    void maxConnections(int most) {
+        maxConnections = most;
     }
 
     /**
@@ -50,7 +50,7 @@
      * @return false if all others have requests, so that there is no room for it
      */
     boolean add(ServerConnection connection) {
-        if (all.size() >= bound && !closeKept()) {
+        if (all.size() >= maxConnections && !closeIdle()) {
             return false;
         }
         all.add(connection);
@@ -65,10 +65,10 @@
         return List.copyOf(all);
     }
 
-    private boolean closeKept() {
-        List<ServerConnection> kept = keptOfOneCaller();
-        kept.sort(Comparator.comparingLong(ServerConnection::restingOrder));
-        int count = Math.min(kept.size(), Math.max(1, bound / CLOSED_PART));
+    private boolean closeIdle() {
+        List<ServerConnection> kept = idleOfLargestCaller();
+        kept.sort(Comparator.comparingLong(ServerConnection::idleOrder));
+        int count = Math.min(kept.size(), Math.max(1, maxConnections / CLOSED_DIVISOR));
         for (ServerConnection connection : kept.subList(0, count)) {
             all.remove(connection);
             connection.close();
@@ -77,11 +77,11 @@
     }
 
     /** Returns the connections without a request of the caller that keeps most. */
-    private List<ServerConnection> keptOfOneCaller() {
+    private List<ServerConnection> idleOfLargestCaller() {
         Map<InetAddress, List<ServerConnection>> byCaller = new HashMap<>();
         List<ServerConnection> most = new ArrayList<>();
         for (ServerConnection connection : all) {
-            if (connection.isResting()) {
+            if (connection.isIdle()) {
                 InetSocketAddress caller =
                         (InetSocketAddress) connection.connection().getPeerAddress();
                 List<ServerConnection> kept =
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerExchange.java
@@ -39,10 +39,10 @@
     private final byte[] body;
     private volatile AnswerWriter writer;
     private AnswerOwner answerOwner = AnswerOwner.UNKNOWN;
-    private Runnable onGone = () -> {};
+    private Runnable onDisconnect = () -> {};
     private boolean closeAfter;
     private volatile boolean over;
-    private boolean gone;
+    private boolean disconnected;
     private boolean cut;
 
     ServerExchange(
@@ -114,11 +114,11 @@
      *
      * @param task runs at most once
      */
-    public void onGone(Runnable task) {
-        if (gone) {
+    public void onDisconnect(Runnable task) {
+        if (disconnected) {
             task.run();
         } else {
-            onGone = task;
+            onDisconnect = task;
         }
     }
 
@@ -230,7 +230,7 @@
      * @return bytes
      */
     public int unreadBytes() {
-        return writer == null ? 0 : writer.heldBytes();
+        return writer == null ? 0 : writer.unsentBytes();
     }
 
     /**
@@ -260,7 +260,7 @@
         } else {
             writer.cut();
         }
-        gone();
+        disconnected();
     }
 
     /**
@@ -295,7 +295,7 @@
         if (writer == null) {
             owner.close();
         } else {
-            writer.breakOff();
+            writer.abort();
         }
     }
 
@@ -315,11 +315,11 @@
         }
     }
 
-    void gone() {
+    void disconnected() {
         if (!over) {
             over = true;
-            gone = true;
-            onGone.run();
+            disconnected = true;
+            onDisconnect.run();
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/log/EarlyLines.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/log/EarlyLines.java
@@ -32,7 +32,7 @@
  */
 public final class EarlyLines {
     /** Most lines that are kept: some seconds of a busy process. Later ones are written at once. */
-    private static final int MOST = 4_096;
+    private static final int MAX_LINES = 4_096;
 
     private static volatile boolean holding;
     private static Deque<Object> kept = new ArrayDeque<>();
@@ -55,7 +55,7 @@
             return false;
         }
         synchronized (EarlyLines.class) {
-            return holding && kept.size() < MOST && kept.add(line);
+            return holding && kept.size() < MAX_LINES && kept.add(line);
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/loop/EventLoop.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/loop/EventLoop.java
@@ -53,7 +53,7 @@
      * Tasks that run again and again run at multiples of this, in milliseconds, so that several are
      * done at one wake-up. All such periods of a process are multiples of it.
      */
-    private static final long BEAT_MILLIS = 50;
+    private static final long TICK_MILLIS = 50;
 
     private final TCPNIOTransport transport;
     private final TimerQueue timers = new TimerQueue();
@@ -62,7 +62,7 @@
     private volatile Thread thread;
 
     /** When the beats are, so that processes of one machine do not all wake at once. */
-    private final long beatOffsetNanos = System.nanoTime();
+    private final long tickOffsetNanos = System.nanoTime();
 
     /** Creates a loop that is not yet running. */
     public EventLoop() {
@@ -186,9 +186,9 @@
      */
     public void repeat(long periodMillis, Runnable task) {
         long periodNanos = TimeUnit.MILLISECONDS.toNanos(periodMillis);
-        long beatNanos = TimeUnit.MILLISECONDS.toNanos(Math.min(BEAT_MILLIS, periodMillis));
-        long first = System.nanoTime() - beatOffsetNanos + periodNanos;
-        repeatAt(beatOffsetNanos + first / beatNanos * beatNanos, periodNanos, task);
+        long beatNanos = TimeUnit.MILLISECONDS.toNanos(Math.min(TICK_MILLIS, periodMillis));
+        long first = System.nanoTime() - tickOffsetNanos + periodNanos;
+        repeatAt(tickOffsetNanos + first / beatNanos * beatNanos, periodNanos, task);
     }
 
     private void repeatAt(long atNanos, long periodNanos, Runnable task) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/loop/SteadyClock.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/loop/SteadyClock.java
@@ -25,7 +25,7 @@
  * A time of day that does not follow a jump of the machine's clock at once.
  *
  * <p>It goes on from a steady clock, and takes the machine's time over while both agree. A jump is
- * believed only after it has lasted for {@link #PATIENCE_MILLIS}: clocks that were set wrongly are
+ * believed only after it has lasted for {@link #JUMP_CONFIRMATION_MILLIS}: clocks that were set wrongly are
  * mostly set right again soon, and counts by time of day would go to the wrong window meanwhile.
  *
  * <pre>{@code
@@ -36,15 +36,15 @@
  */
 public final class SteadyClock extends Clock {
     /** How long a jump must last to be believed, in milliseconds: some windows of usage. */
-    public static final long PATIENCE_MILLIS = 15_000;
+    public static final long JUMP_CONFIRMATION_MILLIS = 15_000;
 
     /** Largest difference that is taken for an adjustment, in milliseconds. */
-    public static final long MOST_ADJUSTMENT_MILLIS = 200;
+    public static final long MAX_ADJUSTMENT_MILLIS = 200;
 
-    private final Clock machine;
+    private final Clock systemClock;
     private final LongSupplier steadyMillis;
     private long offsetMillis;
-    private long jumpedMillis = -1;
+    private long jumpSinceMillis = -1;
 
     /**
      * Creates a clock that begins with the machine's time.
@@ -53,7 +53,7 @@
      * @param steadyMillis a clock that never jumps, in milliseconds
      */
     public SteadyClock(Clock machine, LongSupplier steadyMillis) {
-        this.machine = machine;
+        this.systemClock = machine;
         this.steadyMillis = steadyMillis;
         this.offsetMillis = machine.millis() - steadyMillis.getAsLong();
     }
@@ -61,17 +61,17 @@
     @Override
     public long millis() {
         long now = steadyMillis.getAsLong();
-        long offset = machine.millis() - now;
-        if (Math.abs(offset - offsetMillis) <= MOST_ADJUSTMENT_MILLIS) {
+        long offset = systemClock.millis() - now;
+        if (Math.abs(offset - offsetMillis) <= MAX_ADJUSTMENT_MILLIS) {
             offsetMillis = offset;
-            jumpedMillis = -1;
-        } else if (jumpedMillis < 0) {
-            jumpedMillis = now;
+            jumpSinceMillis = -1;
+        } else if (jumpSinceMillis < 0) {
+            jumpSinceMillis = now;
             Logger.warn("the time of day jumped by {} ms", offset - offsetMillis);
-        } else if (now - jumpedMillis >= PATIENCE_MILLIS) {
+        } else if (now - jumpSinceMillis >= JUMP_CONFIRMATION_MILLIS) {
             Logger.warn("a jump of the time of day by {} ms lasts", offset - offsetMillis);
             offsetMillis = offset;
-            jumpedMillis = -1;
+            jumpSinceMillis = -1;
         }
         return now + offsetMillis;
     }
@@ -83,11 +83,11 @@
 
     @Override
     public ZoneId getZone() {
-        return machine.getZone();
+        return systemClock.getZone();
     }
 
     @Override
     public Clock withZone(ZoneId zone) {
-        return new SteadyClock(machine.withZone(zone), steadyMillis);
+        return new SteadyClock(systemClock.withZone(zone), steadyMillis);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/loop/TimerQueue.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/loop/TimerQueue.java
@@ -20,7 +20,7 @@
 /** The timers of an event loop. */
 final class TimerQueue {
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final long LONGEST_SLEEP_MILLIS = 1_000;
+    private static final long MAX_SLEEP_MILLIS = 1_000;
 
     private final PriorityQueue<LoopTimer> timers = new PriorityQueue<>();
     private long order;
@@ -45,11 +45,11 @@
         dropCancelled();
         LoopTimer first = timers.peek();
         if (first == null) {
-            return LONGEST_SLEEP_MILLIS;
+            return MAX_SLEEP_MILLIS;
         }
         long nanos = Math.max(0, first.atNanos() - nowNanos);
         long millis = (nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI;
-        return Math.min(LONGEST_SLEEP_MILLIS, millis);
+        return Math.min(MAX_SLEEP_MILLIS, millis);
     }
 
     private void dropCancelled() {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/mesh/Mesh.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/mesh/Mesh.java
@@ -92,7 +92,7 @@
      * @param peer the peer
      * @return true for the hub of a leaf, and for the store's followers to another hub
      */
-    default boolean isFedBy(NodeHello peer) {
+    default boolean receivesUpdatesFrom(NodeHello peer) {
         return isOwnHub(peer);
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/mesh/NodeLink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/mesh/NodeLink.java
@@ -27,20 +27,20 @@
     private final Connection<SocketAddress> connection;
     private final String dialledAddress;
     private NodeHello peer;
-    private long heardMillis;
+    private long lastReceivedMillis;
 
     @SuppressWarnings("unchecked") // a TCP connection's address type
     NodeLink(Connection<?> connection, String dialledAddress, long nowMillis) {
         this.connection = (Connection<SocketAddress>) connection;
         this.dialledAddress = dialledAddress;
-        this.heardMillis = nowMillis;
+        this.lastReceivedMillis = nowMillis;
     }
 
-    void greeted(NodeHello hello) {
+    void helloReceived(NodeHello hello) {
         peer = hello;
     }
 
-    boolean isGreeted() {
+    boolean hasHello() {
         return peer != null;
     }
 
@@ -55,15 +55,15 @@
 
     /** Returns where the peer takes links; empty if it is not known yet. */
     String peerAddress() {
-        return isGreeted() ? peer.address() : dialledAddress;
+        return hasHello() ? peer.address() : dialledAddress;
     }
 
-    void heard(long nowMillis) {
-        heardMillis = nowMillis;
+    void messageReceived(long nowMillis) {
+        lastReceivedMillis = nowMillis;
     }
 
-    long heardMillis() {
-        return heardMillis;
+    long lastReceivedMillis() {
+        return lastReceivedMillis;
     }
 
     boolean isOpen() {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/mesh/PeerMesh.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/mesh/PeerMesh.java
@@ -52,11 +52,11 @@
  */
 public final class PeerMesh implements Mesh {
     /** How long a peer counts as heard after its last message, in milliseconds. */
-    public static final long HEARD_MILLIS = 1_200;
+    public static final long PEER_REACHABLE_MILLIS = 1_200;
 
-    private static final long DIAL_MILLIS = 400;
-    private static final long CONNECT_MILLIS = 1_000;
-    private static final long SILENT_MILLIS = 2_500;
+    private static final long MAINTENANCE_PERIOD_MILLIS = 400;
+    private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
+    private static final long LINK_TIMEOUT_MILLIS = 2_500;
 
     private final EventLoop loop;
     private final NodeHello self;
@@ -113,7 +113,7 @@
      */
     public void start(HostPort address) throws IOException {
         loop.bind(new InetSocketAddress(address.host(), address.port()), chain);
-        loop.repeat(DIAL_MILLIS, this::maintain);
+        loop.repeat(MAINTENANCE_PERIOD_MILLIS, this::maintain);
     }
 
     /**
@@ -195,7 +195,7 @@
     }
 
     @Override
-    public boolean isFedBy(NodeHello peer) {
+    public boolean receivesUpdatesFrom(NodeHello peer) {
         if (!plan.hub()) {
             return isOwnHub(peer);
         }
@@ -239,7 +239,7 @@
     private void maintain() {
         long now = loop.nowMillis();
         for (NodeLink link : List.copyOf(open)) {
-            if (now - link.heardMillis() > longestSilenceMillis(link)) {
+            if (now - link.lastReceivedMillis() > linkTimeoutMillis(link)) {
                 planner.unreachable(link.peerAddress(), now);
                 link.close();
             }
@@ -255,9 +255,9 @@
     }
 
     /** A leaf looks for another hub soon. */
-    private long longestSilenceMillis(NodeLink link) {
-        boolean ownHub = link.isGreeted() && isOwnHub(link.peer());
-        return ownHub ? HEARD_MILLIS : SILENT_MILLIS;
+    private long linkTimeoutMillis(NodeLink link) {
+        boolean ownHub = link.hasHello() && isOwnHub(link.peer());
+        return ownHub ? PEER_REACHABLE_MILLIS : LINK_TIMEOUT_MILLIS;
     }
 
     /** Links that were opened before the processes were known are not needed by a leaf or hub. */
@@ -284,7 +284,7 @@
         }
         HostPort target = HostPort.parse(address);
         Dial dial = new Dial(address);
-        dial.timeout = loop.schedule(CONNECT_MILLIS, dial::failed);
+        dial.timeout = loop.schedule(CONNECT_TIMEOUT_MILLIS, dial::failed);
         loop.connect(
                 new InetSocketAddress(target.host(), target.port()),
                 chain,
@@ -292,7 +292,7 @@
                 cause -> loop.execute(dial::failed));
     }
 
-    private void greet(NodeLink link) {
+    private void sendHello(NodeLink link) {
         link.send(self);
     }
 
@@ -315,7 +315,7 @@
             NodeLink link = new NodeLink(connection, address, loop.nowMillis());
             NodeFrameFilter.attach(connection, link);
             open.add(link);
-            greet(link);
+            sendHello(link);
         }
 
         void failed() {
@@ -338,21 +338,21 @@
         public NodeLink accepted(Connection<?> connection) {
             NodeLink link = new NodeLink(connection, "", loop.nowMillis());
             open.add(link);
-            greet(link);
+            sendHello(link);
             return link;
         }
 
         @Override
         public void message(NodeLink link, NodeMessage message) {
-            link.heard(loop.nowMillis());
+            link.messageReceived(loop.nowMillis());
             if (message instanceof NodeHello hello) {
-                link.greeted(hello);
+                link.helloReceived(hello);
                 planner.reached(hello.address());
                 NodeLink before = links.put(hello.name(), link);
                 if (before == null || !before.peer().incarnation().equals(hello.incarnation())) {
                     listener.linked(hello);
                 }
-            } else if (link.isGreeted()) {
+            } else if (link.hasHello()) {
                 listener.received(link.peer(), message);
             }
         }
@@ -360,7 +360,7 @@
         @Override
         public void closed(NodeLink link) {
             open.remove(link);
-            if (link.isGreeted()) {
+            if (link.hasHello()) {
                 links.remove(link.peer().name(), link);
                 planner.unreachable(link.peerAddress(), loop.nowMillis());
             }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/mesh/RegionView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/mesh/RegionView.java
@@ -57,7 +57,7 @@
      * @param peer the peer
      * @return true if it does
      */
-    public boolean isElsewhere(NodeHello peer) {
+    public boolean isOtherRegion(NodeHello peer) {
         return !topology.isOwnRegion(peer.dataCentre());
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/peer/PeerLinks.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/peer/PeerLinks.java
@@ -43,16 +43,16 @@
  * Keeps links to all known entries and sends messages over them.
  *
  * <p>Both ends prove that they have the shared key before any other message is taken. A peer that
- * is silent for {@link #LIVE_MILLIS} is no longer called live, which is a hint and no more.
+ * is silent for {@link #LIVE_TIMEOUT_MILLIS} is no longer called live, which is a hint and no more.
  *
  * @since 0.1
  */
 public final class PeerLinks implements Peers, AutoCloseable {
     /** How long a peer counts as live after its last message, in milliseconds. */
-    public static final long LIVE_MILLIS = 3_000;
+    public static final long LIVE_TIMEOUT_MILLIS = 3_000;
 
-    private static final long DIAL_MILLIS = 500;
-    private static final long HANDSHAKE_NANOS = TimeUnit.SECONDS.toNanos(5);
+    private static final long DIAL_INTERVAL_MILLIS = 500;
+    private static final long HANDSHAKE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(5);
     private static final int MAX_PENDING_BYTES = 32 * 1024 * 1024;
 
     private final EntryInfo self;
@@ -61,7 +61,7 @@
     private final TCPNIOTransport transport;
     private final Set<PeerLink> handshaking = ConcurrentHashMap.newKeySet();
     private final Map<String, List<PeerLink>> links = new ConcurrentHashMap<>();
-    private final Map<String, Long> heardNanos = new ConcurrentHashMap<>();
+    private final Map<String, Long> lastReceivedNanos = new ConcurrentHashMap<>();
     private final Map<String, String> addresses = new ConcurrentHashMap<>();
     private final Set<String> dialling = ConcurrentHashMap.newKeySet();
     private volatile boolean cut;
@@ -101,7 +101,7 @@
     public void start(HostPort address, ScheduledExecutorService timer) throws IOException {
         transport.bind(new InetSocketAddress(address.host(), address.port()));
         transport.start();
-        PeriodicTasks.repeat(timer, "dial", this::dialMissing, DIAL_MILLIS);
+        PeriodicTasks.repeat(timer, "dial", this::dialMissing, DIAL_INTERVAL_MILLIS);
     }
 
     /**
@@ -109,7 +109,7 @@
      *
      * @param address host and port
      */
-    public void know(String address) {
+    public void addAddress(String address) {
         if (!address.equals(self.peerAddress())) {
             addresses.putIfAbsent(address, "");
         }
@@ -120,7 +120,7 @@
      *
      * @param keep addresses to go on dialling
      */
-    public void forgetExcept(Collection<String> keep) {
+    public void retainAddresses(Collection<String> keep) {
         Set<String> linked = ConcurrentHashMap.newKeySet();
         links.values().forEach(all -> all.forEach(link -> linked.add(link.peer().peerAddress())));
         addresses
@@ -149,11 +149,11 @@
 
     @Override
     public List<EntryInfo> live() {
-        long oldest = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(LIVE_MILLIS);
+        long oldest = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(LIVE_TIMEOUT_MILLIS);
         return links.values().stream()
                 .flatMap(all -> all.stream().limit(1))
                 .map(PeerLink::peer)
-                .filter(peer -> heardNanos.getOrDefault(peer.id(), oldest - 1) - oldest > 0)
+                .filter(peer -> lastReceivedNanos.getOrDefault(peer.id(), oldest - 1) - oldest > 0)
                 .toList();
     }
 
@@ -192,7 +192,7 @@
     private void dialMissing() {
         long now = System.nanoTime();
         for (PeerLink link : handshaking) {
-            if (now - link.openedNanos() > HANDSHAKE_NANOS) {
+            if (now - link.openedNanos() > HANDSHAKE_TIMEOUT_NANOS) {
                 link.close();
             }
         }
@@ -239,7 +239,7 @@
     private void up(PeerLink link) {
         EntryInfo peer = link.peer();
         handshaking.remove(link);
-        heardNanos.put(peer.id(), System.nanoTime());
+        lastReceivedNanos.put(peer.id(), System.nanoTime());
         addresses.put(peer.peerAddress(), peer.id());
         List<PeerLink> all = links.computeIfAbsent(peer.id(), id -> new CopyOnWriteArrayList<>());
         all.add(link);
@@ -279,7 +279,7 @@
             if (cut) {
                 return;
             }
-            heardNanos.put(link.peer().id(), System.nanoTime());
+            lastReceivedNanos.put(link.peer().id(), System.nanoTime());
             handler.received(link.peer(), message);
         }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/AttemptFields.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/AttemptFields.java
@@ -21,9 +21,9 @@
  * @param upstream the upstream that is meant; any other refuses
  * @param organisation whose the request is; empty if nobody's
  * @param priority its rank; 0 is the most urgent
- * @param leftMillis how long the caller still waits, in milliseconds
+ * @param remainingMillis how long the caller still waits, in milliseconds
  * @param lastEventId the last event the caller has; empty to begin
  * @since 0.2
  */
 public record AttemptFields(
-        String upstream, String organisation, int priority, long leftMillis, String lastEventId) {}
+        String upstream, String organisation, int priority, long remainingMillis, String lastEventId) {}
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/StoreItem.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/StoreItem.java
@@ -21,8 +21,8 @@
  * @param key the key
  * @param value the value; empty if the key is gone
  * @param revision the store's revision at its last change
- * @param made the store's revision at its creation
- * @param gone true if the key no longer exists
+ * @param createdRevision the store's revision at its creation
+ * @param removed true if the key no longer exists
  * @since 0.2
  */
-public record StoreItem(String key, byte[] value, long revision, long made, boolean gone) {}
+public record StoreItem(String key, byte[] value, long revision, long createdRevision, boolean removed) {}
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/Admission.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/Admission.java
@@ -37,12 +37,12 @@
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final ServingContext context;
-    private final RequestBook book;
+    private final RequestRegistry book;
     private final PeerRelay relay;
     private final DataCentreChooser chooser;
 
     Admission(
-            ServingContext context, RequestBook book, PeerRelay relay, DataCentreChooser chooser) {
+            ServingContext context, RequestRegistry book, PeerRelay relay, DataCentreChooser chooser) {
         this.context = context;
         this.book = book;
         this.relay = relay;
@@ -60,7 +60,7 @@
                         .row(new RowKey(request.organisation(), target))
                         .filter(r -> r.kind() == kind);
         if (row.isEmpty()) {
-            Answers.failure(sink, "", refusal(request, Kind.NO_ROW, 0));
+            Answers.sendFailure(sink, "", refusal(request, Kind.NO_ROW, 0));
             return Optional.empty();
         }
         if (!row.get().allows(here)) {
@@ -70,21 +70,21 @@
         if (request.header(ADMITTED_HEADER).isEmpty()) {
             long waitMillis = context.policies().tryAcquire(row.get());
             if (waitMillis > 0) {
-                Answers.failure(sink, "", refusal(request, Kind.LIMIT, waitMillis));
+                Answers.sendFailure(sink, "", refusal(request, Kind.LIMIT, waitMillis));
                 return Optional.empty();
             }
         }
         boolean passedOn =
                 !request.relayed()
-                        && chooser.elsewhere(target, row.get().dataCentres(), here)
-                                .map(peer -> passOn(request, peer, sink))
+                        && chooser.fasterEntry(target, row.get().dataCentres(), here)
+                                .map(peer -> forward(request, peer, sink))
                                 .orElse(false);
         if (passedOn) {
             return Optional.empty();
         }
-        boolean full = book.open() >= context.settings().limits().maxStreams();
+        boolean full = book.openCount() >= context.settings().limits().maxStreams();
         if (full || !context.placements().serves(target)) {
-            Answers.failure(sink, "", refusal(request, Kind.NO_CAPACITY, RETRY_AFTER_MILLIS));
+            Answers.sendFailure(sink, "", refusal(request, Kind.NO_CAPACITY, RETRY_AFTER_MILLIS));
             return Optional.empty();
         }
         return row;
@@ -93,13 +93,13 @@
     private void refuseOrRelay(IncomingRequest request, Row row, CallerSink sink) {
         if (request.relayed()) {
             // the sender's table differs; it is never handled here
-            Answers.failure(sink, "", refusal(request, Kind.ROW_NARROWED, RETRY_AFTER_MILLIS));
+            Answers.sendFailure(sink, "", refusal(request, Kind.ROW_NARROWED, RETRY_AFTER_MILLIS));
         } else {
             relay(request, Optional.of(row.target()), row.dataCentres(), sink);
         }
     }
 
-    private boolean passOn(IncomingRequest request, EntryInfo peer, CallerSink sink) {
+    private boolean forward(IncomingRequest request, EntryInfo peer, CallerSink sink) {
         List<Header> headers = new ArrayList<>(request.headers());
         headers.add(new Header(ADMITTED_HEADER, "yes"));
         IncomingRequest admitted =
@@ -120,11 +120,11 @@
             List<String> dataCentres,
             CallerSink sink) {
         boolean passedOn =
-                chooser.foreign(target, dataCentres)
+                chooser.entryIn(target, dataCentres)
                         .map(peer -> relay.forward(peer.id(), "", request, sink, false))
                         .orElse(false);
         if (!passedOn) {
-            Answers.failure(sink, "", refusal(request, Kind.NO_CAPACITY, RETRY_AFTER_MILLIS));
+            Answers.sendFailure(sink, "", refusal(request, Kind.NO_CAPACITY, RETRY_AFTER_MILLIS));
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/AnswerFeed.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/AnswerFeed.java
@@ -36,7 +36,7 @@
     private final List<Header> headers;
     private int cursor;
     private boolean headSent;
-    private boolean over;
+    private boolean ended;
 
     AnswerFeed(RequestRecord request, CallerSink sink, String servedIn, int from) {
         this.sink = sink;
@@ -53,8 +53,8 @@
         return sink;
     }
 
-    boolean isOver() {
-        return over;
+    boolean isEnded() {
+        return ended;
     }
 
     /** Returns the last event that the receiver was sent; below 0 if none was. */
@@ -64,11 +64,11 @@
 
     /** Sends what the receiver can take; returns false if it cannot take all. */
     boolean pump(AnswerLog log) {
-        if (over) {
+        if (ended) {
             return true;
         }
         if (!stream) {
-            sendWhole(log);
+            sendIfComplete(log);
             return true;
         }
         sendHead();
@@ -76,11 +76,11 @@
             if (!sink.writable()) {
                 return false;
             }
-            sink.body(writer.event(cursor, token));
+            sink.body(writer.tokenEvent(cursor, token));
             cursor++;
         }
         if (log.isComplete()) {
-            sink.body(writer.end(log.size()));
+            sink.body(writer.endEvent(log.size()));
             end();
         }
         return true;
@@ -88,12 +88,12 @@
 
     /** Gives the receiver the final answer of a failed request. */
     void fail(String requestId, Failure failure) {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         if (!headSent) {
-            Answers.failure(sink, requestId, failure);
+            Answers.sendFailure(sink, requestId, failure);
             return;
         }
         sink.body(writer.failureEvent(failure));
@@ -101,13 +101,13 @@
     }
 
     /** Tells the receiver to ask any entry for the rest. */
-    void moved(String requestId) {
-        if (over) {
+    void redirect(String requestId) {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         if (!stream) {
-            Answers.failure(
+            Answers.sendFailure(
                     sink, requestId, new Failure(Outcome.UNKNOWN, Failure.Kind.STOPPING, 1));
             return;
         }
@@ -116,11 +116,11 @@
         sink.end();
     }
 
-    private void sendWhole(AnswerLog log) {
+    private void sendIfComplete(AnswerLog log) {
         if (log.isComplete()) {
-            over = true;
-            byte[] body = writer.whole(log.text(), log.size());
-            Answers.whole(sink, 200, "application/json", headers, body);
+            ended = true;
+            byte[] body = writer.completeAnswer(log.text(), log.size());
+            Answers.send(sink, 200, "application/json", headers, body);
         }
     }
 
@@ -135,7 +135,7 @@
     }
 
     private void end() {
-        over = true;
+        ended = true;
         sink.end();
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/Answers.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/Answers.java
@@ -53,7 +53,7 @@
      * @param headers more headers
      * @param body the body
      */
-    public static void whole(
+    public static void send(
             CallerSink sink, int status, String contentType, List<Header> headers, byte[] body) {
         List<Header> all = new ArrayList<>(headers);
         all.add(new Header("Content-Type", contentType));
@@ -72,7 +72,7 @@
      * @param requestId the request's name; empty if it has none yet
      * @param failure the failure
      */
-    public static void failure(CallerSink sink, String requestId, Failure failure) {
+    public static void sendFailure(CallerSink sink, String requestId, Failure failure) {
         refuse(
                 sink,
                 requestId,
@@ -135,6 +135,6 @@
             headers.add(new Header("Retry-After", Long.toString(seconds)));
         }
         byte[] body = errorJson(message, outcome).getBytes(StandardCharsets.UTF_8);
-        whole(sink, status, "application/json", headers, body);
+        send(sink, status, "application/json", headers, body);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CallBook.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CallResults.java
@@ -29,9 +29,9 @@
  *
  * @since 0.1
  */
-final class CallBook {
+final class CallResults {
     private static final int MAX_CALLS = 2_000;
-    private static final int MAX_ANSWER_BYTES = 16 * 1024;
+    private static final int MAX_KEPT_ANSWER_BYTES = 16 * 1024;
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final String servedIn;
@@ -56,7 +56,7 @@
         }
     }
 
-    CallBook(String servedIn) {
+    CallResults(String servedIn) {
         this.servedIn = servedIn;
     }
 
@@ -66,7 +66,7 @@
     }
 
     /** Forgets a call that was not made. */
-    synchronized void forget(String callId) {
+    synchronized void remove(String callId) {
         calls.remove(callId);
     }
 
@@ -81,8 +81,8 @@
             waiting = List.copyOf(call.waiting);
             call.waiting.clear();
             call.result = result;
-            if (result instanceof Result.Whole whole
-                    && whole.reply().body().length > MAX_ANSWER_BYTES) {
+            if (result instanceof Result.Completed whole
+                    && whole.reply().body().length > MAX_KEPT_ANSWER_BYTES) {
                 calls.remove(callId);
             }
         }
@@ -90,12 +90,12 @@
     }
 
     /** Sends the first answer of a call, now or when it is there. */
-    void answer(String callId, String organisation, CallerSink sink) {
+    void sendResult(String callId, String organisation, CallerSink sink) {
         Result result;
         synchronized (this) {
             Call call = calls.get(callId);
             if (call == null || !call.organisation.equals(organisation)) {
-                result = unknown();
+                result = unknownResult();
             } else if (call.result == null) {
                 call.waiting.add(sink);
                 return;
@@ -107,7 +107,7 @@
     }
 
     /** What is said of a call whose answer is not known here. */
-    static Result unknown() {
+    static Result unknownResult() {
         return new Result.Failed(
                 new Failure(Outcome.UNKNOWN, Failure.Kind.CLAIM_UNKNOWN, RETRY_AFTER_MILLIS));
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CallerSink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CallerSink.java
@@ -65,5 +65,5 @@
      *
      * @param gone called at most once
      */
-    void whenGone(Runnable gone);
+    void whenDisconnected(Runnable gone);
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/ClaimService.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/ClaimService.java
@@ -36,7 +36,7 @@
 import io.trailladder.wire.PeerMessage.ClaimAll;
 import io.trailladder.wire.PeerMessage.ClaimAllKept;
 import io.trailladder.wire.PeerMessage.ClaimAnswer;
-import io.trailladder.wire.PeerMessage.ClaimAsk;
+import io.trailladder.wire.PeerMessage.ClaimRequest;
 import io.trailladder.wire.PeerMessage.ClaimCopied;
 import io.trailladder.wire.PeerMessage.ClaimCopy;
 import io.trailladder.wire.PeerMessage.ClaimRelease;
@@ -55,14 +55,14 @@
  */
 public final class ClaimService {
     /** How long an owner may take to answer, in milliseconds. */
-    public static final long ANSWER_MILLIS = 1_000;
+    public static final long ANSWER_TIMEOUT_MILLIS = 1_000;
 
     private final String self;
     private final Peers links;
     private final ClaimRegistry registry;
     private final RangePlanner planner;
     private final long retentionMillis;
-    private final Map<String, CompletableFuture<ClaimReply>> asked = new ConcurrentHashMap<>();
+    private final Map<String, CompletableFuture<ClaimReply>> pendingReplies = new ConcurrentHashMap<>();
 
     /**
      * Creates the service.
@@ -94,18 +94,18 @@
         long expires = System.currentTimeMillis() + retentionMillis;
         Claim claim = new Claim(key, fingerprint, self, requestId, expires);
         CompletableFuture<ClaimReply> reply = new CompletableFuture<>();
-        asked.put(requestId, reply);
+        pendingReplies.put(requestId, reply);
         String owner = owner(key);
         if (owner.equals(self)) {
-            ask(claim);
-        } else if (!links.send(owner, new ClaimAsk(claim))) {
+            handleRequest(claim);
+        } else if (!links.send(owner, new ClaimRequest(claim))) {
             reply.complete(ClaimReply.of(Verdict.UNAVAILABLE));
         }
         return reply.completeOnTimeout(
-                        ClaimReply.of(Verdict.UNAVAILABLE), ANSWER_MILLIS, TimeUnit.MILLISECONDS)
+                        ClaimReply.of(Verdict.UNAVAILABLE), ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                 .whenComplete(
                         (answer, failure) -> {
-                            asked.remove(requestId);
+                            pendingReplies.remove(requestId);
                             if (answer.verdict() == Verdict.UNAVAILABLE) {
                                 release(key, requestId);
                             }
@@ -121,7 +121,7 @@
     public void release(ClaimKey key, String requestId) {
         String owner = owner(key);
         if (owner.equals(self)) {
-            released(new ClaimRelease(key, requestId));
+            handleRelease(new ClaimRelease(key, requestId));
         } else {
             links.send(owner, new ClaimRelease(key, requestId));
         }
@@ -135,10 +135,10 @@
      * @return true if it was about claims
      */
     public boolean received(EntryInfo from, PeerMessage message) {
-        if (message instanceof ClaimAsk ask) {
-            ask(ask.claim());
+        if (message instanceof ClaimRequest ask) {
+            handleRequest(ask.claim());
         } else if (message instanceof ClaimAnswer answer) {
-            answered(answer.requestId(), answer.reply());
+            completeReply(answer.requestId(), answer.reply());
         } else if (message instanceof ClaimCopy copy) {
             perform(locked(r -> r.copyClaim(from.id(), copy.range(), copy.epoch(), copy.claim())));
         } else if (message instanceof ClaimCopied copied) {
@@ -152,13 +152,13 @@
                             copied.kept());
             perform(locked(r -> r.copyAnswered(answer)));
         } else if (message instanceof ClaimAll all) {
-            perform(locked(r -> r.allSent(from.id(), all.range(), all.epoch(), all.claims())));
+            perform(locked(r -> r.receiveAll(from.id(), all.range(), all.epoch(), all.claims())));
         } else if (message instanceof ClaimAllKept kept) {
             synchronized (registry) {
                 registry.allKept(kept.range(), kept.epoch());
             }
         } else if (message instanceof ClaimRelease release) {
-            released(release);
+            handleRelease(release);
         } else {
             return false;
         }
@@ -171,7 +171,7 @@
      * @param map the map
      */
     public void mapRead(RangeMap map) {
-        perform(locked(r -> r.mapRead(map, System.currentTimeMillis())));
+        perform(locked(r -> r.updateMap(map, System.currentTimeMillis())));
     }
 
     /**
@@ -179,8 +179,8 @@
      *
      * @param map the map
      */
-    public void mapHeard(RangeMap map) {
-        perform(locked(r -> r.mapRead(map, 0)));
+    public void mapReceived(RangeMap map) {
+        perform(locked(r -> r.updateMap(map, 0)));
     }
 
     /**
@@ -252,22 +252,22 @@
      *
      * @return a count
      */
-    public int owned() {
+    public int ownedRanges() {
         return (int) map().ranges().stream().filter(r -> r.owner().equals(self)).count();
     }
 
-    private void ask(Claim claim) {
-        perform(locked(r -> r.ask(claim, System.currentTimeMillis())));
+    private void handleRequest(Claim claim) {
+        perform(locked(r -> r.request(claim, System.currentTimeMillis())));
     }
 
-    private void released(ClaimRelease release) {
+    private void handleRelease(ClaimRelease release) {
         synchronized (registry) {
-            registry.released(release.key(), release.requestId());
+            registry.release(release.key(), release.requestId());
         }
     }
 
-    private void answered(String requestId, ClaimReply reply) {
-        CompletableFuture<ClaimReply> waiting = asked.get(requestId);
+    private void completeReply(String requestId, ClaimReply reply) {
+        CompletableFuture<ClaimReply> waiting = pendingReplies.get(requestId);
         if (waiting != null) {
             waiting.complete(reply);
         }
@@ -295,7 +295,7 @@
     private void perform(ClaimAction action) {
         if (action instanceof Answer answer) {
             if (answer.holder().equals(self)) {
-                answered(answer.requestId(), answer.reply());
+                completeReply(answer.requestId(), answer.reply());
             } else {
                 links.send(answer.holder(), new ClaimAnswer(answer.requestId(), answer.reply()));
             }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CompletionRequest.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CompletionRequest.java
@@ -41,8 +41,8 @@
     public static final String PLAIN_PATH = "/v1/completions";
 
     private static final int DEFAULT_MAX_TOKENS = 256;
-    private static final int MOST_TOKENS = 16_384;
-    private static final int MAX_DEPTH = 32;
+    private static final int MAX_TOKENS = 16_384;
+    private static final int MAX_NESTING_DEPTH = 32;
     private static final ObjectMapper JSON = mapper();
 
     /**
@@ -68,8 +68,8 @@
         }
         JsonNode max = root.path("max_tokens");
         int maxTokens = max.isMissingNode() ? DEFAULT_MAX_TOKENS : max.asInt(0);
-        if (maxTokens < 1 || maxTokens > MOST_TOKENS) {
-            return Either.left("field 'max_tokens', expected 1 to " + MOST_TOKENS);
+        if (maxTokens < 1 || maxTokens > MAX_TOKENS) {
+            return Either.left("field 'max_tokens', expected 1 to " + MAX_TOKENS);
         }
         boolean stream = root.path("stream").asBoolean(false);
         return prompt(root, chat)
@@ -106,7 +106,7 @@
         ObjectMapper mapper = JsonMapper.builder().build();
         mapper.getFactory()
                 .setStreamReadConstraints(
-                        StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build());
+                        StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build());
         return mapper;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CompletionWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CompletionWriter.java
@@ -30,41 +30,41 @@
  */
 final class CompletionWriter {
     private final RequestRecord request;
-    private final String before;
-    private final String after;
+    private final String eventPrefix;
+    private final String eventSuffix;
 
     CompletionWriter(RequestRecord request) {
         this.request = request;
         String object = request.chat() ? "chat.completion.chunk" : "text_completion";
         String choice = request.chat() ? "\"delta\":{\"content\":\"" : "\"text\":\"";
-        before =
+        eventPrefix =
                 "data: {\"id\":\""
-                        + quoted(request.requestId())
+                        + escaped(request.requestId())
                         + "\",\"object\":\""
                         + object
                         + "\",\"created\":"
                         + request.createdMillis() / 1000
                         + ",\"model\":\""
-                        + quoted(request.model())
+                        + escaped(request.model())
                         + "\",\"choices\":[{\"index\":0,"
                         + choice;
-        after = request.chat() ? "\"},\"finish_reason\":" : "\",\"finish_reason\":";
+        eventSuffix = request.chat() ? "\"},\"finish_reason\":" : "\",\"finish_reason\":";
     }
 
-    byte[] event(int position, String token) {
-        return bytes("id: " + position + "\n" + before + quoted(token) + after + "null}]}\n\n");
+    byte[] tokenEvent(int position, String token) {
+        return bytes("id: " + position + "\n" + eventPrefix + escaped(token) + eventSuffix + "null}]}\n\n");
     }
 
-    byte[] end(int tokens) {
+    byte[] endEvent(int tokens) {
         return bytes(
-                before + after + "\"stop\"}],\"usage\":" + usage(tokens) + "}\n\ndata: [DONE]\n\n");
+                eventPrefix + eventSuffix + "\"stop\"}],\"usage\":" + usage(tokens) + "}\n\ndata: [DONE]\n\n");
     }
 
     /** Tells the caller of a stream to ask any entry for the rest. */
     byte[] movedEvent() {
         return bytes(
                 "event: moved\nretry: 100\ndata: {\"request\":\""
-                        + quoted(request.requestId())
+                        + escaped(request.requestId())
                         + "\"}\n\n");
     }
 
@@ -73,22 +73,22 @@
         return bytes("event: error\ndata: " + json + "\n\n");
     }
 
-    byte[] whole(String text, int tokens) {
+    byte[] completeAnswer(String text, int tokens) {
         String choice =
                 request.chat()
                         ? "\"message\":{\"role\":\"assistant\",\"content\":\""
-                                + quoted(text)
+                                + escaped(text)
                                 + "\"}"
-                        : "\"text\":\"" + quoted(text) + "\"";
+                        : "\"text\":\"" + escaped(text) + "\"";
         return bytes(
                 "{\"id\":\""
-                        + quoted(request.requestId())
+                        + escaped(request.requestId())
                         + "\",\"object\":\""
                         + (request.chat() ? "chat.completion" : "text_completion")
                         + "\",\"created\":"
                         + request.createdMillis() / 1000
                         + ",\"model\":\""
-                        + quoted(request.model())
+                        + escaped(request.model())
                         + "\",\"choices\":[{\"index\":0,"
                         + choice
                         + ",\"finish_reason\":\"stop\"}],\"usage\":"
@@ -100,7 +100,7 @@
         return "{\"completion_tokens\":" + tokens + "}";
     }
 
-    private static String quoted(String text) {
+    private static String escaped(String text) {
         return String.valueOf(JsonStringEncoder.getInstance().quoteAsString(text));
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CopySender.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CopySender.java
@@ -32,24 +32,24 @@
 /** Has the copies of this entry's requests follow their answers, each at a keeper that lives. */
 final class CopySender {
     private final ServingContext context;
-    private final KeeperChoice keepers;
+    private final PeerSelector peerSelector;
 
-    CopySender(ServingContext context, KeeperChoice keepers) {
+    CopySender(ServingContext context, PeerSelector keepers) {
         this.context = context;
-        this.keepers = keepers;
+        this.peerSelector = keepers;
     }
 
     /** Sends the keepers what is new, and asks former owners whether they work on a request. */
-    void send(Collection<Held> requests) {
+    void sendUpdates(Collection<LocalRequest> requests) {
         Map<String, List<TokenPart>> byKeeper = new HashMap<>();
         Set<String> live = new HashSet<>();
         context.links().live().forEach(peer -> live.add(peer.id()));
-        for (Held h : requests) {
-            if (live.contains(h.takenFrom)) {
-                askOwner(h);
+        for (LocalRequest h : requests) {
+            if (live.contains(h.resumedFrom)) {
+                queryFormerOwner(h);
             }
-            if (wantsCopy(h) && hasLiveKeeper(h, live)) {
-                addNews(h, byKeeper);
+            if (needsCopy(h) && ensureCopyHolder(h, live)) {
+                addUpdate(h, byKeeper);
             }
         }
         byKeeper.forEach((keeper, parts) -> context.links().send(keeper, new RecordTokens(parts)));
@@ -62,38 +62,38 @@
         }
     }
 
-    private static boolean wantsCopy(Held h) {
-        return !h.endCopied && !h.runner.isMovedAway() && h.runner.mayRunAgain();
+    private static boolean needsCopy(LocalRequest h) {
+        return !h.copyFinished && !h.runner.isMovedAway() && h.runner.isRepeatable();
     }
 
     /** Asks the entry that a request was taken up from, once it is back, whether it works on it. */
-    private void askOwner(Held h) {
+    private void queryFormerOwner(LocalRequest h) {
         RecordFind find = new RecordFind(h.requestId(), h.runner.organisation());
-        context.links().send(h.takenFrom, find);
+        context.links().send(h.resumedFrom, find);
     }
 
-    private static void addNews(Held h, Map<String, List<TokenPart>> byKeeper) {
+    private static void addUpdate(LocalRequest h, Map<String, List<TokenPart>> byKeeper) {
         boolean complete = h.runner.isComplete();
-        List<String> news = h.runner.tokensFrom(h.copied);
+        List<String> news = h.runner.tokensFrom(h.copiedTokens);
         if (news.isEmpty() && !complete) {
             return;
         }
-        byKeeper.computeIfAbsent(h.keeper, k -> new ArrayList<>())
-                .add(new TokenPart(h.requestId(), h.copied, news, complete));
-        h.copied += news.size();
-        h.endCopied = complete;
+        byKeeper.computeIfAbsent(h.copyHolder, k -> new ArrayList<>())
+                .add(new TokenPart(h.requestId(), h.copiedTokens, news, complete));
+        h.copiedTokens += news.size();
+        h.copyFinished = complete;
     }
 
     /** Finds another keeper for a request whose keeper is lost, or that never had one. */
-    private boolean hasLiveKeeper(Held h, Set<String> live) {
-        if (!live.contains(h.keeper)) {
-            drop(h.keeper, h.requestId());
-            h.keeper = keepers.choose(h.runner.request()).orElse("");
+    private boolean ensureCopyHolder(LocalRequest h, Set<String> live) {
+        if (!live.contains(h.copyHolder)) {
+            drop(h.copyHolder, h.requestId());
+            h.copyHolder = peerSelector.choose(h.runner.request()).orElse("");
             RequestRecord record = h.runner.record();
-            h.copied = record.tokens().size();
-            h.endCopied = record.complete();
-            context.links().send(h.keeper, new RecordPut(record));
+            h.copiedTokens = record.tokens().size();
+            h.copyFinished = record.complete();
+            context.links().send(h.copyHolder, new RecordPut(record));
         }
-        return !h.keeper.isEmpty();
+        return !h.copyHolder.isEmpty();
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/CopyStore.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/CopyStore.java
@@ -80,7 +80,7 @@
     }
 
     /** Adds tokens to a copy; a part after a gap is passed over. */
-    void grow(TokenPart part) {
+    void append(TokenPart part) {
         copies.computeIfPresent(
                 part.requestId(),
                 (id, copy) -> {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/DataCentreChooser.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/DataCentreChooser.java
@@ -35,7 +35,7 @@
  */
 public final class DataCentreChooser {
     /** What passing a request to another data centre costs, in milliseconds of first-token time. */
-    static final int REMOTE_MILLIS = 20;
+    static final int REMOTE_PENALTY_MILLIS = 20;
 
     private static final int NOT_SERVED = Integer.MAX_VALUE;
 
@@ -60,7 +60,7 @@
      * @param peer the peer's name
      * @param heartbeat the heartbeat
      */
-    public void heard(String peer, Heartbeat heartbeat) {
+    public void heartbeatReceived(String peer, Heartbeat heartbeat) {
         heartbeats.put(peer, heartbeat);
     }
 
@@ -101,11 +101,11 @@
      * @param here this entry's data centre
      * @return a peer to pass the request to; empty if this entry should serve it
      */
-    public Optional<EntryInfo> elsewhere(String target, List<String> allowed, String here) {
-        int ownWait = placements.waits().getOrDefault(target, NOT_SERVED);
+    public Optional<EntryInfo> fasterEntry(String target, List<String> allowed, String here) {
+        int ownWait = placements.minQueueMillis().getOrDefault(target, NOT_SERVED);
         Optional<EntryInfo> best =
                 best(target, allowed.stream().filter(d -> !d.equals(here)).toList());
-        return best.filter(peer -> wait(peer, target) < ownWait - REMOTE_MILLIS);
+        return best.filter(peer -> queueMillis(peer, target) < ownWait - REMOTE_PENALTY_MILLIS);
     }
 
     /**
@@ -115,7 +115,7 @@
      * @param allowed the data centres it may be read in
      * @return a peer; empty if none is live
      */
-    public Optional<EntryInfo> foreign(Optional<String> target, List<String> allowed) {
+    public Optional<EntryInfo> entryIn(Optional<String> target, List<String> allowed) {
         Optional<EntryInfo> serving = target.flatMap(t -> best(t, allowed));
         return serving.or(() -> random(candidates(allowed)));
     }
@@ -123,12 +123,12 @@
     private Optional<EntryInfo> best(String target, Collection<String> allowed) {
         List<EntryInfo> serving =
                 candidates(allowed).stream()
-                        .filter(peer -> wait(peer, target) != NOT_SERVED)
+                        .filter(peer -> queueMillis(peer, target) != NOT_SERVED)
                         .toList();
-        int least = serving.stream().mapToInt(peer -> wait(peer, target)).min().orElse(0);
+        int least = serving.stream().mapToInt(peer -> queueMillis(peer, target)).min().orElse(0);
         return random(
                 serving.stream()
-                        .filter(peer -> wait(peer, target) <= least + REMOTE_MILLIS)
+                        .filter(peer -> queueMillis(peer, target) <= least + REMOTE_PENALTY_MILLIS)
                         .sorted(Comparator.comparing(EntryInfo::id))
                         .toList());
     }
@@ -140,7 +140,7 @@
                 .toList();
     }
 
-    private int wait(EntryInfo peer, String target) {
+    private int queueMillis(EntryInfo peer, String target) {
         return heartbeat(peer.id()).stream()
                 .flatMap(heartbeat -> heartbeat.loads().stream())
                 .filter(load -> load.target().equals(target))
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/EngineApi.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/EngineApi.java
@@ -81,7 +81,7 @@
     }
 
     /** A running attempt. */
-    interface Running {
+    interface RunningAttempt {
         /** Tells the engine to stop. */
         void cancel();
     }
@@ -94,7 +94,7 @@
      * @param listener told of the answer
      * @return the running attempt
      */
-    Running generate(LocalUpstream engine, Attempt attempt, Listener listener);
+    RunningAttempt generate(LocalUpstream engine, Attempt attempt, Listener listener);
 
     /**
      * Exports the KV cache of an attempt.
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/GenerationRunner.java
@@ -49,9 +49,9 @@
  *
  * @since 0.1
  */
-public final class GenerationRunner implements Placements.Ticket {
-    private static final long EXPORT_MILLIS = 500;
-    private static final int TOKEN_MILLIS = 25;
+public final class GenerationRunner implements Placements.PendingRequest {
+    private static final long EXPORT_TIMEOUT_MILLIS = 500;
+    private static final int EXPECTED_TOKEN_MILLIS = 25;
     private static final long RETRY_AFTER_MILLIS = 2_000;
     private static final String KIND = "model";
 
@@ -65,17 +65,17 @@
     private final long startedMillis = MonotonicClock.millis();
     private final List<AnswerFeed> feeds = new ArrayList<>();
     private volatile RoutingQuery query;
-    private volatile boolean begun;
-    private EngineApi.Running running;
-    private LocalUpstream current;
-    private LocalUpstream reserved;
+    private volatile boolean answerStarted;
+    private EngineApi.RunningAttempt runningAttempt;
+    private LocalUpstream currentUpstream;
+    private LocalUpstream reservedUpstream;
     private long wakeAtMillis;
     private long lastTokenMillis;
-    private long lateFrames;
+    private long lateFramesCounted;
     private int lastEvent = -1;
     private Failure failure;
     private boolean movedAway;
-    private boolean toldMoved;
+    private boolean receiversRedirected;
 
     /**
      * Creates the runner of an accepted request.
@@ -95,16 +95,16 @@
         this.row = row;
         this.onEnd = onEnd;
         this.log = new AnswerLog(request.tokens(), request.complete());
-        this.begun = log.size() > 0;
+        this.answerStarted = log.size() > 0;
         this.blocks = PromptBlocks.of(request.organisation(), request.model(), request.prompt());
         this.query = query(Set.of());
         GenerationMachine.Settings settings =
                 new GenerationMachine.Settings(
                         request.maxTokens(),
                         context.settings().limits().queueMillis(row.latencyTargetMillis()),
-                        context.settings().limits().patienceMillis(),
-                        TOKEN_MILLIS,
-                        EXPORT_MILLIS,
+                        context.settings().limits().queueTimeoutMillis(),
+                        EXPECTED_TOKEN_MILLIS,
+                        EXPORT_TIMEOUT_MILLIS,
                         row.repeatable());
         this.machine =
                 new GenerationMachine(
@@ -122,11 +122,11 @@
     }
 
     /** Begins where another entry left off; an answer that is whole needs nothing more. */
-    public synchronized void goOn() {
+    public synchronized void resume() {
         if (log.isComplete()) {
             onEnd.accept(this);
         } else {
-            perform(machine.goOn());
+            perform(machine.resume());
         }
     }
 
@@ -135,7 +135,7 @@
      *
      * @return false if it runs at most once
      */
-    public boolean mayRunAgain() {
+    public boolean isRepeatable() {
         return row.repeatable();
     }
 
@@ -212,11 +212,11 @@
     public synchronized void attach(CallerSink sink, int from) {
         AnswerFeed feed = new AnswerFeed(request, sink, context.self().dataCentre(), from);
         feeds.add(feed);
-        sink.whenGone(() -> gone(feed));
+        sink.whenDisconnected(() -> receiverDisconnected(feed));
         if (failure != null) {
             feed.fail(request.requestId(), failure);
-        } else if (toldMoved) {
-            feed.moved(request.requestId());
+        } else if (receiversRedirected) {
+            feed.redirect(request.requestId());
         } else {
             pump(feed);
         }
@@ -229,7 +229,7 @@
      * @return true if its leaving concerns this request
      */
     public synchronized boolean runsAt(String upstream) {
-        return machine.upstream().equals(upstream) || machine.wants(upstream);
+        return machine.upstream().equals(upstream) || machine.isMoveTarget(upstream);
     }
 
     /**
@@ -238,7 +238,7 @@
      * @param upstream the upstream's name
      * @param noticeMillis how long it will still run, in milliseconds
      */
-    public synchronized void leaving(String upstream, long noticeMillis) {
+    public synchronized void upstreamLeaving(String upstream, long noticeMillis) {
         List<GenerationAction> actions =
                 machine.leaving(upstream, noticeMillis, MonotonicClock.millis());
         if (!actions.isEmpty()) {
@@ -267,7 +267,7 @@
     }
 
     /**
-     * Stops working on the request. Receivers are told nothing before {@link #moved}.
+     * Stops working on the request. Receivers are told nothing before {@link #redirectReceivers}.
      *
      * @return the request with its tokens so far, all that any receiver was sent among them
      */
@@ -280,9 +280,9 @@
     }
 
     /** Sends every receiver to the entries that have the request now. */
-    public synchronized void moved() {
-        toldMoved = true;
-        feeds.forEach(feed -> feed.moved(request.requestId()));
+    public synchronized void redirectReceivers() {
+        receiversRedirected = true;
+        feeds.forEach(feed -> feed.redirect(request.requestId()));
     }
 
     /** Gives the receivers a final answer because this entry is about to end. */
@@ -306,13 +306,13 @@
     }
 
     @Override
-    public boolean begun() {
-        return begun;
+    public boolean answerStarted() {
+        return answerStarted;
     }
 
     @Override
     public synchronized void placed(LocalUpstream upstream) {
-        if (reserved != null && machine.wants(reserved.id())) {
+        if (reservedUpstream != null && machine.isMoveTarget(reservedUpstream.id())) {
             // placed twice: once from the queue and once at once; the first one counts
             context.placements().release(upstream.id());
             return;
@@ -336,11 +336,11 @@
         } else if (action instanceof Export export) {
             export(export);
         } else if (action instanceof Emit) {
-            emitted();
+            tokenEmitted();
         } else if (action instanceof WakeAt wake) {
             wakeAt(wake.atMillis());
         } else if (action instanceof Complete) {
-            context.placements().went(current.id(), true);
+            context.placements().attemptEnded(currentUpstream.id(), true);
             end("whole");
         } else if (action instanceof Fail fail) {
             fail(fail.failure());
@@ -366,8 +366,8 @@
             int tokens = blocks.tokens() + dispatch.resumeFrom();
             context.metrics().resumed(imported, tokens);
         }
-        current = reserved;
-        reserved = null;
+        currentUpstream = reservedUpstream;
+        reservedUpstream = null;
         EngineApi.Attempt attempt =
                 new EngineApi.Attempt(
                         request.requestId(),
@@ -383,13 +383,13 @@
                 "request {} attempt {} goes to {}",
                 request.requestId(),
                 dispatch.attempt(),
-                current.id());
-        running = context.engines().generate(current, attempt, new AttemptListener(dispatch));
+                currentUpstream.id());
+        runningAttempt = context.engines().generate(currentUpstream, attempt, new AttemptListener(dispatch));
     }
 
     private void export(Export export) {
         context.engines()
-                .export(current, request.requestId(), export.attempt(), EXPORT_MILLIS)
+                .export(currentUpstream, request.requestId(), export.attempt(), EXPORT_TIMEOUT_MILLIS)
                 .handle((handle, failed) -> failed == null ? handle : "")
                 .thenAccept(handle -> exported(export.attempt(), handle));
     }
@@ -399,8 +399,8 @@
         releaseUnused();
     }
 
-    private void emitted() {
-        begun = true;
+    private void tokenEmitted() {
+        answerStarted = true;
         long now = MonotonicClock.millis();
         if (log.size() == 1) {
             context.metrics().firstToken(request.organisation(), now - startedMillis);
@@ -413,25 +413,25 @@
 
     private void pump(AnswerFeed feed) {
         if (!feed.pump(log)) {
-            feed.sink().whenWritable(() -> pumpLater(feed));
+            feed.sink().whenWritable(() -> pumpWhenWritable(feed));
         }
         lastEvent = Math.max(lastEvent, feed.lastEvent());
     }
 
-    private synchronized void pumpLater(AnswerFeed feed) {
+    private synchronized void pumpWhenWritable(AnswerFeed feed) {
         pump(feed);
     }
 
-    private synchronized void gone(AnswerFeed feed) {
+    private synchronized void receiverDisconnected(AnswerFeed feed) {
         feeds.remove(feed);
         if (feeds.isEmpty() && !machine.isEnded()) {
             long grace = context.settings().limits().reattachMillis();
-            context.timer().schedule(this::cancelIfAlone, grace, TimeUnit.MILLISECONDS);
+            context.timer().schedule(this::cancelIfNoReceiver, grace, TimeUnit.MILLISECONDS);
         }
     }
 
-    private synchronized void cancelIfAlone() {
-        boolean alone = feeds.stream().allMatch(AnswerFeed::isOver);
+    private synchronized void cancelIfNoReceiver() {
+        boolean alone = feeds.stream().allMatch(AnswerFeed::isEnded);
         if (alone && !machine.isEnded()) {
             perform(machine.cancelled());
             end("caller-gone");
@@ -446,7 +446,7 @@
     }
 
     private void end(String outcome) {
-        running = null;
+        runningAttempt = null;
         context.placements().withdraw(this);
         releaseCurrent();
         releaseUnused();
@@ -469,30 +469,30 @@
     }
 
     private void stopRunning() {
-        if (running != null) {
-            running.cancel();
-            running = null;
+        if (runningAttempt != null) {
+            runningAttempt.cancel();
+            runningAttempt = null;
         }
         releaseCurrent();
     }
 
     private void reserve(LocalUpstream upstream) {
         releaseUnused();
-        reserved = upstream;
+        reservedUpstream = upstream;
     }
 
     private void releaseUnused() {
-        boolean wanted = machine.wants(reserved == null ? "" : reserved.id());
-        if (reserved != null && !wanted) {
-            context.placements().release(reserved.id());
-            reserved = null;
+        boolean wanted = machine.isMoveTarget(reservedUpstream == null ? "" : reservedUpstream.id());
+        if (reservedUpstream != null && !wanted) {
+            context.placements().release(reservedUpstream.id());
+            reservedUpstream = null;
         }
     }
 
     private void releaseCurrent() {
-        if (current != null) {
-            context.placements().release(current.id());
-            current = null;
+        if (currentUpstream != null) {
+            context.placements().release(currentUpstream.id());
+            currentUpstream = null;
         }
     }
 
@@ -503,7 +503,7 @@
     /** Passes one attempt's answer to the machine. */
     private final class AttemptListener implements EngineApi.Listener {
         private final Dispatch dispatch;
-        private final LocalUpstream upstream = current;
+        private final LocalUpstream upstream = currentUpstream;
 
         AttemptListener(Dispatch dispatch) {
             this.dispatch = dispatch;
@@ -512,7 +512,7 @@
         @Override
         public void token(String requestId, int attempt, int position, String text) {
             synchronized (GenerationRunner.this) {
-                if (belongs(requestId, attempt)) {
+                if (matchesAttempt(requestId, attempt)) {
                     long now = MonotonicClock.millis();
                     perform(machine.token(dispatch.attempt(), position, text, now));
                     countLateFrames();
@@ -523,7 +523,7 @@
         @Override
         public void ended(String requestId, int attempt, int tokens) {
             synchronized (GenerationRunner.this) {
-                if (belongs(requestId, attempt)) {
+                if (matchesAttempt(requestId, attempt)) {
                     long now = MonotonicClock.millis();
                     perform(machine.ended(dispatch.attempt(), tokens, now));
                     countLateFrames();
@@ -535,16 +535,16 @@
         public void failed(boolean sent, boolean garbage) {
             synchronized (GenerationRunner.this) {
                 List<GenerationAction> actions =
-                        machine.broken(dispatch.attempt(), sent, MonotonicClock.millis());
+                        machine.attemptFailed(dispatch.attempt(), sent, MonotonicClock.millis());
                 if (!actions.isEmpty()) {
-                    context.placements().went(upstream.id(), false);
+                    context.placements().attemptEnded(upstream.id(), false);
                     context.metrics().count(Event.RETRY);
                 }
                 perform(actions);
             }
         }
 
-        private boolean belongs(String requestId, int attempt) {
+        private boolean matchesAttempt(String requestId, int attempt) {
             boolean ours = requestId.equals(request.requestId()) && attempt == dispatch.attempt();
             if (!ours) {
                 context.metrics().count(Event.CROSSED_FRAME);
@@ -553,7 +553,7 @@
         }
 
         private void countLateFrames() {
-            for (; lateFrames < machine.droppedFrames(); lateFrames++) {
+            for (; lateFramesCounted < machine.droppedFrames(); lateFramesCounted++) {
                 context.metrics().count(Event.LATE_FRAME);
             }
         }
