--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/HandOvers.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/HandOvers.java
@@ -42,37 +42,37 @@
  */
 final class HandOvers {
     /** How long an heir may take to answer before another one is asked, in milliseconds. */
-    static final long ANSWER_MILLIS = 100;
+    static final long ANSWER_TIMEOUT_MILLIS = 100;
 
     private final ServingContext context;
-    private final KeeperChoice heirs;
-    private final Map<String, Offer> open = new HashMap<>();
+    private final PeerSelector peerSelector;
+    private final Map<String, Offer> openOffers = new HashMap<>();
 
     /** A request that no heir has taken yet. */
     private static final class Offer {
         final RequestRecord request;
-        final String copyAt;
+        final String copyHolder;
         final int lastEvent;
         final Runnable onSettled;
-        final Set<String> asked = new HashSet<>();
-        final Set<String> silent = new HashSet<>();
-        String heir = "";
+        final Set<String> tried = new HashSet<>();
+        final Set<String> notResponding = new HashSet<>();
+        String successor = "";
 
         Offer(RequestRecord request, String copyAt, int lastEvent, Runnable onSettled) {
             this.request = request;
-            this.copyAt = copyAt;
+            this.copyHolder = copyAt;
             this.lastEvent = lastEvent;
             this.onSettled = onSettled;
         }
 
-        boolean isAskedOf(String peer) {
-            return heir.equals(peer) || silent.contains(peer);
+        boolean isAwaiting(String peer) {
+            return successor.equals(peer) || notResponding.contains(peer);
         }
     }
 
-    HandOvers(ServingContext context, KeeperChoice heirs) {
+    HandOvers(ServingContext context, PeerSelector heirs) {
         this.context = context;
-        this.heirs = heirs;
+        this.peerSelector = heirs;
     }
 
     /**
@@ -86,8 +86,8 @@
     synchronized void offer(
             RequestRecord request, String copyAt, int lastEvent, Runnable onSettled) {
         Offer offer = new Offer(request, copyAt, lastEvent, onSettled);
-        open.put(request.requestId(), offer);
-        askNext(offer);
+        openOffers.put(request.requestId(), offer);
+        offerToNext(offer);
     }
 
     /**
@@ -96,19 +96,19 @@
      * @param peer the peer's name
      * @param answer what it has of a request
      */
-    synchronized void answered(String peer, RecordFound answer) {
-        Offer offer = open.get(answer.requestId());
-        if (offer == null || !offer.isAskedOf(peer)) {
+    synchronized void findAnswered(String peer, RecordFound answer) {
+        Offer offer = openOffers.get(answer.requestId());
+        if (offer == null || !offer.isAwaiting(peer)) {
             return;
         }
-        boolean wasSilent = offer.silent.remove(peer);
+        boolean wasSilent = offer.notResponding.remove(peer);
         if (answer.standing() == Standing.HOLDER) {
             log(offer, peer, Answer.TAKEN);
-            takeBackFromOthers(offer, peer);
+            withdrawFromOthers(offer, peer);
             settle(offer);
         } else {
             log(offer, peer, Answer.REFUSED);
-            goOn(offer, !wasSilent);
+            proceed(offer, !wasSilent);
         }
     }
 
@@ -117,53 +117,53 @@
      *
      * @param peer the peer's name
      */
-    synchronized void lost(String peer) {
-        for (Offer offer : List.copyOf(open.values())) {
-            boolean awaited = offer.heir.equals(peer);
-            if (awaited || offer.silent.remove(peer)) {
+    synchronized void peerLost(String peer) {
+        for (Offer offer : List.copyOf(openOffers.values())) {
+            boolean awaited = offer.successor.equals(peer);
+            if (awaited || offer.notResponding.remove(peer)) {
                 log(offer, peer, Answer.LINK_LOST);
             }
-            goOn(offer, awaited);
+            proceed(offer, awaited);
         }
     }
 
     /** Ends all offers: their time is over. */
-    synchronized void giveUp() {
-        for (Offer offer : List.copyOf(open.values())) {
-            log(offer, offer.heir, Answer.TIME_OVER);
+    synchronized void endAll() {
+        for (Offer offer : List.copyOf(openOffers.values())) {
+            log(offer, offer.successor, Answer.TIME_OVER);
             settle(offer);
         }
     }
 
-    private void goOn(Offer offer, boolean heirFailed) {
+    private void proceed(Offer offer, boolean heirFailed) {
         if (heirFailed) {
-            askNext(offer);
-        } else if (offer.heir.isEmpty() && offer.silent.isEmpty()) {
+            offerToNext(offer);
+        } else if (offer.successor.isEmpty() && offer.notResponding.isEmpty()) {
             log(offer, "", Answer.NO_HEIR);
             settle(offer);
         }
     }
 
-    private void askNext(Offer offer) {
-        offer.heir = "";
-        Optional<String> next = next(offer);
+    private void offerToNext(Offer offer) {
+        offer.successor = "";
+        Optional<String> next = nextSuccessor(offer);
         while (next.isPresent()) {
             String heir = next.get();
-            offer.asked.add(heir);
+            offer.tried.add(heir);
             if (send(offer, heir)) {
-                offer.heir = heir;
+                offer.successor = heir;
                 context.timer()
-                        .schedule(() -> silent(offer, heir), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+                        .schedule(() -> answerTimedOut(offer, heir), ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
                 return;
             }
             log(offer, heir, Answer.NOT_SENT);
-            next = next(offer);
+            next = nextSuccessor(offer);
         }
-        goOn(offer, false);
+        proceed(offer, false);
     }
 
-    private Optional<String> next(Offer offer) {
-        return heirs.choose(offer.request, offer.copyAt, offer.asked);
+    private Optional<String> nextSuccessor(Offer offer) {
+        return peerSelector.choose(offer.request, offer.copyHolder, offer.tried);
     }
 
     private boolean send(Offer offer, String heir) {
@@ -174,22 +174,22 @@
     }
 
     /** Asks another heir in place of one that does not answer; it may still have the request. */
-    private synchronized void silent(Offer offer, String heir) {
-        boolean awaited = open.get(offer.request.requestId()) == offer && offer.heir.equals(heir);
+    private synchronized void answerTimedOut(Offer offer, String heir) {
+        boolean awaited = openOffers.get(offer.request.requestId()) == offer && offer.successor.equals(heir);
         if (awaited) {
             log(offer, heir, Answer.SILENT);
-            offer.silent.add(heir);
-            askNext(offer);
+            offer.notResponding.add(heir);
+            offerToNext(offer);
         }
     }
 
     /**
      * Has heirs that were silent, and the copy's keeper, give the request up: another one has it.
      */
-    private void takeBackFromOthers(Offer offer, String taker) {
-        Set<String> others = new HashSet<>(offer.silent);
-        others.add(offer.heir);
-        others.add(offer.copyAt);
+    private void withdrawFromOthers(Offer offer, String taker) {
+        Set<String> others = new HashSet<>(offer.notResponding);
+        others.add(offer.successor);
+        others.add(offer.copyHolder);
         others.remove(taker);
         others.remove("");
         String id = offer.request.requestId();
@@ -197,14 +197,14 @@
     }
 
     private void settle(Offer offer) {
-        open.remove(offer.request.requestId());
+        openOffers.remove(offer.request.requestId());
         offer.onSettled.run();
     }
 
     private void log(Offer offer, String heir, Answer answer) {
         boolean taken = answer == Answer.TAKEN;
         context.metrics().count(taken ? Event.HANDED_OVER : Event.HAND_OVER_FAILED);
-        Choice choice = heir.equals(offer.copyAt) ? Choice.HOLDS_COPY : Choice.ALLOWED;
+        Choice choice = heir.equals(offer.copyHolder) ? Choice.HOLDS_COPY : Choice.ALLOWED;
         RequestMoves.log(
                 new HandOver(
                         offer.request.requestId(),
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/HttpEngineApi.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/HttpEngineApi.java
@@ -44,14 +44,14 @@
  */
 public final class HttpEngineApi implements EngineApi {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long CONTROL_MILLIS = 1_000;
+    private static final long CONTROL_TIMEOUT_MILLIS = 1_000;
     private static final int OK = 200;
-    private static final int MAX_BASE = 1 << 20;
+    private static final int ATTEMPT_BASES = 1 << 20;
     private static final int ATTEMPTS_PER_BASE = 1_000;
 
     private final HttpClient client;
-    private final long idleMillis;
-    private final int attemptBase = new SecureRandom().nextInt(MAX_BASE) * ATTEMPTS_PER_BASE;
+    private final long idleTimeoutMillis;
+    private final int attemptBase = new SecureRandom().nextInt(ATTEMPT_BASES) * ATTEMPTS_PER_BASE;
 
     /**
      * Creates the adapter.
@@ -61,13 +61,13 @@
      */
     public HttpEngineApi(HttpClient client, long idleMillis) {
         this.client = client;
-        this.idleMillis = idleMillis;
+        this.idleTimeoutMillis = idleMillis;
     }
 
     @Override
-    public Running generate(LocalUpstream engine, Attempt attempt, Listener listener) {
+    public RunningAttempt generate(LocalUpstream engine, Attempt attempt, Listener listener) {
         HostPort address = HostPort.parse(engine.address());
-        ObjectNode body = named(attempt.requestId(), attempt.attempt());
+        ObjectNode body = attemptBody(attempt.requestId(), attempt.attempt());
         body.put("organisation", attempt.organisation())
                 .put("model", attempt.model())
                 .put("prompt", attempt.prompt())
@@ -76,19 +76,19 @@
                 .put("priority", attempt.priority());
         ArrayNode resume = body.putArray("resume");
         attempt.resume().forEach(resume::add);
-        HttpCall call = HttpCall.post(address, "/v1/generate", body.toString(), idleMillis);
-        HttpExchange exchange = client.send(call, new Events(listener, attemptBase));
+        HttpCall call = HttpCall.post(address, "/v1/generate", body.toString(), idleTimeoutMillis);
+        HttpExchange exchange = client.send(call, new AnswerParser(listener, attemptBase));
         return () -> {
             exchange.cancel();
-            String name = named(attempt.requestId(), attempt.attempt()).toString();
-            client.call(HttpCall.post(address, "/v1/cancel", name, CONTROL_MILLIS));
+            String name = attemptBody(attempt.requestId(), attempt.attempt()).toString();
+            client.call(HttpCall.post(address, "/v1/cancel", name, CONTROL_TIMEOUT_MILLIS));
         };
     }
 
     @Override
     public CompletableFuture<String> export(
             LocalUpstream engine, String requestId, int attempt, long timeoutMillis) {
-        String body = named(requestId, attempt).toString();
+        String body = attemptBody(requestId, attempt).toString();
         HostPort address = HostPort.parse(engine.address());
         return client.call(HttpCall.post(address, "/v1/export", body, timeoutMillis))
                 .thenApply(reply -> json(reply).path("handle").asText());
@@ -97,7 +97,7 @@
     @Override
     public CompletableFuture<LoadReport> load(LocalUpstream engine) {
         HostPort address = HostPort.parse(engine.address());
-        return client.call(HttpCall.get(address, "/v1/load", CONTROL_MILLIS))
+        return client.call(HttpCall.get(address, "/v1/load", CONTROL_TIMEOUT_MILLIS))
                 .thenApply(reply -> report(json(reply)));
     }
 
@@ -111,7 +111,7 @@
                 Math.max(1, node.path("tokenMillis").asInt(1)));
     }
 
-    private ObjectNode named(String requestId, int attempt) {
+    private ObjectNode attemptBody(String requestId, int attempt) {
         return JSON.createObjectNode()
                 .put("request", requestId)
                 .put("attempt", attemptBase + attempt);
@@ -129,14 +129,14 @@
     }
 
     /** Turns the bytes of an answer into tokens. */
-    private static final class Events implements HttpListener {
+    private static final class AnswerParser implements HttpListener {
         private final Listener listener;
         private final int attemptBase;
         private final SseLines lines = new SseLines();
         private boolean refused;
         private boolean ended;
 
-        Events(Listener listener, int attemptBase) {
+        AnswerParser(Listener listener, int attemptBase) {
             this.listener = listener;
             this.attemptBase = attemptBase;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/Held.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/LocalRequest.java
@@ -16,30 +16,30 @@
 package io.trailladder.entry.serve;
 
 /** A request this entry works on, or has the answer of, and where its copy is. */
-final class Held {
+final class LocalRequest {
     final GenerationRunner runner;
 
     /** The entry with the request's copy; empty if there is none. */
-    volatile String keeper;
+    volatile String copyHolder;
 
     /**
      * The lost or silent entry whose copy this request was taken up from; empty if that entry had
      * given the request up.
      */
-    volatile String takenFrom = "";
+    volatile String resumedFrom = "";
 
     /** The entry that handed it over; empty if none did. */
     volatile String handedOverBy = "";
 
     /** How many tokens the copy has. */
-    int copied;
+    int copiedTokens;
 
     /** True once the copy needs no more news. */
-    volatile boolean endCopied;
+    volatile boolean copyFinished;
 
-    Held(GenerationRunner runner, String keeper) {
+    LocalRequest(GenerationRunner runner, String keeper) {
         this.runner = runner;
-        this.keeper = keeper;
+        this.copyHolder = keeper;
     }
 
     String requestId() {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/HeldRequests.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/LocalRequests.java
@@ -29,13 +29,13 @@
  * The requests that this entry works on, or has the answers of, at most one of each name; none is
  * added once this entry leaves.
  */
-final class HeldRequests {
-    private static final long KEPT_AFTER_END_MILLIS = 15_000;
+final class LocalRequests {
+    private static final long RETENTION_AFTER_END_MILLIS = 15_000;
 
     private final ServingContext context;
     private final CopySender copySender;
-    private final Map<String, Held> held = new ConcurrentHashMap<>();
-    private volatile boolean leaving;
+    private final Map<String, LocalRequest> requests = new ConcurrentHashMap<>();
+    private volatile boolean closed;
 
     /**
      * What came of adding a request.
@@ -43,29 +43,29 @@
      * @param held the request that is here now
      * @param added false if it was here before
      */
-    record Holding(Held held, boolean added) {}
+    record AddResult(LocalRequest request, boolean added) {}
 
-    HeldRequests(ServingContext context, CopySender copySender) {
+    LocalRequests(ServingContext context, CopySender copySender) {
         this.context = context;
         this.copySender = copySender;
     }
 
-    Collection<Held> all() {
-        return held.values();
+    Collection<LocalRequest> all() {
+        return requests.values();
     }
 
-    Optional<Held> find(String requestId) {
-        return Optional.ofNullable(held.get(requestId));
+    Optional<LocalRequest> find(String requestId) {
+        return Optional.ofNullable(requests.get(requestId));
     }
 
-    boolean isLeaving() {
-        return leaving;
+    boolean isClosed() {
+        return closed;
     }
 
     /** Takes no request any more; returns those that are worked on. */
-    synchronized List<Held> leave() {
-        leaving = true;
-        return held.values().stream().filter(Held::isActive).toList();
+    synchronized List<LocalRequest> close() {
+        closed = true;
+        return requests.values().stream().filter(LocalRequest::isActive).toList();
     }
 
     /**
@@ -75,47 +75,47 @@
      * @param stays tells whether a request of this name that is here already stays
      * @return empty if this entry leaves
      */
-    synchronized Optional<Holding> add(
-            RequestRecord request, Row row, String keeper, Predicate<Held> stays) {
-        Optional<Held> known = find(request.requestId()).filter(stays);
+    synchronized Optional<AddResult> add(
+            RequestRecord request, Row row, String keeper, Predicate<LocalRequest> stays) {
+        Optional<LocalRequest> known = find(request.requestId()).filter(stays);
         if (known.isPresent()) {
-            return known.map(h -> new Holding(h, false));
+            return known.map(h -> new AddResult(h, false));
         }
-        if (leaving) {
+        if (closed) {
             return Optional.empty();
         }
-        Held mine = new Held(new GenerationRunner(context, request, row, this::ended), keeper);
-        mine.copied = request.tokens().size();
-        mine.endCopied = request.complete();
-        held.put(request.requestId(), mine);
-        return Optional.of(new Holding(mine, true));
+        LocalRequest mine = new LocalRequest(new GenerationRunner(context, request, row, this::requestEnded), keeper);
+        mine.copiedTokens = request.tokens().size();
+        mine.copyFinished = request.complete();
+        requests.put(request.requestId(), mine);
+        return Optional.of(new AddResult(mine, true));
     }
 
     /** Ends the work on a request that another entry works on, and sends its callers there. */
-    RequestRecord giveUp(Held h) {
+    RequestRecord release(LocalRequest h) {
         RequestRecord record = h.runner.suspend();
-        held.remove(h.requestId(), h);
-        copySender.drop(h.keeper, h.requestId());
-        h.runner.moved();
+        requests.remove(h.requestId(), h);
+        copySender.drop(h.copyHolder, h.requestId());
+        h.runner.redirectReceivers();
         return record;
     }
 
-    private void ended(GenerationRunner runner) {
-        Held mine = held.get(runner.request().requestId());
+    private void requestEnded(GenerationRunner runner) {
+        LocalRequest mine = requests.get(runner.request().requestId());
         if (mine == null || mine.runner != runner) {
             return;
         }
         if (!runner.isComplete()) {
             // its callers have a final answer: no other entry may begin it again
-            mine.endCopied = true;
-            copySender.drop(mine.keeper, mine.requestId());
+            mine.copyFinished = true;
+            copySender.drop(mine.copyHolder, mine.requestId());
         }
-        context.timer().schedule(() -> forget(mine), KEPT_AFTER_END_MILLIS, TimeUnit.MILLISECONDS);
+        context.timer().schedule(() -> remove(mine), RETENTION_AFTER_END_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void forget(Held ended) {
-        if (held.remove(ended.requestId(), ended)) {
-            copySender.drop(ended.keeper, ended.requestId());
+    private void remove(LocalRequest ended) {
+        if (requests.remove(ended.requestId(), ended)) {
+            copySender.drop(ended.copyHolder, ended.requestId());
         }
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerRelay.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerRelay.java
@@ -45,9 +45,9 @@
     private static final int OK = 200;
 
     private final Peers links;
-    private final AtomicLong exchanges = new AtomicLong();
-    private final Map<Long, Exchange> open = new ConcurrentHashMap<>();
-    private Function<Lost, Boolean> onLost = lost -> false;
+    private final AtomicLong lastExchange = new AtomicLong();
+    private final Map<Long, Exchange> openExchanges = new ConcurrentHashMap<>();
+    private Function<LostAnswer, Boolean> onLost = lost -> false;
 
     /**
      * An answer whose peer was lost.
@@ -58,12 +58,12 @@
      * @param nextEvent the first event of a stream that did not come
      * @param begun true if the sink already has a part of the answer
      */
-    public record Lost(
+    public record LostAnswer(
             IncomingRequest request,
             String requestId,
             CallerSink sink,
             int nextEvent,
-            boolean begun) {}
+            boolean answerStarted) {}
 
     /** A request at a peer. */
     private static final class Exchange {
@@ -71,14 +71,14 @@
         final IncomingRequest request;
         final CallerSink sink;
         String requestId = "";
-        boolean headSeen;
+        boolean answerStarted;
         int parts;
 
         Exchange(String peer, IncomingRequest request, CallerSink sink, boolean begun) {
             this.peer = peer;
             this.request = request;
             this.sink = sink;
-            this.headSeen = begun;
+            this.answerStarted = begun;
         }
     }
 
@@ -96,7 +96,7 @@
      *
      * @param handler returns false if it cannot
      */
-    public void onLost(Function<Lost, Boolean> handler) {
+    public void onLost(Function<LostAnswer, Boolean> handler) {
         onLost = handler;
     }
 
@@ -116,10 +116,10 @@
             IncomingRequest request,
             CallerSink sink,
             boolean begun) {
-        long number = exchanges.incrementAndGet();
+        long number = lastExchange.incrementAndGet();
         Exchange exchange = new Exchange(peer, request, sink, begun);
         exchange.requestId = requestId;
-        open.put(number, exchange);
+        openExchanges.put(number, exchange);
         Forward forward =
                 new Forward(
                         number,
@@ -130,12 +130,12 @@
                         request.headers(),
                         request.body());
         if (!links.send(peer, forward)) {
-            open.remove(number);
+            openExchanges.remove(number);
             return false;
         }
-        sink.whenGone(
+        sink.whenDisconnected(
                 () -> {
-                    if (open.remove(number) != null) {
+                    if (openExchanges.remove(number) != null) {
                         links.send(peer, new AnswerCancel(number));
                     }
                 });
@@ -148,20 +148,20 @@
      * @param head the beginning
      */
     public void head(AnswerHead head) {
-        Exchange exchange = open.get(head.exchange());
+        Exchange exchange = openExchanges.get(head.exchange());
         if (exchange == null) {
             return;
         }
         synchronized (exchange) {
-            if (exchange.headSeen && head.status() != OK) {
+            if (exchange.answerStarted && head.status() != OK) {
                 // an answer that has begun cannot end with a peer's refusal
-                open.remove(head.exchange());
-                lost(exchange);
+                openExchanges.remove(head.exchange());
+                peerLost(exchange);
                 return;
             }
             requestId(head.headers()).ifPresent(id -> exchange.requestId = id);
-            if (!exchange.headSeen) {
-                exchange.headSeen = true;
+            if (!exchange.answerStarted) {
+                exchange.answerStarted = true;
                 exchange.sink.head(head.status(), head.headers());
             }
         }
@@ -173,13 +173,13 @@
      * @param body the part
      */
     public void body(AnswerBody body) {
-        Exchange exchange = open.get(body.exchange());
+        Exchange exchange = openExchanges.get(body.exchange());
         if (exchange == null) {
             return;
         }
         synchronized (exchange) {
             if (body.sequence() != exchange.parts) {
-                breakOff(body.exchange(), exchange);
+                abort(body.exchange(), exchange);
                 return;
             }
             exchange.parts++;
@@ -193,16 +193,16 @@
      * @param end the end
      */
     public void end(AnswerEnd end) {
-        Exchange exchange = open.get(end.exchange());
+        Exchange exchange = openExchanges.get(end.exchange());
         if (exchange == null) {
             return;
         }
         synchronized (exchange) {
             if (!end.whole() || end.parts() != exchange.parts) {
-                breakOff(end.exchange(), exchange);
+                abort(end.exchange(), exchange);
                 return;
             }
-            open.remove(end.exchange());
+            openExchanges.remove(end.exchange());
             exchange.sink.end();
         }
     }
@@ -212,18 +212,18 @@
      *
      * @param peer the peer's name
      */
-    public void lost(String peer) {
+    public void peerLost(String peer) {
         List<Long> numbers = new ArrayList<>();
-        open.forEach(
+        openExchanges.forEach(
                 (number, exchange) -> {
                     if (exchange.peer.equals(peer)) {
                         numbers.add(number);
                     }
                 });
         for (Long number : numbers) {
-            Exchange exchange = open.remove(number);
+            Exchange exchange = openExchanges.remove(number);
             if (exchange != null) {
-                lost(exchange);
+                peerLost(exchange);
             }
         }
     }
@@ -233,35 +233,35 @@
      *
      * @return a count
      */
-    public int size() {
-        return open.size();
+    public int openCount() {
+        return openExchanges.size();
     }
 
-    private void lost(Exchange exchange) {
+    private void peerLost(Exchange exchange) {
         synchronized (exchange) {
             int nextEvent = exchange.request.firstWantedEvent() + exchange.parts;
-            Lost lost =
-                    new Lost(
+            LostAnswer lost =
+                    new LostAnswer(
                             exchange.request,
                             exchange.requestId,
                             exchange.sink,
                             nextEvent,
-                            exchange.headSeen);
+                            exchange.answerStarted);
             if (onLost.apply(lost)) {
                 return;
             }
-            if (exchange.headSeen) {
+            if (exchange.answerStarted) {
                 exchange.sink.abort();
                 return;
             }
             Failure failure =
                     new Failure(Outcome.UNKNOWN, Failure.Kind.UPSTREAM_BROKEN, RETRY_AFTER_MILLIS);
-            Answers.failure(exchange.sink, "", failure);
+            Answers.sendFailure(exchange.sink, "", failure);
         }
     }
 
-    private void breakOff(long number, Exchange exchange) {
-        open.remove(number);
+    private void abort(long number, Exchange exchange) {
+        openExchanges.remove(number);
         exchange.sink.abort();
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/KeeperChoice.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerSelector.java
@@ -30,10 +30,10 @@
  * data may not be handled, one that stops only if all others do, preferably one of this data
  * centre.
  */
-final class KeeperChoice {
+final class PeerSelector {
     private final Peers links;
     private final RowPolicies policies;
-    private final String here;
+    private final String localDataCentre;
     private final Predicate<String> stopping;
 
     /**
@@ -44,10 +44,10 @@
      * @param here this entry's data centre
      * @param stopping tells whether a peer has said that it stops
      */
-    KeeperChoice(Peers links, RowPolicies policies, String here, Predicate<String> stopping) {
+    PeerSelector(Peers links, RowPolicies policies, String here, Predicate<String> stopping) {
         this.links = links;
         this.policies = policies;
-        this.here = here;
+        this.localDataCentre = here;
         this.stopping = stopping;
     }
 
@@ -73,7 +73,7 @@
                 .min(
                         Comparator.comparing((EntryInfo peer) -> stopping.test(peer.id()))
                                 .thenComparing(peer -> !peer.id().equals(preferred))
-                                .thenComparing(peer -> !peer.dataCentre().equals(here)))
+                                .thenComparing(peer -> !peer.dataCentre().equals(localDataCentre)))
                 .map(EntryInfo::id);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerServer.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerServer.java
@@ -31,8 +31,8 @@
 public final class PeerServer {
     private final Peers links;
     private final RequestDispatcher dispatcher;
-    private final RequestBook book;
-    private final Map<Key, PeerSink> open = new ConcurrentHashMap<>();
+    private final RequestRegistry registry;
+    private final Map<Key, PeerSink> openExchanges = new ConcurrentHashMap<>();
 
     /** Names an exchange: its peer and the peer's number for it. */
     private record Key(String peer, long exchange) {}
@@ -44,10 +44,10 @@
      * @param dispatcher serves requests
      * @param book knows the requests worked on
      */
-    public PeerServer(Peers links, RequestDispatcher dispatcher, RequestBook book) {
+    public PeerServer(Peers links, RequestDispatcher dispatcher, RequestRegistry book) {
         this.links = links;
         this.dispatcher = dispatcher;
-        this.book = book;
+        this.registry = book;
     }
 
     /**
@@ -58,8 +58,8 @@
      */
     public void serve(String peer, Forward forward) {
         Key key = new Key(peer, forward.exchange());
-        PeerSink sink = new PeerSink(links, peer, forward.exchange(), () -> open.remove(key));
-        open.put(key, sink);
+        PeerSink sink = new PeerSink(links, peer, forward.exchange(), () -> openExchanges.remove(key));
+        openExchanges.put(key, sink);
         IncomingRequest request =
                 new IncomingRequest(
                         forward.organisation(),
@@ -78,9 +78,9 @@
      * @param cancel names the exchange
      */
     public void cancel(String peer, AnswerCancel cancel) {
-        PeerSink sink = open.remove(new Key(peer, cancel.exchange()));
+        PeerSink sink = openExchanges.remove(new Key(peer, cancel.exchange()));
         if (sink != null) {
-            sink.cancelled();
+            sink.cancel();
         }
     }
 
@@ -90,8 +90,8 @@
      * @param peer the peer
      * @param find names the request
      */
-    public void find(String peer, RecordFind find) {
-        links.send(peer, new RecordFound(find.requestId(), book.asked(peer, find)));
+    public void answerFind(String peer, RecordFind find) {
+        links.send(peer, new RecordFound(find.requestId(), registry.answerFind(peer, find)));
     }
 
     /**
@@ -99,11 +99,11 @@
      *
      * @param peer the peer's name
      */
-    public void lost(String peer) {
-        open.forEach(
+    public void peerLost(String peer) {
+        openExchanges.forEach(
                 (key, sink) -> {
-                    if (key.peer().equals(peer) && open.remove(key) != null) {
-                        sink.cancelled();
+                    if (key.peer().equals(peer) && openExchanges.remove(key) != null) {
+                        sink.cancel();
                     }
                 });
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerSink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/PeerSink.java
@@ -32,9 +32,9 @@
     private final String peer;
     private final long exchange;
     private final Runnable onEnd;
-    private Runnable gone = () -> {};
+    private Runnable onCancel = () -> {};
     private int parts;
-    private boolean over;
+    private boolean ended;
 
     PeerSink(Peers links, String peer, long exchange, Runnable onEnd) {
         this.links = links;
@@ -45,13 +45,13 @@
 
     @Override
     public synchronized void head(int status, List<Header> headers) {
-        send(links.send(peer, new AnswerHead(exchange, status, headers)));
+        noteSent(links.send(peer, new AnswerHead(exchange, status, headers)));
     }
 
     @Override
     public synchronized void body(byte[] bytes) {
-        if (!over) {
-            send(links.send(peer, new AnswerBody(exchange, parts++, bytes)));
+        if (!ended) {
+            noteSent(links.send(peer, new AnswerBody(exchange, parts++, bytes)));
         }
     }
 
@@ -76,29 +76,29 @@
     }
 
     @Override
-    public synchronized void whenGone(Runnable action) {
-        gone = action;
+    public synchronized void whenDisconnected(Runnable action) {
+        onCancel = action;
     }
 
     /** Is told that the caller, or the peer, is gone. */
-    void cancelled() {
+    void cancel() {
         Runnable action;
         synchronized (this) {
-            over = true;
-            action = gone;
+            ended = true;
+            action = onCancel;
         }
         action.run();
     }
 
     private void finish(boolean whole) {
-        if (!over) {
-            over = true;
+        if (!ended) {
+            ended = true;
             links.send(peer, new AnswerEnd(exchange, parts, whole));
             onEnd.run();
         }
     }
 
-    private void send(boolean sent) {
-        over |= !sent;
+    private void noteSent(boolean sent) {
+        ended |= !sent;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/Placements.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/Placements.java
@@ -46,21 +46,21 @@
  * @since 0.1
  */
 public final class Placements {
-    private static final int KEPT_DECISIONS = 200;
+    private static final int MAX_DECISIONS = 200;
 
     private final String dataCentre;
     private final Executor callbacks;
     private final LocalUpstreamDirectory directory = new LocalUpstreamDirectory();
     private final Router router;
-    private final Map<String, WeightedQueue<Ticket>> waiting = new HashMap<>();
-    private final Set<Ticket> queued = new HashSet<>();
+    private final Map<String, WeightedQueue<PendingRequest>> queues = new HashMap<>();
+    private final Set<PendingRequest> queued = new HashSet<>();
     private final Deque<LoggedDecision> decisions = new ArrayDeque<>();
 
     /**
      * A request that wants an upstream. All but {@link #placed} are called under the lock of the
      * placements, so they must take no other lock.
      */
-    public interface Ticket {
+    public interface PendingRequest {
         /**
          * Returns what is asked for.
          *
@@ -87,7 +87,7 @@
          *
          * @return true if so; it then goes before requests that have not begun
          */
-        boolean begun();
+        boolean answerStarted();
 
         /**
          * Is told that its wait is over. Must release the upstream if it wants it no more.
@@ -114,7 +114,7 @@
             RoutingDecision decision) {}
 
     /** A ticket whose wait is over. */
-    private record Granted(Ticket ticket, LocalUpstream upstream) {}
+    private record Assignment(PendingRequest request, LocalUpstream upstream) {}
 
     /**
      * Creates placements.
@@ -133,17 +133,17 @@
      * Asks for an upstream.
      *
      * @param ticket the request
-     * @return the upstream, or empty if the request must wait for {@link Ticket#placed}
+     * @return the upstream, or empty if the request must wait for {@link PendingRequest#placed}
      */
-    public synchronized Optional<LocalUpstream> request(Ticket ticket) {
+    public synchronized Optional<LocalUpstream> request(PendingRequest ticket) {
         if (queued.contains(ticket)) {
             return Optional.empty();
         }
-        WeightedQueue<Ticket> queue = queue(ticket.query().target());
+        WeightedQueue<PendingRequest> queue = queue(ticket.query().target());
         Optional<LocalUpstream> upstream = queue.size() == 0 ? choose(ticket) : Optional.empty();
         if (upstream.isEmpty()) {
             queued.add(ticket);
-            queue.add(ticket, ticket.organisation(), ticket.weight(), ticket.begun());
+            queue.add(ticket, ticket.organisation(), ticket.weight(), ticket.answerStarted());
         }
         return upstream;
     }
@@ -153,20 +153,20 @@
      *
      * @param ticket the request
      */
-    public synchronized void withdraw(Ticket ticket) {
+    public synchronized void withdraw(PendingRequest ticket) {
         if (queued.remove(ticket)) {
             queue(ticket.query().target()).remove(ticket);
         }
     }
 
     /** Lets waiting requests go on if there is room for them. */
-    public void pump() {
-        List<Granted> granted = new ArrayList<>();
+    public void placeWaiting() {
+        List<Assignment> granted = new ArrayList<>();
         synchronized (this) {
-            waiting.values().forEach(queue -> pump(queue, granted));
+            queues.values().forEach(queue -> placeWaiting(queue, granted));
         }
         // never from the caller's thread, which may hold another request's lock
-        granted.forEach(grant -> callbacks.execute(() -> grant.ticket().placed(grant.upstream())));
+        granted.forEach(grant -> callbacks.execute(() -> grant.request().placed(grant.upstream())));
     }
 
     /**
@@ -178,7 +178,7 @@
         synchronized (this) {
             router.load(upstream).ended();
         }
-        pump();
+        placeWaiting();
     }
 
     /**
@@ -187,7 +187,7 @@
      * @param upstream the upstream's name
      * @param succeeded true if it answered
      */
-    public synchronized void went(String upstream, boolean succeeded) {
+    public synchronized void attemptEnded(String upstream, boolean succeeded) {
         if (succeeded) {
             router.load(upstream).succeeded();
         } else {
@@ -201,7 +201,7 @@
      * @param upstream the upstream's name
      * @param report the report
      */
-    public synchronized void reported(String upstream, LoadReport report) {
+    public synchronized void loadReported(String upstream, LoadReport report) {
         router.load(upstream).reported(report, MonotonicClock.millis());
     }
 
@@ -212,7 +212,7 @@
      * @param leaving names of those that are leaving
      * @return upstreams that are newly leaving
      */
-    public synchronized List<LocalUpstream> listed(
+    public synchronized List<LocalUpstream> applyList(
             Collection<LocalUpstream> listed, Collection<String> leaving) {
         return directory.listed(listed, leaving);
     }
@@ -223,7 +223,7 @@
      * @param upstream the upstream's name
      * @return true if it is news
      */
-    public synchronized boolean noticed(String upstream) {
+    public synchronized boolean noticeReceived(String upstream) {
         boolean known = directory.leaving().contains(upstream);
         directory.leavingNoticed(upstream);
         return !known;
@@ -262,7 +262,7 @@
      *
      * @return milliseconds by target
      */
-    public synchronized Map<String, Integer> waits() {
+    public synchronized Map<String, Integer> minQueueMillis() {
         Map<String, Integer> waits = new HashMap<>();
         long now = MonotonicClock.millis();
         for (UpstreamState state : directory.states()) {
@@ -284,20 +284,20 @@
         return List.copyOf(decisions);
     }
 
-    private void pump(WeightedQueue<Ticket> queue, List<Granted> granted) {
+    private void placeWaiting(WeightedQueue<PendingRequest> queue, List<Assignment> granted) {
         while (queue.size() > 0) {
-            Optional<Ticket> next = queue.peek();
+            Optional<PendingRequest> next = queue.peek();
             Optional<LocalUpstream> upstream = next.flatMap(this::choose);
             if (upstream.isEmpty()) {
                 return;
             }
             queue.poll();
             queued.remove(next.get());
-            granted.add(new Granted(next.get(), upstream.get()));
+            granted.add(new Assignment(next.get(), upstream.get()));
         }
     }
 
-    private Optional<LocalUpstream> choose(Ticket ticket) {
+    private Optional<LocalUpstream> choose(PendingRequest ticket) {
         RoutingQuery query = ticket.query();
         long now = MonotonicClock.millis();
         RoutingDecision decision = router.choose(query, now);
@@ -310,7 +310,7 @@
         return directory.state(id).map(UpstreamState::upstream);
     }
 
-    private void log(Ticket ticket, RoutingQuery query, RoutingDecision decision) {
+    private void log(PendingRequest ticket, RoutingQuery query, RoutingDecision decision) {
         decisions.addLast(
                 new LoggedDecision(
                         System.currentTimeMillis(),
@@ -318,12 +318,12 @@
                         query.target(),
                         query.promptTokens(),
                         decision));
-        if (decisions.size() > KEPT_DECISIONS) {
+        if (decisions.size() > MAX_DECISIONS) {
             decisions.removeFirst();
         }
     }
 
-    private WeightedQueue<Ticket> queue(String target) {
-        return waiting.computeIfAbsent(target, t -> new WeightedQueue<>());
+    private WeightedQueue<PendingRequest> queue(String target) {
+        return queues.computeIfAbsent(target, t -> new WeightedQueue<>());
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestDispatcher.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestDispatcher.java
@@ -41,12 +41,12 @@
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final ServingContext context;
-    private final RequestBook book;
+    private final RequestRegistry registry;
     private final ClaimService claims;
     private final PeerRelay relay;
     private final Admission admission;
     private final RequestRecovery recovery;
-    private final CallBook calls;
+    private final CallResults callResults;
     private volatile boolean draining;
 
     /**
@@ -61,16 +61,16 @@
      */
     public RequestDispatcher(
             ServingContext context,
-            RequestBook book,
+            RequestRegistry book,
             ClaimService claims,
             PeerRelay relay,
             DataCentreChooser chooser,
             RequestFinder finder) {
         this.context = context;
-        this.book = book;
+        this.registry = book;
         this.claims = claims;
         this.relay = relay;
-        this.calls = new CallBook(context.self().dataCentre());
+        this.callResults = new CallResults(context.self().dataCentre());
         this.admission = new Admission(context, book, relay, chooser);
         this.recovery = new RequestRecovery(context.timer(), book, relay, finder);
     }
@@ -98,11 +98,11 @@
     public void serve(IncomingRequest request, CallerSink sink) {
         String path = request.path();
         if (path.startsWith(REQUESTS_PATH)) {
-            recovery.findAgain(request, sink);
+            recovery.find(request, sink);
         } else if (request.relayed() && path.startsWith(CALLS_PATH)) {
-            calls.answer(path.substring(CALLS_PATH.length()), request.organisation(), sink);
+            callResults.sendResult(path.substring(CALLS_PATH.length()), request.organisation(), sink);
         } else if (draining) {
-            Answers.failure(
+            Answers.sendFailure(
                     sink, "", Admission.refusal(request, Kind.STOPPING, RETRY_AFTER_MILLIS));
         } else if (request.service().isPresent()) {
             serveService(request, request.service().get(), sink);
@@ -160,20 +160,20 @@
         boolean atMostOnce = atMostOnce(request, row.get());
         Optional<String> key = request.header(IncomingRequest.KEY_HEADER);
         if (!atMostOnce || key.isEmpty()) {
-            String prefix = atMostOnce ? RequestNames.ONCE : RequestNames.REPEATABLE;
+            String prefix = atMostOnce ? RequestIds.AT_MOST_ONCE_PREFIX : RequestIds.REPEATABLE_PREFIX;
             String requestId =
-                    key.map(k -> RequestNames.keyed(request.organisation(), k))
-                            .orElseGet(() -> RequestNames.fresh(prefix));
+                    key.map(k -> RequestIds.fromKey(request.organisation(), k))
+                            .orElseGet(() -> RequestIds.random(prefix));
             Row effective = atMostOnce ? row.get().notRepeatable() : row.get();
             begin(request, completion, requestId, effective, sink);
             return;
         }
-        String requestId = RequestNames.fresh(RequestNames.CLAIMED);
+        String requestId = RequestIds.random(RequestIds.CLAIMED_PREFIX);
         ClaimKey claimKey = ClaimKey.of(request.organisation(), key.get());
-        claims.claim(claimKey, RequestNames.fingerprint(request), requestId)
+        claims.claim(claimKey, RequestIds.fingerprint(request), requestId)
                 .thenAccept(
                         reply -> {
-                            if (granted(reply, sink, requestId)) {
+                            if (checkGranted(reply, sink, requestId)) {
                                 begin(
                                         request,
                                         completion,
@@ -181,7 +181,7 @@
                                         row.get().notRepeatable(),
                                         sink);
                             } else if (reply.verdict() == ClaimReply.Verdict.DUPLICATE) {
-                                first(REQUESTS_PATH, request, reply, sink);
+                                sendFirstAnswer(REQUESTS_PATH, request, reply, sink);
                             }
                         });
     }
@@ -204,7 +204,7 @@
                         System.currentTimeMillis(),
                         List.of(),
                         false);
-        book.accept(record, row, sink);
+        registry.accept(record, row, sink);
     }
 
     private void serveService(IncomingRequest request, String service, CallerSink sink) {
@@ -215,7 +215,7 @@
         boolean atMostOnce = atMostOnce(request, row.get());
         Optional<String> key = request.header(IncomingRequest.KEY_HEADER);
         if (!atMostOnce || key.isEmpty()) {
-            String callId = RequestNames.fresh("s");
+            String callId = RequestIds.random("s");
             String here = context.self().dataCentre();
             new ServiceRunner(
                             context,
@@ -227,30 +227,30 @@
                     .start();
             return;
         }
-        callOnce(request, row.get(), ClaimKey.of(request.organisation(), key.get()), sink);
+        callAtMostOnce(request, row.get(), ClaimKey.of(request.organisation(), key.get()), sink);
     }
 
-    private void callOnce(IncomingRequest request, Row row, ClaimKey key, CallerSink sink) {
-        String callId = RequestNames.fresh("s");
+    private void callAtMostOnce(IncomingRequest request, Row row, ClaimKey key, CallerSink sink) {
+        String callId = RequestIds.random("s");
         // known before the claim, because another asker may be sent here as soon as it is granted
-        calls.begin(callId, request.organisation());
-        claims.claim(key, RequestNames.fingerprint(request), callId)
+        callResults.begin(callId, request.organisation());
+        claims.claim(key, RequestIds.fingerprint(request), callId)
                 .thenAccept(
                         reply -> {
-                            if (granted(reply, sink, callId)) {
+                            if (checkGranted(reply, sink, callId)) {
                                 callClaimed(request, row, key, callId, sink);
                                 return;
                             }
-                            calls.forget(callId);
+                            callResults.remove(callId);
                             if (reply.verdict() == ClaimReply.Verdict.DUPLICATE) {
-                                first(CALLS_PATH, request, reply, sink);
+                                sendFirstAnswer(CALLS_PATH, request, reply, sink);
                             }
                         });
     }
 
     private void callClaimed(
             IncomingRequest request, Row row, ClaimKey key, String callId, CallerSink sink) {
-        calls.answer(callId, request.organisation(), sink);
+        callResults.sendResult(callId, request.organisation(), sink);
         new ServiceRunner(
                         context,
                         request,
@@ -259,7 +259,7 @@
                         false,
                         result -> {
                             releaseIfNotRun(key, callId, result);
-                            calls.end(callId, result);
+                            callResults.end(callId, result);
                         })
                 .start();
     }
@@ -274,17 +274,17 @@
     }
 
     /** Gives the caller the final answer unless the claim was granted or names a first request. */
-    private boolean granted(ClaimReply reply, CallerSink sink, String requestId) {
+    private boolean checkGranted(ClaimReply reply, CallerSink sink, String requestId) {
         return switch (reply.verdict()) {
             case GRANTED -> true;
             case DUPLICATE -> false;
-            case MISMATCH -> refused(sink, requestId, Failure.notRun(Kind.CLAIM_MISMATCH, 0));
+            case MISMATCH -> refuse(sink, requestId, Failure.notRun(Kind.CLAIM_MISMATCH, 0));
             case UNKNOWN -> {
-                CallBook.unknown().send(sink, requestId, context.self().dataCentre());
+                CallResults.unknownResult().send(sink, requestId, context.self().dataCentre());
                 yield false;
             }
             case UNAVAILABLE ->
-                    refused(
+                    refuse(
                             sink,
                             requestId,
                             new Failure(
@@ -292,13 +292,13 @@
         };
     }
 
-    private static boolean refused(CallerSink sink, String requestId, Failure failure) {
-        Answers.failure(sink, requestId, failure);
+    private static boolean refuse(CallerSink sink, String requestId, Failure failure) {
+        Answers.sendFailure(sink, requestId, failure);
         return false;
     }
 
     /** Gives the caller the first answer to its key, from the entry that has it. */
-    private void first(
+    private void sendFirstAnswer(
             String pathPrefix, IncomingRequest request, ClaimReply reply, CallerSink sink) {
         IncomingRequest lookUp =
                 new IncomingRequest(
@@ -311,7 +311,7 @@
         if (reply.holder().equals(context.self().id())) {
             serve(lookUp, sink);
         } else if (!relay.forward(reply.holder(), "", lookUp, sink, false)) {
-            CallBook.unknown().send(sink, reply.requestId(), context.self().dataCentre());
+            CallResults.unknownResult().send(sink, reply.requestId(), context.self().dataCentre());
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestFinder.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestFinder.java
@@ -36,7 +36,7 @@
  * @since 0.1
  */
 public final class RequestFinder {
-    private static final long ANSWER_MILLIS = 400;
+    private static final long ANSWER_TIMEOUT_MILLIS = 400;
 
     private final Peers links;
     private final ScheduledExecutorService timer;
@@ -45,24 +45,24 @@
     /** A search under way. */
     private static final class Search {
         final CompletableFuture<Optional<String>> holder = new CompletableFuture<>();
-        final Set<String> open = new HashSet<>();
-        String copyAt = "";
+        final Set<String> unanswered = new HashSet<>();
+        String copyHolder = "";
 
         /** Tells who works on the request, or else who has a copy of it. */
         CompletableFuture<Optional<String>> result() {
-            return holder.thenApply(peer -> peer.or(this::copy));
+            return holder.thenApply(peer -> peer.or(this::findCopyHolder));
         }
 
-        private synchronized Optional<String> copy() {
-            return Optional.of(copyAt).filter(peer -> !peer.isEmpty());
+        private synchronized Optional<String> findCopyHolder() {
+            return Optional.of(copyHolder).filter(peer -> !peer.isEmpty());
         }
 
         /** Takes an answer; returns true if it was the last one. */
-        synchronized boolean answered(String peer, Standing standing) {
+        synchronized boolean recordAnswer(String peer, Standing standing) {
             if (standing == Standing.COPY) {
-                copyAt = peer;
+                copyHolder = peer;
             }
-            return open.remove(peer) && open.isEmpty();
+            return unanswered.remove(peer) && unanswered.isEmpty();
         }
     }
 
@@ -87,7 +87,7 @@
     public CompletableFuture<Optional<String>> find(String requestId, String organisation) {
         List<EntryInfo> peers = links.live();
         Search search = new Search();
-        peers.forEach(peer -> search.open.add(peer.id()));
+        peers.forEach(peer -> search.unanswered.add(peer.id()));
         Search running = searches.putIfAbsent(requestId, search);
         if (running != null) {
             return running.result();
@@ -95,7 +95,7 @@
         RecordFind find = new RecordFind(requestId, organisation);
         for (EntryInfo peer : peers) {
             if (!links.send(peer.id(), find)) {
-                found(peer.id(), new RecordFound(requestId, Standing.NONE));
+                answerReceived(peer.id(), new RecordFound(requestId, Standing.NONE));
             }
         }
         if (peers.isEmpty()) {
@@ -103,7 +103,7 @@
         }
         timer.schedule(
                 () -> search.holder.complete(Optional.empty()),
-                ANSWER_MILLIS,
+                ANSWER_TIMEOUT_MILLIS,
                 TimeUnit.MILLISECONDS);
         return search.result().whenComplete((peer, failure) -> searches.remove(requestId, search));
     }
@@ -114,12 +114,12 @@
      * @param peer the peer's name
      * @param answer its answer
      */
-    public void found(String peer, RecordFound answer) {
+    public void answerReceived(String peer, RecordFound answer) {
         Search search = searches.get(answer.requestId());
         if (search == null) {
             return;
         }
-        boolean last = search.answered(peer, answer.standing());
+        boolean last = search.recordAnswer(peer, answer.standing());
         if (answer.standing() == Standing.HOLDER) {
             search.holder.complete(Optional.of(peer));
         } else if (last) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestNames.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestIds.java
@@ -25,40 +25,40 @@
  *
  * @since 0.1
  */
-final class RequestNames {
+final class RequestIds {
     /** Begins the names of requests that may run any number of times. */
-    static final String REPEATABLE = "r";
+    static final String REPEATABLE_PREFIX = "r";
 
     /** Begins the names of requests that run at most once and have no key. */
-    static final String ONCE = "o";
+    static final String AT_MOST_ONCE_PREFIX = "o";
 
     /** Begins the names of requests that run at most once by their keys. */
-    static final String CLAIMED = "c";
+    static final String CLAIMED_PREFIX = "c";
 
-    private static final String KEYED = "k";
+    private static final String KEYED_PREFIX = "k";
 
-    private RequestNames() {}
+    private RequestIds() {}
 
     /** Tells whether a request of this name may run again where another entry began it. */
-    static boolean mayRunAgain(String requestId) {
-        return !requestId.startsWith(ONCE) && !requestId.startsWith(CLAIMED);
+    static boolean isRepeatable(String requestId) {
+        return !requestId.startsWith(AT_MOST_ONCE_PREFIX) && !requestId.startsWith(CLAIMED_PREFIX);
     }
 
     /** Makes a name that was never used before. */
-    static String fresh(String prefix) {
+    static String random(String prefix) {
         ThreadLocalRandom random = ThreadLocalRandom.current();
         return prefix + hex(random.nextLong()) + hex(random.nextLong());
     }
 
     /** Makes the name of a request from its caller's key, the same at every entry. */
-    static String keyed(String organisation, String key) {
+    static String fromKey(String organisation, String key) {
         ClaimKey hash = ClaimKey.of(organisation, key);
-        return KEYED + hex(hash.high()) + hex(hash.low());
+        return KEYED_PREFIX + hex(hash.high()) + hex(hash.low());
     }
 
     /** Tells whether a name was made from its caller's key. */
-    static boolean isKeyed(String requestId) {
-        return requestId.startsWith(KEYED);
+    static boolean isFromKey(String requestId) {
+        return requestId.startsWith(KEYED_PREFIX);
     }
 
     /** Hashes what a request asks for, to tell a key that is used for something else. */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRecovery.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRecovery.java
@@ -35,65 +35,65 @@
     /** Path below which requests are found again by their names. */
     static final String REQUESTS_PATH = "/v1/requests/";
 
-    private static final int TRIES = 20;
-    private static final long TRY_AGAIN_MILLIS = 200;
+    private static final int MAX_RETRIES = 20;
+    private static final long RETRY_DELAY_MILLIS = 200;
 
     private final ScheduledExecutorService timer;
-    private final RequestBook book;
+    private final RequestRegistry registry;
     private final PeerRelay relay;
     private final RequestFinder finder;
 
     RequestRecovery(
             ScheduledExecutorService timer,
-            RequestBook book,
+            RequestRegistry book,
             PeerRelay relay,
             RequestFinder finder) {
         this.timer = timer;
-        this.book = book;
+        this.registry = book;
         this.relay = relay;
         this.finder = finder;
-        relay.onLost(this::goOn);
+        relay.onLost(this::resumeAnswer);
     }
 
     /** A question for a request that is asked of this entry and then of its peers. */
-    private static final class Question {
+    private static final class Lookup {
         final IncomingRequest request;
-        final List<String> names;
+        final List<String> requestIds;
         final CallerSink sink;
-        final boolean begun;
-        final long sinceMillis = MonotonicClock.millis();
+        final boolean answerStarted;
+        final long startedMillis = MonotonicClock.millis();
         int tries;
-        int triesLeft;
+        int retriesLeft;
 
-        Question(
+        Lookup(
                 IncomingRequest request,
                 List<String> names,
                 CallerSink sink,
                 boolean begun,
                 int triesLeft) {
             this.request = request;
-            this.names = names;
+            this.requestIds = names;
             this.sink = sink;
-            this.begun = begun;
-            this.triesLeft = triesLeft;
+            this.answerStarted = begun;
+            this.retriesLeft = triesLeft;
         }
 
         /** Writes a line that tells where the request was found. */
         void log(Found found, String peer) {
             RequestMoves.log(
                     new AskedAgain(
-                            names.get(0),
+                            requestIds.get(0),
                             request.firstWantedEvent(),
                             request.relayed(),
                             found,
                             peer,
                             tries,
-                            MonotonicClock.millis() - sinceMillis));
+                            MonotonicClock.millis() - startedMillis));
         }
 
         /** Brings the caller the rest from a runner of this entry, if there is one. */
         boolean attach(Optional<GenerationRunner> runner, Found found) {
-            CallerSink rest = begun ? new BegunSink(sink) : sink;
+            CallerSink rest = answerStarted ? new ResumedAnswerSink(sink) : sink;
             runner.ifPresent(
                     present -> {
                         log(found, "");
@@ -103,9 +103,9 @@
         }
 
         /** Tells the caller that the request was not found. */
-        void notFound() {
+        void answerNotFound() {
             log(Found.NOWHERE, "");
-            if (begun) {
+            if (answerStarted) {
                 sink.abort();
             } else {
                 Answers.refuse(sink, 404, "no request of this name");
@@ -114,36 +114,36 @@
     }
 
     /** Brings a caller the rest of a request's answer, wherever the request is. */
-    void findAgain(IncomingRequest request, CallerSink sink) {
+    void find(IncomingRequest request, CallerSink sink) {
         String name = request.path().substring(REQUESTS_PATH.length());
         String organisation = request.organisation();
-        List<String> names = List.of(name, RequestNames.keyed(organisation, name));
-        Question question = new Question(request, names, sink, false, 1);
+        List<String> names = List.of(name, RequestIds.fromKey(organisation, name));
+        Lookup question = new Lookup(request, names, sink, false, 1);
         if (!request.relayed()) {
-            look(question);
-        } else if (!question.attach(here(question), Found.HERE)
-                && !question.attach(book.adopt(name, organisation), Found.TAKEN_UP)) {
-            question.notFound();
+            search(question);
+        } else if (!question.attach(findLocal(question), Found.HERE)
+                && !question.attach(registry.resumeFromCopy(name, organisation), Found.TAKEN_UP)) {
+            question.answerNotFound();
         }
     }
 
-    private Optional<GenerationRunner> here(Question question) {
+    private Optional<GenerationRunner> findLocal(Lookup question) {
         String organisation = question.request.organisation();
-        return question.names.stream()
-                .flatMap(name -> book.find(name, organisation).stream())
+        return question.requestIds.stream()
+                .flatMap(name -> registry.find(name, organisation).stream())
                 .findFirst();
     }
 
     /** Looks for a request in this entry, then at its peers, under each of its names. */
-    private void look(Question question) {
+    private void search(Lookup question) {
         question.tries++;
-        if (!question.attach(here(question), Found.HERE)) {
-            askPeers(question, 0);
+        if (!question.attach(findLocal(question), Found.HERE)) {
+            queryPeers(question, 0);
         }
     }
 
-    private void askPeers(Question question, int nameIndex) {
-        String name = question.names.get(nameIndex);
+    private void queryPeers(Lookup question, int nameIndex) {
+        String name = question.requestIds.get(nameIndex);
         String organisation = question.request.organisation();
         finder.find(name, organisation)
                 .thenAccept(
@@ -151,24 +151,24 @@
                             if (holder.isPresent() && attachAt(holder.get(), name, question)) {
                                 return;
                             }
-                            if (question.attach(book.adopt(name, organisation), Found.TAKEN_UP)) {
+                            if (question.attach(registry.resumeFromCopy(name, organisation), Found.TAKEN_UP)) {
                                 return;
                             }
-                            if (nameIndex + 1 < question.names.size()) {
-                                askPeers(question, nameIndex + 1);
-                            } else if (question.triesLeft-- > 0) {
+                            if (nameIndex + 1 < question.requestIds.size()) {
+                                queryPeers(question, nameIndex + 1);
+                            } else if (question.retriesLeft-- > 0) {
                                 // it may be passing from a lost entry to its copy's keeper
                                 timer.schedule(
-                                        () -> look(question),
-                                        TRY_AGAIN_MILLIS,
+                                        () -> search(question),
+                                        RETRY_DELAY_MILLIS,
                                         TimeUnit.MILLISECONDS);
                             } else {
-                                question.notFound();
+                                question.answerNotFound();
                             }
                         });
     }
 
-    private boolean attachAt(String peer, String name, Question question) {
+    private boolean attachAt(String peer, String name, Lookup question) {
         IncomingRequest request = question.request;
         IncomingRequest lookUp =
                 new IncomingRequest(
@@ -178,7 +178,7 @@
                         request.headers(),
                         new byte[0],
                         true);
-        boolean sent = relay.forward(peer, name, lookUp, question.sink, question.begun);
+        boolean sent = relay.forward(peer, name, lookUp, question.sink, question.answerStarted);
         if (sent) {
             question.log(Found.AT_PEER, peer);
         }
@@ -186,7 +186,7 @@
     }
 
     /** Goes on with an answer whose peer was lost, at another entry that has the request. */
-    private boolean goOn(PeerRelay.Lost lost) {
+    private boolean resumeAnswer(PeerRelay.LostAnswer lost) {
         if (lost.requestId().isEmpty()) {
             return false;
         }
@@ -203,7 +203,7 @@
                         headers,
                         new byte[0],
                         false);
-        look(new Question(again, List.of(lost.requestId()), lost.sink(), lost.begun(), TRIES));
+        search(new Lookup(again, List.of(lost.requestId()), lost.sink(), lost.answerStarted(), MAX_RETRIES));
         return true;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestBook.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RequestRegistry.java
@@ -20,7 +20,7 @@
 import io.trailladder.core.table.Row;
 import io.trailladder.entry.EntryMetrics.Event;
 import io.trailladder.entry.PeriodicTasks;
-import io.trailladder.entry.serve.HeldRequests.Holding;
+import io.trailladder.entry.serve.LocalRequests.AddResult;
 import io.trailladder.wire.EntryInfo;
 import io.trailladder.wire.PeerMessage.RecordDrop;
 import io.trailladder.wire.PeerMessage.RecordFind;
@@ -46,28 +46,28 @@
  * on.
  *
  * <p>Before a request counts as accepted, another entry has a copy of it, in a data centre that the
- * row allows. The copy follows the answer every {@link #COPY_MILLIS}. If the entry that works on
+ * row allows. The copy follows the answer every {@link #COPY_INTERVAL_MILLIS}. If the entry that works on
  * the request is lost or stops, the copy's keeper goes on from the tokens it has.
  *
  * @since 0.1
  */
-public final class RequestBook {
+public final class RequestRegistry {
     /** How often tokens are copied, in milliseconds. */
-    public static final long COPY_MILLIS = 100;
+    public static final long COPY_INTERVAL_MILLIS = 100;
 
     private static final long COPY_TIMEOUT_MILLIS = 150;
-    private static final long MOVE_PACE_MILLIS = 2;
-    private static final long STOPPING_RETRY_MILLIS = 1_000;
+    private static final long MOVE_INTERVAL_MILLIS = 2;
+    private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final ServingContext context;
     private final CopyStore copies = new CopyStore();
-    private final Map<String, CompletableFuture<Void>> awaited = new ConcurrentHashMap<>();
+    private final Map<String, CompletableFuture<Void>> pendingCopies = new ConcurrentHashMap<>();
 
-    private final KeeperChoice keepers;
+    private final PeerSelector peerSelector;
     private final HandOvers handOvers;
     private final CopySender copySender;
-    private final HeldRequests held;
-    private final TakeUps takeUps;
+    private final LocalRequests localRequests;
+    private final RequestResumer resumer;
 
     /**
      * Creates an empty book.
@@ -75,18 +75,18 @@
      * @param context what serving code shares
      * @param stopping tells whether a peer has said that it stops
      */
-    public RequestBook(ServingContext context, Predicate<String> stopping) {
+    public RequestRegistry(ServingContext context, Predicate<String> stopping) {
         this.context = context;
-        this.keepers =
-                new KeeperChoice(
+        this.peerSelector =
+                new PeerSelector(
                         context.links(), context.policies(), context.self().dataCentre(), stopping);
-        this.handOvers = new HandOvers(context, keepers);
-        this.copySender = new CopySender(context, keepers);
-        this.held = new HeldRequests(context, copySender);
-        this.takeUps = new TakeUps(context, held, copies, copySender, keepers, handOvers);
+        this.handOvers = new HandOvers(context, peerSelector);
+        this.copySender = new CopySender(context, peerSelector);
+        this.localRequests = new LocalRequests(context, copySender);
+        this.resumer = new RequestResumer(context, localRequests, copies, copySender, peerSelector, handOvers);
         PeriodicTasks.repeat(
-                context.timer(), "copies", () -> copySender.send(held.all()), COPY_MILLIS);
-        context.policies().onChange(table -> held.all().forEach(h -> h.runner.recheckRow()));
+                context.timer(), "copies", () -> copySender.sendUpdates(localRequests.all()), COPY_INTERVAL_MILLIS);
+        context.policies().onChange(table -> localRequests.all().forEach(h -> h.runner.recheckRow()));
     }
 
     /**
@@ -98,9 +98,9 @@
      * @param sink where the answer goes
      */
     public void accept(RequestRecord request, Row row, CallerSink sink) {
-        Optional<Held> known = held.find(request.requestId());
+        Optional<LocalRequest> known = localRequests.find(request.requestId());
         if (known.isPresent()) {
-            join(known.get(), request, sink);
+            attachToExisting(known.get(), request, sink);
             return;
         }
         if (!row.repeatable()) {
@@ -108,9 +108,9 @@
             begin(request, row, "", sink);
             return;
         }
-        String keeper = keepers.choose(request).orElse("");
+        String keeper = peerSelector.choose(request).orElse("");
         CompletableFuture<Void> copied =
-                awaited.computeIfAbsent(request.requestId(), id -> new CompletableFuture<>());
+                pendingCopies.computeIfAbsent(request.requestId(), id -> new CompletableFuture<>());
         if (keeper.isEmpty() || !context.links().send(keeper, new RecordPut(request))) {
             copied.completeExceptionally(new IllegalStateException("no keeper"));
         }
@@ -121,7 +121,7 @@
                         TimeUnit.MILLISECONDS);
         copied.whenComplete(
                 (done, failure) -> {
-                    awaited.remove(request.requestId());
+                    pendingCopies.remove(request.requestId());
                     if (failure != null) {
                         context.metrics().count(Event.UNCOPIED);
                     }
@@ -137,17 +137,17 @@
      * @return its runner
      */
     public Optional<GenerationRunner> find(String requestId, String organisation) {
-        return here(requestId, organisation)
+        return findLocal(requestId, organisation)
                 .map(h -> h.runner)
                 .flatMap(
                         runner ->
                                 runner.isAbandoned()
-                                        ? takeUps.askedForAgain(runner)
+                                        ? resumer.resumeAbandoned(runner)
                                         : Optional.of(runner));
     }
 
-    private Optional<Held> here(String requestId, String organisation) {
-        return held.find(requestId)
+    private Optional<LocalRequest> findLocal(String requestId, String organisation) {
+        return localRequests.find(requestId)
                 .filter(h -> h.runner.organisation().equals(organisation))
                 .filter(h -> !h.runner.isMovedAway());
     }
@@ -159,8 +159,8 @@
      * @param organisation whose it must be
      * @return its runner, if there is such a copy
      */
-    public Optional<GenerationRunner> adopt(String requestId, String organisation) {
-        return takeUps.askedFor(requestId, organisation);
+    public Optional<GenerationRunner> resumeFromCopy(String requestId, String organisation) {
+        return resumer.resumeForCaller(requestId, organisation);
     }
 
     /**
@@ -171,15 +171,15 @@
      * @return its standing here
      */
     public Standing standing(String requestId, String organisation) {
-        Optional<Held> mine = here(requestId, organisation);
+        Optional<LocalRequest> mine = findLocal(requestId, organisation);
         if (mine.isPresent() && !mine.get().runner.isAbandoned()) {
             return Standing.HOLDER;
         }
         boolean copy =
-                !held.isLeaving()
+                !localRequests.isClosed()
                         && (mine.isPresent()
                                 || copies.find(requestId, organisation)
-                                        .flatMap(kept -> takeUps.row(kept.request()))
+                                        .flatMap(kept -> resumer.allowedRow(kept.request()))
                                         .isPresent());
         return copy ? Standing.COPY : Standing.NONE;
     }
@@ -189,8 +189,8 @@
      *
      * @return a count
      */
-    public int open() {
-        return (int) held.all().stream().filter(h -> !h.runner.isEnded()).count();
+    public int openCount() {
+        return (int) localRequests.all().stream().filter(h -> !h.runner.isEnded()).count();
     }
 
     /**
@@ -209,9 +209,9 @@
      * @param upstream the upstream's name
      * @param noticeMillis how long it will still run, in milliseconds
      */
-    public void leaving(String upstream, long noticeMillis) {
+    public void upstreamLeaving(String upstream, long noticeMillis) {
         List<GenerationRunner> runners =
-                held.all().stream()
+                localRequests.all().stream()
                         .map(h -> h.runner)
                         .filter(runner -> !runner.isEnded())
                         .sorted(Comparator.comparingInt(GenerationRunner::weight).reversed())
@@ -223,8 +223,8 @@
             }
             long left = Math.max(0, noticeMillis - delay);
             context.timer()
-                    .schedule(() -> runner.leaving(upstream, left), delay, TimeUnit.MILLISECONDS);
-            delay = Math.min(delay + MOVE_PACE_MILLIS, noticeMillis / 2);
+                    .schedule(() -> runner.upstreamLeaving(upstream, left), delay, TimeUnit.MILLISECONDS);
+            delay = Math.min(delay + MOVE_INTERVAL_MILLIS, noticeMillis / 2);
         }
     }
 
@@ -233,13 +233,13 @@
      * that no other entry may have: these go on here until {@link #endUnfinished}. From now on this
      * entry takes up none.
      */
-    public void handOver() {
-        for (Held h : held.leave()) {
+    public void handOverAll() {
+        for (LocalRequest h : localRequests.close()) {
             GenerationRunner runner = h.runner;
-            boolean mayMove = runner.mayRunAgain() && keepers.choose(runner.request()).isPresent();
+            boolean mayMove = runner.isRepeatable() && peerSelector.choose(runner.request()).isPresent();
             if (mayMove) {
                 RequestRecord record = runner.suspend();
-                handOvers.offer(record, h.keeper, runner.lastEvent(), runner::moved);
+                handOvers.offer(record, h.copyHolder, runner.lastEvent(), runner::redirectReceivers);
             }
         }
     }
@@ -249,16 +249,16 @@
      * their requests, how these ended.
      */
     public void endUnfinished() {
-        handOvers.giveUp();
-        for (Held h : held.all()) {
+        handOvers.endAll();
+        for (LocalRequest h : localRequests.all()) {
             if (!h.isActive()) {
                 continue;
             }
-            if (h.keeper.isEmpty()) {
+            if (h.copyHolder.isEmpty()) {
                 h.runner.endUnfinished();
             } else {
                 h.runner.suspend();
-                h.runner.moved();
+                h.runner.redirectReceivers();
             }
         }
     }
@@ -268,10 +268,10 @@
      *
      * @param peer the peer's name
      */
-    public void lost(String peer) {
-        handOvers.lost(peer);
-        held.all().stream().filter(h -> h.keeper.equals(peer)).forEach(h -> h.keeper = "");
-        takeUps.lost(peer);
+    public void peerLost(String peer) {
+        handOvers.peerLost(peer);
+        localRequests.all().stream().filter(h -> h.copyHolder.equals(peer)).forEach(h -> h.copyHolder = "");
+        resumer.peerLost(peer);
     }
 
     /**
@@ -281,8 +281,8 @@
      * @param find names the request
      * @return its standing here
      */
-    public Standing asked(String peer, RecordFind find) {
-        takeUps.asked(peer, find);
+    public Standing answerFind(String peer, RecordFind find) {
+        resumer.findReceived(peer, find);
         return standing(find.requestId(), find.organisation());
     }
 
@@ -292,10 +292,10 @@
      * @param peer the peer's name
      * @param found its answer
      */
-    public void found(String peer, RecordFound found) {
-        handOvers.answered(peer, found);
-        held.find(found.requestId())
-                .ifPresent(h -> takeUps.ownerAnswered(h, peer, found.standing()));
+    public void findAnswered(String peer, RecordFound found) {
+        handOvers.findAnswered(peer, found);
+        localRequests.find(found.requestId())
+                .ifPresent(h -> resumer.ownerAnswered(h, peer, found.standing()));
     }
 
     /**
@@ -304,7 +304,7 @@
      * @param from the peer
      * @param put the request
      */
-    public void put(EntryInfo from, RecordPut put) {
+    public void storeCopy(EntryInfo from, RecordPut put) {
         copies.put(put.request(), from.id());
         context.links().send(from.id(), new RecordKept(put.request().requestId()));
     }
@@ -314,8 +314,8 @@
      *
      * @param kept the confirmation
      */
-    public void kept(RecordKept kept) {
-        CompletableFuture<Void> copied = awaited.get(kept.requestId());
+    public void copyStored(RecordKept kept) {
+        CompletableFuture<Void> copied = pendingCopies.get(kept.requestId());
         if (copied != null) {
             copied.complete(null);
         }
@@ -326,8 +326,8 @@
      *
      * @param tokens the tokens
      */
-    public void tokens(RecordTokens tokens) {
-        tokens.parts().forEach(copies::grow);
+    public void appendTokens(RecordTokens tokens) {
+        tokens.parts().forEach(copies::append);
     }
 
     /**
@@ -337,15 +337,15 @@
      * @param from the peer
      * @param drop names the request
      */
-    public void drop(EntryInfo from, RecordDrop drop) {
+    public void dropReceived(EntryInfo from, RecordDrop drop) {
         copies.drop(drop.requestId(), from.id());
-        held.find(drop.requestId())
+        localRequests.find(drop.requestId())
                 .ifPresent(
                         h -> {
-                            if (h.keeper.equals(from.id())) {
-                                h.keeper = "";
+                            if (h.copyHolder.equals(from.id())) {
+                                h.copyHolder = "";
                             }
-                            takeUps.takenBack(h, from.id());
+                            resumer.withdraw(h, from.id());
                         });
     }
 
@@ -355,11 +355,11 @@
      * @param from the peer
      * @param handOver the request
      */
-    public void handedOver(EntryInfo from, RecordHandOver handOver) {
-        takeUps.handedOver(from.id(), handOver.request());
+    public void acceptHandOver(EntryInfo from, RecordHandOver handOver) {
+        resumer.acceptHandOver(from.id(), handOver.request());
     }
 
-    private static boolean same(RequestRecord known, RequestRecord request) {
+    private static boolean hasSameContent(RequestRecord known, RequestRecord request) {
         return known.model().equals(request.model())
                 && known.prompt().equals(request.prompt())
                 && known.maxTokens() == request.maxTokens()
@@ -368,32 +368,32 @@
     }
 
     /** Brings the answer of a request that is here already, unless its content differs. */
-    private static void join(Held known, RequestRecord request, CallerSink sink) {
-        if (same(known.runner.request(), request)) {
+    private static void attachToExisting(LocalRequest known, RequestRecord request, CallerSink sink) {
+        if (hasSameContent(known.runner.request(), request)) {
             known.runner.attach(sink, 0);
         } else {
-            Answers.failure(sink, "", Failure.notRun(Failure.Kind.CLAIM_MISMATCH, 0));
+            Answers.sendFailure(sink, "", Failure.notRun(Failure.Kind.CLAIM_MISMATCH, 0));
         }
     }
 
     private void begin(RequestRecord request, Row row, String keeper, CallerSink sink) {
-        Optional<Holding> holding = held.add(request, row, keeper, known -> true);
+        Optional<AddResult> holding = localRequests.add(request, row, keeper, known -> true);
         if (holding.isEmpty()) {
             copySender.drop(keeper, request.requestId());
-            Answers.failure(sink, request.requestId(), stopping(request));
+            Answers.sendFailure(sink, request.requestId(), stoppingFailure(request));
         } else if (holding.get().added()) {
-            GenerationRunner runner = holding.get().held().runner;
+            GenerationRunner runner = holding.get().request().runner;
             runner.attach(sink, 0);
             runner.start();
         } else {
-            join(holding.get().held(), request, sink);
+            attachToExisting(holding.get().request(), request, sink);
         }
     }
 
     /** A request that its caller named may have run when it was sent before. */
-    private static Failure stopping(RequestRecord request) {
-        boolean named = RequestNames.isKeyed(request.requestId());
+    private static Failure stoppingFailure(RequestRecord request) {
+        boolean named = RequestIds.isFromKey(request.requestId());
         Outcome outcome = named ? Outcome.UNKNOWN : Outcome.NOT_RUN;
-        return new Failure(outcome, Failure.Kind.STOPPING, STOPPING_RETRY_MILLIS);
+        return new Failure(outcome, Failure.Kind.STOPPING, RETRY_AFTER_MILLIS);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/BegunSink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/ResumedAnswerSink.java
@@ -22,34 +22,34 @@
  * A caller's answer that had begun at another entry and goes on here: its head is not sent again,
  * and one that turns out to be a failure breaks it off.
  */
-final class BegunSink implements CallerSink {
+final class ResumedAnswerSink implements CallerSink {
     private static final int OK = 200;
 
     private final CallerSink sink;
-    private volatile boolean broken;
+    private volatile boolean aborted;
 
-    BegunSink(CallerSink sink) {
+    ResumedAnswerSink(CallerSink sink) {
         this.sink = sink;
     }
 
     @Override
     public void head(int status, List<Header> headers) {
         if (status != OK) {
-            broken = true;
+            aborted = true;
             sink.abort();
         }
     }
 
     @Override
     public void body(byte[] bytes) {
-        if (!broken) {
+        if (!aborted) {
             sink.body(bytes);
         }
     }
 
     @Override
     public void end() {
-        if (!broken) {
+        if (!aborted) {
             sink.end();
         }
     }
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public void whenGone(Runnable gone) {
-        sink.whenGone(gone);
+    public void whenDisconnected(Runnable gone) {
+        sink.whenDisconnected(gone);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/RowPolicies.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/RowPolicies.java
@@ -44,7 +44,7 @@
     private final TableReplica replica = new TableReplica();
     private final Map<RowKey, RateLimiter> limiters = new HashMap<>();
     private final Map<RowKey, Double> ownDemand = new HashMap<>();
-    private final Map<RowKey, Integer> asked = new HashMap<>();
+    private final Map<RowKey, Integer> requestCounts = new HashMap<>();
     private final Map<String, RetryBudget> budgets = new HashMap<>();
     private final List<Consumer<Table>> listeners = new ArrayList<>();
     private volatile Table table = Table.empty();
@@ -81,9 +81,9 @@
                 last = replica.offer(change);
                 applied |= last == Offer.APPLIED;
             }
-            inForce();
+            refreshTable();
         }
-        tell(applied);
+        notifyListeners(applied);
         return last;
     }
 
@@ -96,9 +96,9 @@
         boolean applied;
         synchronized (this) {
             applied = replica.offer(snapshot) == Offer.APPLIED;
-            inForce();
+            refreshTable();
         }
-        tell(applied);
+        notifyListeners(applied);
     }
 
     /**
@@ -121,7 +121,7 @@
         if (row.limitPerSecond() == 0) {
             return 0;
         }
-        asked.merge(row.key(), 1, Integer::sum);
+        requestCounts.merge(row.key(), 1, Integer::sum);
         long now = MonotonicClock.millis();
         return limiters.computeIfAbsent(
                         row.key(), key -> new RateLimiter(row.limitPerSecond(), now))
@@ -140,12 +140,12 @@
                 RowKey key = row.key();
                 double before = ownDemand.getOrDefault(key, 0.0);
                 double next =
-                        before * DEMAND_DECAY + asked.getOrDefault(key, 0) * (1 - DEMAND_DECAY);
+                        before * DEMAND_DECAY + requestCounts.getOrDefault(key, 0) * (1 - DEMAND_DECAY);
                 ownDemand.put(key, next);
                 demands.add(new RowDemand(key.organisation(), key.target(), next));
             }
         }
-        asked.clear();
+        requestCounts.clear();
         return demands;
     }
 
@@ -155,7 +155,7 @@
      * @param peerDemand what the other entries were asked for
      * @param peers how many other entries there are
      */
-    public synchronized void share(Map<RowKey, Double> peerDemand, int peers) {
+    public synchronized void updateShares(Map<RowKey, Double> peerDemand, int peers) {
         long now = MonotonicClock.millis();
         for (Row row : table.rows()) {
             if (row.limitPerSecond() == 0) {
@@ -182,14 +182,14 @@
         return budgets.computeIfAbsent(organisation, name -> new RetryBudget());
     }
 
-    private void inForce() {
+    private void refreshTable() {
         table = replica.table();
         limiters.keySet().removeIf(key -> table.row(key).isEmpty());
         ownDemand.keySet().removeIf(key -> table.row(key).isEmpty());
         budgets.keySet().removeIf(organisation -> table.rowsOf(organisation).isEmpty());
     }
 
-    private void tell(boolean applied) {
+    private void notifyListeners(boolean applied) {
         if (applied) {
             List.copyOf(listeners).forEach(listener -> listener.accept(table));
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/serve/ServiceRunner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/serve/ServiceRunner.java
@@ -41,7 +41,7 @@
  *
  * @since 0.1
  */
-final class ServiceRunner implements Placements.Ticket {
+final class ServiceRunner implements Placements.PendingRequest {
     private static final String KIND = "service";
     private static final long RETRY_AFTER_MILLIS = 2_000;
 
@@ -57,20 +57,20 @@
     private enum State {
         WAITING,
         SENT,
-        OVER
+        ENDED
     }
 
     /** How a call ended. */
     sealed interface Result {
         /** The service answered. */
-        record Whole(HttpReply reply) implements Result {}
+        record Completed(HttpReply reply) implements Result {}
 
         /** The call failed. */
         record Failed(Failure failure) implements Result {}
 
         /** Sends the result to a caller. */
         default void send(CallerSink sink, String requestId, String servedIn) {
-            if (this instanceof Whole whole) {
+            if (this instanceof Completed whole) {
                 HttpReply reply = whole.reply();
                 String type = reply.contentType();
                 List<Header> headers =
@@ -78,14 +78,14 @@
                                 new Header(Answers.REQUEST_HEADER, requestId),
                                 new Header(Answers.OUTCOME_HEADER, Outcome.RAN.headerValue()),
                                 new Header(Answers.SERVED_HEADER, servedIn));
-                Answers.whole(
+                Answers.send(
                         sink,
                         reply.status(),
                         type.isEmpty() ? "application/octet-stream" : type,
                         headers,
                         reply.body());
             } else if (this instanceof Failed failed) {
-                Answers.failure(sink, requestId, failed.failure());
+                Answers.sendFailure(sink, requestId, failed.failure());
             }
         }
     }
@@ -106,7 +106,7 @@
     }
 
     void start() {
-        context.timer().schedule(this::giveUp, patienceMillis(), TimeUnit.MILLISECONDS);
+        context.timer().schedule(this::failIfWaiting, queueTimeoutMillis(), TimeUnit.MILLISECONDS);
         place();
     }
 
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public boolean begun() {
+    public boolean answerStarted() {
         return false;
     }
 
@@ -149,37 +149,37 @@
         Optional<LocalUpstream> upstream = context.placements().request(this);
         if (upstream.isPresent()) {
             placed(upstream.get());
-        } else if (MonotonicClock.millis() - startedMillis >= patienceMillis()) {
-            giveUp();
+        } else if (MonotonicClock.millis() - startedMillis >= queueTimeoutMillis()) {
+            failIfWaiting();
         }
     }
 
     /** The wait for an upstream is over; a call that was sent is not given up here. */
-    private synchronized void giveUp() {
+    private synchronized void failIfWaiting() {
         if (state == State.WAITING) {
-            state = State.OVER;
+            state = State.ENDED;
             context.placements().withdraw(this);
             finish(new Result.Failed(machine.notPlaced(RETRY_AFTER_MILLIS)), "not-run");
         }
     }
 
-    private long patienceMillis() {
+    private long queueTimeoutMillis() {
         return context.settings().limits().queueMillis(row.latencyTargetMillis());
     }
 
     private void answered(LocalUpstream upstream, HttpReply reply, Throwable failure) {
         context.placements().release(upstream.id());
-        context.placements().went(upstream.id(), failure == null);
+        context.placements().attemptEnded(upstream.id(), failure == null);
         if (failure == null) {
             machine.succeeded();
-            finish(new Result.Whole(reply), "whole");
+            finish(new Result.Completed(reply), "whole");
             return;
         }
         HttpFailureException cause =
                 failure instanceof HttpFailureException http
                         ? http
                         : (HttpFailureException) failure.getCause();
-        Optional<Failure> last = machine.broken(upstream.id(), cause.sent(), kind(cause));
+        Optional<Failure> last = machine.attemptFailed(upstream.id(), cause.sent(), kind(cause));
         if (last.isEmpty()) {
             place();
         } else {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/ClaimSync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/ClaimSync.java
@@ -26,7 +26,7 @@
 import io.trailladder.entry.serve.DataCentreChooser;
 import io.trailladder.platform.RangeStore;
 import io.trailladder.wire.PeerMessage.Heartbeat;
-import io.trailladder.wire.PeerMessage.RangeMapNews;
+import io.trailladder.wire.PeerMessage.RangeMapUpdate;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -45,12 +45,12 @@
  */
 public final class ClaimSync {
     private static final long TICK_MILLIS = 500;
-    private static final long READER_MILLIS = 2_000;
-    private static final long OTHER_MILLIS = 10_000;
+    private static final long READER_INTERVAL_MILLIS = 2_000;
+    private static final long OTHER_INTERVAL_MILLIS = 10_000;
     private static final int READERS = 2;
     private static final long REGISTERED_MAX_AGE_MILLIS = 10_000;
     private static final long SETTLE_MILLIS = 1_500;
-    private static final long GONE_MILLIS = 45_000;
+    private static final long REMOVED_AFTER_MILLIS = 45_000;
 
     private final ClaimService claims;
     private final RangeStore store;
@@ -103,7 +103,7 @@
         claims.maintain();
         long now = System.currentTimeMillis();
         boolean reader = draining || members.rank("ranges") < READERS;
-        boolean due = now - readMillis >= (reader ? READER_MILLIS : OTHER_MILLIS);
+        boolean due = now - readMillis >= (reader ? READER_INTERVAL_MILLIS : OTHER_INTERVAL_MILLIS);
         boolean settled = now - startedMillis > SETTLE_MILLIS;
         boolean wanted = settled && claims.plan(view(now)).isPresent();
         if ((due || wanted) && busy.compareAndSet(false, true)) {
@@ -115,26 +115,26 @@
     }
 
     private CompletableFuture<Void> onlyRead(RangeMap map) {
-        news(map);
+        applyMap(map);
         return CompletableFuture.completedFuture(null);
     }
 
     /** Ranges are sealed only once the platform has just answered, so an outage seals nothing. */
     private CompletableFuture<Void> propose(RangeMap map) {
-        news(map);
+        applyMap(map);
         Optional<Propose> proposal = claims.plan(view(System.currentTimeMillis()));
         if (proposal.isEmpty()) {
             return CompletableFuture.completedFuture(null);
         }
         claims.seal(proposal.get());
-        return store.change(proposal.get().changes()).thenAccept(this::news);
+        return store.change(proposal.get().changes()).thenAccept(this::applyMap);
     }
 
-    private void news(RangeMap map) {
+    private void applyMap(RangeMap map) {
         long before = claims.mapVersion();
         claims.mapRead(map);
         if (claims.mapVersion() > before) {
-            links.sendAll(new RangeMapNews(map));
+            links.sendAll(new RangeMapUpdate(map));
         }
     }
 
@@ -152,7 +152,7 @@
                 live.add(new Member(id, all.get(i).dataCentre()));
             }
         }
-        return new View(live, presentKeepers(now, live));
+        return new View(live, presentClaimHolders(now, live));
     }
 
     /**
@@ -160,25 +160,25 @@
      * neither live nor in a fresh list of the platform for longer than a lease lasts, because at a
      * start both are still incomplete.
      */
-    private Set<String> presentKeepers(long now, List<Member> live) {
+    private Set<String> presentClaimHolders(long now, List<Member> live) {
         Set<String> seen = members.registered(now, REGISTERED_MAX_AGE_MILLIS);
         Set<String> present = new HashSet<>();
-        for (String keeper : keepers()) {
+        for (String keeper : claimHolders()) {
             boolean isLive = live.stream().anyMatch(member -> member.id().equals(keeper));
             if (seen == null || seen.contains(keeper) || isLive) {
                 missingSince.remove(keeper);
             } else {
                 missingSince.putIfAbsent(keeper, now);
             }
-            if (now - missingSince.getOrDefault(keeper, now) < GONE_MILLIS) {
+            if (now - missingSince.getOrDefault(keeper, now) < REMOVED_AFTER_MILLIS) {
                 present.add(keeper);
             }
         }
-        missingSince.keySet().retainAll(keepers());
+        missingSince.keySet().retainAll(claimHolders());
         return present;
     }
 
-    private Set<String> keepers() {
+    private Set<String> claimHolders() {
         Set<String> names = new HashSet<>();
         for (RangeAssignment assignment : claims.map().ranges()) {
             names.add(assignment.owner());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/EntrySync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/EntrySync.java
@@ -38,10 +38,10 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long LEASE_MILLIS = 30_000;
-    private static final long RENEW_MILLIS = 8_000;
-    private static final long RETRY_MILLIS = 1_000;
-    private static final long READER_LIST_MILLIS = 2_000;
-    private static final long OTHER_LIST_MILLIS = 30_000;
+    private static final long RENEW_INTERVAL_MILLIS = 8_000;
+    private static final long RETRY_DELAY_MILLIS = 1_000;
+    private static final long READER_LIST_INTERVAL_MILLIS = 2_000;
+    private static final long OTHER_LIST_INTERVAL_MILLIS = 30_000;
     private static final int READERS = 2;
 
     private final EntryInfo self;
@@ -98,9 +98,9 @@
                 .thenCompose(done -> store.putLeased(PREFIX + self.id(), json(self), self.id()))
                 .whenComplete(
                         (done, failure) ->
-                                later(
+                                schedule(
                                         failure == null ? this::renew : this::register,
-                                        failure == null ? RENEW_MILLIS : RETRY_MILLIS));
+                                        failure == null ? RENEW_INTERVAL_MILLIS : RETRY_DELAY_MILLIS));
     }
 
     private void renew() {
@@ -111,9 +111,9 @@
         store.renew(self.id(), LEASE_MILLIS)
                 .whenComplete(
                         (done, failure) ->
-                                later(
+                                schedule(
                                         failure == null ? this::renew : this::register,
-                                        failure == null ? RENEW_MILLIS : RETRY_MILLIS));
+                                        failure == null ? RENEW_INTERVAL_MILLIS : RETRY_DELAY_MILLIS));
     }
 
     private void list() {
@@ -127,7 +127,7 @@
                             if (failure == null) {
                                 listed(batch);
                             }
-                            later(this::list, reader ? READER_LIST_MILLIS : OTHER_LIST_MILLIS);
+                            schedule(this::list, reader ? READER_LIST_INTERVAL_MILLIS : OTHER_LIST_INTERVAL_MILLIS);
                         });
     }
 
@@ -145,7 +145,7 @@
         }
     }
 
-    private void later(Runnable work, long delayMillis) {
+    private void schedule(Runnable work, long delayMillis) {
         timer.schedule(work, delayMillis, TimeUnit.MILLISECONDS);
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/FleetSync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/FleetSync.java
@@ -55,9 +55,9 @@
 
     private static final long TICK_MILLIS = 500;
     private static final long LIST_MAX_AGE_MILLIS = 4_000;
-    private static final long LIST_MILLIS = 1_000;
+    private static final long LIST_INTERVAL_MILLIS = 1_000;
     private static final int NOTICE_READERS = 2;
-    private static final long NOTICE_WAIT_MILLIS = 10_000;
+    private static final long NOTICE_TIMEOUT_MILLIS = 10_000;
     private static final int LOADS_PER_TICK = 20;
 
     private final CloudApi cloud;
@@ -70,7 +70,7 @@
     private final NoticeListener listener;
     private final ScheduledExecutorService timer;
     private volatile long listedMillis = Long.MIN_VALUE / 2;
-    private volatile long askedMillis = Long.MIN_VALUE / 2;
+    private volatile long listRequestedMillis = Long.MIN_VALUE / 2;
     private volatile boolean stopped;
     private long nextNotice;
 
@@ -151,14 +151,14 @@
     private void tick() {
         long now = MonotonicClock.millis();
         boolean reader = members.rank("instances") == 0;
-        boolean due = now - askedMillis >= LIST_MILLIS;
+        boolean due = now - listRequestedMillis >= LIST_INTERVAL_MILLIS;
         boolean stale = now - listedMillis >= LIST_MAX_AGE_MILLIS;
         if (due && (reader || stale)) {
-            askedMillis = now;
+            listRequestedMillis = now;
             cloud.instances().thenAccept(this::read);
         }
-        askLoads();
-        placements.pump();
+        queryLoads();
+        placements.placeWaiting();
     }
 
     private void read(CloudApi.InstanceList list) {
@@ -174,10 +174,10 @@
 
     private void listed(List<LocalUpstream> upstreams, List<String> leaving) {
         listedMillis = MonotonicClock.millis();
-        for (LocalUpstream upstream : placements.listed(upstreams, leaving)) {
+        for (LocalUpstream upstream : placements.applyList(upstreams, leaving)) {
             listener.leaving(upstream.id(), LISTED_NOTICE_MILLIS);
         }
-        placements.pump();
+        placements.placeWaiting();
     }
 
     private void waitForNotices() {
@@ -188,19 +188,19 @@
             timer.schedule(this::waitForNotices, TICK_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
-        cloud.notices(nextNotice, NOTICE_WAIT_MILLIS)
+        cloud.notices(nextNotice, NOTICE_TIMEOUT_MILLIS)
                 .whenComplete(
                         (notices, failure) -> {
                             long delay = failure == null ? 1 : TICK_MILLIS;
                             if (failure == null) {
                                 nextNotice = notices.next();
-                                spread(notices.notices());
+                                distribute(notices.notices());
                             }
                             timer.schedule(this::waitForNotices, delay, TimeUnit.MILLISECONDS);
                         });
     }
 
-    private void spread(List<CloudApi.Notice> notices) {
+    private void distribute(List<CloudApi.Notice> notices) {
         List<Notice> news = new ArrayList<>();
         for (CloudApi.Notice notice : notices) {
             news.add(new Notice(notice.id(), notice.remainingMillis()));
@@ -212,7 +212,7 @@
     }
 
     private void noticed(Notice notice) {
-        if (placements.noticed(notice.upstream())) {
+        if (placements.noticeReceived(notice.upstream())) {
             listener.leaving(notice.upstream(), notice.remainingMillis());
         }
     }
@@ -225,7 +225,7 @@
         }
     }
 
-    private void askLoads() {
+    private void queryLoads() {
         Set<String> models =
                 policies.table().rows().stream()
                         .filter(row -> row.kind() == TargetKind.MODEL)
@@ -239,7 +239,7 @@
         Collections.shuffle(all, ThreadLocalRandom.current());
         for (UpstreamState state : all.subList(0, Math.min(LOADS_PER_TICK, all.size()))) {
             String id = state.upstream().id();
-            engines.load(state.upstream()).thenAccept(report -> placements.reported(id, report));
+            engines.load(state.upstream()).thenAccept(report -> placements.loadReported(id, report));
         }
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/Members.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/Members.java
@@ -52,7 +52,7 @@
         this.links = links;
         this.seeds = List.copyOf(seeds);
         known.put(self.id(), self);
-        seeds.forEach(links::know);
+        seeds.forEach(links::addAddress);
     }
 
     /**
@@ -66,7 +66,7 @@
         registered = Set.copyOf(entries.stream().map(EntryInfo::id).toList());
         registeredMillis = nowMillis;
         known.keySet().removeIf(id -> !registered.contains(id) && !isLive(id));
-        return heard(entries);
+        return received(entries);
     }
 
     /**
@@ -75,7 +75,7 @@
      * @param entries the entries
      * @return true if any was not known
      */
-    public boolean heard(Collection<EntryInfo> entries) {
+    public boolean received(Collection<EntryInfo> entries) {
         boolean news = false;
         for (EntryInfo entry : entries) {
             news |= known.putIfAbsent(entry.id(), entry) == null;
@@ -132,11 +132,11 @@
         for (String id : PeerTopology.neighbours(member(self), all)) {
             EntryInfo entry = known.get(id);
             if (entry != null) {
-                links.know(entry.peerAddress());
+                links.addAddress(entry.peerAddress());
                 keep.add(entry.peerAddress());
             }
         }
-        links.forgetExcept(keep);
+        links.retainAddresses(keep);
     }
 
     private boolean isLive(String id) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/TableSync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/TableSync.java
@@ -45,9 +45,9 @@
  */
 public final class TableSync {
     private static final int WATCHERS = 2;
-    private static final long WATCH_MILLIS = 10_000;
-    private static final long RETRY_MILLIS = 500;
-    private static final long LOOK_MILLIS = 10_000;
+    private static final long WATCH_TIMEOUT_MILLIS = 10_000;
+    private static final long RETRY_DELAY_MILLIS = 500;
+    private static final long CHECK_INTERVAL_MILLIS = 10_000;
     private static final String TASK = "table";
 
     private final TableStore store;
@@ -86,7 +86,7 @@
         this.members = members;
         this.heartbeats = heartbeats;
         this.timer = timer;
-        policies.onChange(table -> tellPeers());
+        policies.onChange(table -> sendChangesToPeers());
     }
 
     /** Begins: reads the table, then watches. */
@@ -95,10 +95,10 @@
                 .whenComplete(
                         (table, failure) -> {
                             if (failure == null) {
-                                reached();
+                                platformAnswered();
                                 policies.offer(table);
                             }
-                            again(failure == null ? 0 : RETRY_MILLIS);
+                            scheduleWatch(failure == null ? 0 : RETRY_DELAY_MILLIS);
                         });
     }
 
@@ -122,7 +122,7 @@
      * @param peer the peer
      * @param heartbeat its heartbeat
      */
-    public void heard(EntryInfo peer, Heartbeat heartbeat) {
+    public void heartbeatReceived(EntryInfo peer, Heartbeat heartbeat) {
         if (heartbeat.tableRevision() < policies.table().revision()) {
             sendMissing(peer.id(), heartbeat.tableRevision());
         }
@@ -148,7 +148,7 @@
         policies.offer(Table.of(snapshot.revision(), snapshot.changeId(), snapshot.rows()));
     }
 
-    private void tellPeers() {
+    private void sendChangesToPeers() {
         for (EntryInfo peer : links.live()) {
             long theirs = heartbeats.heartbeat(peer.id()).map(Heartbeat::tableRevision).orElse(0L);
             if (theirs < policies.table().revision()) {
@@ -176,20 +176,20 @@
             return;
         }
         if (members.rank(TASK) >= WATCHERS) {
-            catchUp().whenComplete((done, failure) -> again(LOOK_MILLIS));
+            catchUp().whenComplete((done, failure) -> scheduleWatch(CHECK_INTERVAL_MILLIS));
             return;
         }
-        keyValue.watch(TableStore.HEAD_KEY, watchRevision, WATCH_MILLIS)
+        keyValue.watch(TableStore.HEAD_KEY, watchRevision, WATCH_TIMEOUT_MILLIS)
                 .thenCompose(
                         batch -> {
-                            reached();
+                            platformAnswered();
                             watchRevision = Math.max(watchRevision, batch.revision());
                             return catchUp();
                         })
                 .whenComplete(
                         (done, failure) -> {
-                            noteOutage(failure);
-                            again(failure == null ? 0 : RETRY_MILLIS);
+                            logOutage(failure);
+                            scheduleWatch(failure == null ? 0 : RETRY_DELAY_MILLIS);
                         });
     }
 
@@ -197,7 +197,7 @@
         return store.changesAfter(policies.table())
                 .thenCompose(
                         changes -> {
-                            reached();
+                            platformAnswered();
                             return offer(changes);
                         });
     }
@@ -209,7 +209,7 @@
         return store.load().thenAccept(policies::offer);
     }
 
-    private void again(long delayMillis) {
+    private void scheduleWatch(long delayMillis) {
         if (!stopped) {
             long jitter = delayMillis == 0 ? 1 : ThreadLocalRandom.current().nextLong(100, 300);
             timer.schedule(this::watch, delayMillis + jitter, TimeUnit.MILLISECONDS);
@@ -217,7 +217,7 @@
     }
 
     /** Logs the first failure of an outage, not every one. */
-    private void noteOutage(Throwable failure) {
+    private void logOutage(Throwable failure) {
         boolean down = failure != null;
         if (down && !outage) {
             Logger.warn("table is not read: {}", TableStore.unwrapped(failure).getMessage());
@@ -225,7 +225,7 @@
         outage = down;
     }
 
-    private void reached() {
+    private void platformAnswered() {
         platformMillis = System.currentTimeMillis();
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/CopiesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/CopiesTest.java
@@ -52,12 +52,12 @@
 
     // Guards against a request that its entry gave up and another takes up from its copy.
     @Example
-    void requestThatWasGivenUpIsNotTakenUpFromItsCopy() {
+    void abandonedRequestIsNotResumedFromItsCopy() {
         SimulatedEntries system = new SimulatedEntries(2);
         begin(system, 4_000, 250);
         begun.leave();
         system.run(2_500);
-        assertEquals(List.of(), system.engine.holders(), "its caller is gone");
+        assertEquals(List.of(), system.engine.activeEntries(), "its caller is gone");
         system.kill("a");
         system.run(2_000);
         assertEquals(1, system.engine.runs().size(), system.engine.runs().toString());
@@ -65,7 +65,7 @@
 
     // Guards against a request that was ended by the table and is begun again once its row is back.
     @Example
-    void requestThatTheTableEndedIsNotTakenUpFromItsCopy() {
+    void requestEndedByTheTableIsNotResumedFromItsCopy() {
         SimulatedEntries system = new SimulatedEntries(2);
         begin(system, TOKENS, 250);
         system.entry("a").table(Table.of(system.clock.millis(), "none", List.of()));
@@ -78,37 +78,37 @@
 
     // Guards against two entries that work on one request after a cut between them.
     @Example
-    void requestThatWasTakenUpDuringACutIsGivenBackAfterIt() {
+    void requestResumedDuringACutIsReturnedAfterIt() {
         SimulatedEntries system = new SimulatedEntries(2);
         begin(system, TOKENS, 250);
         system.cut("a", "b");
         system.run(300);
-        assertEquals(List.of("a", "b"), system.engine.holders());
+        assertEquals(List.of("a", "b"), system.engine.activeEntries());
         system.heal("a", "b");
         system.run(500);
-        assertEquals(List.of("a"), system.engine.holders(), system.engine.runs().toString());
+        assertEquals(List.of("a"), system.engine.activeEntries(), system.engine.runs().toString());
         system.run(4_000);
         assertTrue(begun.isWhole(), begun.toString());
     }
 
     // Guards against two entries that work on one request after its entry was frozen for a while.
     @Example
-    void requestThatWasTakenUpFromAFrozenEntryIsGivenBackToIt() {
+    void requestResumedFromAFrozenEntryIsReturnedToIt() {
         SimulatedEntries system = new SimulatedEntries(3);
         begin(system, 2_000, 250);
         system.freeze("a", 4_000);
         system.run(3_500);
         assertEquals(1, system.engine.runsOf("b").size(), system.engine.runs().toString());
         system.run(1_500);
-        assertEquals(List.of("a"), system.engine.holders(), system.engine.runs().toString());
+        assertEquals(List.of("a"), system.engine.activeEntries(), system.engine.runs().toString());
         system.kill("a");
         system.run(500);
-        assertEquals(1, system.engine.holders().size(), system.engine.runs().toString());
+        assertEquals(1, system.engine.activeEntries().size(), system.engine.runs().toString());
     }
 
     // Guards against a request that is lost since its copy's keeper no longer has the copy.
     @Example
-    void requestThatWasGivenBackHasACopyAgain() {
+    void returnedRequestHasACopyAgain() {
         SimulatedEntries system = new SimulatedEntries(2);
         String id = begin(system, TOKENS, 250);
         system.cut("a", "b");
@@ -125,17 +125,17 @@
 
     // Guards against two copies of one request, both of which are taken up once its entry is lost.
     @Example
-    void keeperThatWasCutOffDoesNotTakeUpWhatAnotherOneKeepsNow() {
+    void formerCopyHolderDoesNotResumeWhatAnotherOneHolds() {
         SimulatedEntries system = new SimulatedEntries(3);
         begin(system, 2_000, 250);
         system.cut("a", "b");
         system.run(400);
         system.heal("a", "b");
         system.run(400);
-        assertEquals(List.of("a"), system.engine.holders(), system.engine.runs().toString());
+        assertEquals(List.of("a"), system.engine.activeEntries(), system.engine.runs().toString());
         system.kill("a");
         system.run(300);
-        assertEquals(1, system.engine.holders().size(), system.engine.runs().toString());
+        assertEquals(1, system.engine.activeEntries().size(), system.engine.runs().toString());
     }
 
     // Guards against a failure's text in the middle of an answer, which then ends as if it were
@@ -172,7 +172,7 @@
     // Guards against a stream that is silent for ever: its caller left, came back after the request
     // was given up, and was attached to it.
     @Example
-    void callerWhoComesBackLateHasTheRest() {
+    void callerThatReconnectsLateReceivesTheRemainder() {
         SimulatedEntries system = new SimulatedEntries(2);
         String id = begin(system, 1_000, 250);
         begun.leave();
--- a/trailladder-entry/src/test/java/io/trailladder/entry/HandOverTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/HandOverTest.java
@@ -40,7 +40,7 @@
     }
 
     /** Asks an entry for the rest, as the caller of a stream that moved does. */
-    private void assertGoesOnAt(SimulatedEntries system, String entry, String id) {
+    private void assertResumesAt(SimulatedEntries system, String entry, String id) {
         RecordedAnswer rest = system.entry(entry).ask(id, begun.tokens(), new RecordedAnswer());
         system.run(4_000);
         assertWhole(rest);
@@ -53,7 +53,7 @@
 
     // Guards against a caller that asks the heir before the hand-over is there and is told 404.
     @Example
-    void callerWhoAsksTheHeirBeforeTheHandOverArrivesHasTheRest() {
+    void callerThatReachesTheSuccessorBeforeTheHandOverReceivesTheRemainder() {
         SimulatedEntries system = new SimulatedEntries(2);
         String id = begin(system, 250);
         system.hold("a", "b", 50);
@@ -66,7 +66,7 @@
     // Guards against an answer that is passed on and ends early when its entry is lost, although
     // the request goes on at the entry that passes it on.
     @Example
-    void entryThatPassesAnAnswerOnLooksAtItselfOnceItsPeerIsLost() {
+    void relayingEntryContinuesTheAnswerItselfOnceItsPeerIsLost() {
         SimulatedEntries system = new SimulatedEntries(2);
         String id = begin(system, 250);
         RecordedAnswer passed = system.entry("b").ask(id, 0, new RecordedAnswer());
@@ -81,7 +81,7 @@
 
     // Guards against an entry that has handed over and takes the heir's copy up when asked for it.
     @Example
-    void entryThatHasHandedOverDoesNotTakeTheHeirsCopyUpWhenAsked() {
+    void entryThatHasHandedOverDoesNotResumeFromTheSuccessorsCopyOnRequest() {
         SimulatedEntries system = new SimulatedEntries(3);
         String id = begin(system, 250);
         system.handOver("a");
@@ -110,7 +110,7 @@
 
     // Guards against an entry that has handed over and begins again when its heir is lost.
     @Example
-    void entryThatHasHandedOverDoesNotTakeTheHeirsCopyUpWhenTheHeirIsLost() {
+    void entryThatHasHandedOverDoesNotResumeFromTheCopyOfALostSuccessor() {
         SimulatedEntries system = new SimulatedEntries(3);
         begin(system, 250);
         system.handOver("a");
@@ -126,21 +126,21 @@
 
     // Guards against a request that is begun at an entry which is about to end, and lost with it.
     @Example
-    void heirThatHasHandedOverItselfIsPassedBy() {
+    void successorThatHasHandedOverItselfIsSkipped() {
         SimulatedEntries system = new SimulatedEntries(3);
         String id = begin(system, 250);
         system.handOver("b");
         system.handOver("a");
         system.run(700);
         assertTrue(begun.isMoved(), begun.toString());
-        assertGoesOnAt(system, "c", id);
+        assertResumesAt(system, "c", id);
         assertEquals(2, system.engine.runs().size(), system.engine.runs().toString());
     }
 
     // Guards against a request that nobody has, since the heir was told by an entry that expects
     // no answer.
     @Example
-    void heirThatHasHandedOverItselfPassesOnWhatAnEarlierBuildSends() {
+    void successorThatHasHandedOverItselfForwardsWhatAnEarlierBuildSends() {
         SimulatedEntries system = new SimulatedEntries(3);
         begin(system, 250);
         RecordPut put = system.sent("a", "b", RecordPut.class).get(0);
@@ -149,7 +149,7 @@
         system.run(5);
         system.kill("a");
         system.run(700);
-        assertEquals(List.of("c"), system.engine.holders(), system.engine.runs().toString());
+        assertEquals(List.of("c"), system.engine.activeEntries(), system.engine.runs().toString());
     }
 
     // Guards against a request that nobody has, since its hand-over was lost with the link.
@@ -162,47 +162,47 @@
         system.run(10);
         system.kill("b");
         system.run(600);
-        assertGoesOnAt(system, "c", id);
+        assertResumesAt(system, "c", id);
     }
 
     // Guards against a request that nobody has, since its copy's keeper was lost just before.
     @Example
-    void requestWhoseKeeperIsLostJustBeforeIsHandedToAnother() {
+    void requestWhoseCopyHolderIsLostJustBeforeIsHandedToAnother() {
         SimulatedEntries system = new SimulatedEntries(3);
         String id = begin(system, 250);
         system.kill("b");
         system.handOver("a");
         system.run(600);
-        assertGoesOnAt(system, "c", id);
+        assertResumesAt(system, "c", id);
     }
 
     // Guards against a request that nobody has, since the heir's table does not allow it.
     @Example
-    void heirWhoseTableForbidsTheRequestIsPassedBy() {
+    void successorWhoseTableForbidsTheRequestIsSkipped() {
         SimulatedEntries system = new SimulatedEntries(3);
         String id = begin(system, 250);
         system.entry("b").table(Table.of(system.clock.millis(), "none", List.of()));
         system.handOver("a");
         system.run(600);
-        assertGoesOnAt(system, "c", id);
+        assertResumesAt(system, "c", id);
     }
 
     // Guards against two entries that work on one request after a hand-over: a silent heir that
     // wakes up, and the one that was asked in its place.
     @Example
-    void silentHeirGivesUpWhatAnotherOneHasTaken() {
+    void frozenSuccessorEndsWhatAnotherOneHasAccepted() {
         SimulatedEntries system = new SimulatedEntries(3);
         String id = begin(system, 250);
         system.freeze("b", 400);
         system.handOver("a");
         system.run(1_000);
-        assertEquals(List.of("c"), system.engine.holders(), system.engine.runs().toString());
-        assertGoesOnAt(system, "b", id);
+        assertEquals(List.of("c"), system.engine.activeEntries(), system.engine.runs().toString());
+        assertResumesAt(system, "b", id);
     }
 
     // Guards against a caller that is told its stream moved before anybody has it.
     @Example
-    void callerIsToldThatItsStreamMovedOnceAnHeirHasIt() {
+    void callerIsNotifiedOfTheMoveOnceASuccessorHasAccepted() {
         SimulatedEntries system = new SimulatedEntries(2);
         begin(system, 250);
         system.hold("a", "b", 50);
@@ -215,19 +215,19 @@
 
     // Guards against a copy that is taken up although its request went to another heir.
     @Example
-    void copyOfARequestThatWentToAnotherHeirIsNotTakenUp() {
+    void copyOfARequestThatWentToAnotherSuccessorIsNotResumed() {
         SimulatedEntries system = new SimulatedEntries(3);
         begin(system, 250);
         system.freeze("b", 150);
         system.handOver("a");
         system.run(1_000);
-        assertEquals(List.of("c"), system.engine.holders(), system.engine.runs().toString());
+        assertEquals(List.of("c"), system.engine.activeEntries(), system.engine.runs().toString());
         assertEquals(0, system.engine.runsOf("b").stream().filter(r -> !r.over).count());
     }
 
     // Guards against a request that is begun by an entry which has handed over, and lost with it.
     @Example
-    void requestThatIsAcceptedWhileItsEntryHandsOverIsToldNotRun() {
+    void requestAcceptedDuringTheHandOverEndsAsNotRun() {
         SimulatedEntries system = new SimulatedEntries(2);
         system.entry("a").stream(TOKENS, begun);
         system.handOver("a");
@@ -238,7 +238,7 @@
 
     // Guards against an entry without requests that takes some up while it ends.
     @Example
-    void entryThatEndsWithoutRequestsTakesNoneUp() {
+    void endingEntryWithoutRequestsResumesNone() {
         SimulatedEntries system = new SimulatedEntries(2);
         begin(system, 250);
         system.handOver("b");
@@ -250,7 +250,7 @@
     // Guards against a request that is lost with an entry which is killed in the middle of its
     // hand-over.
     @Example
-    void entryThatIsKilledWhileItHandsOverLeavesTheRequestToOne() {
+    void requestOfAnEntryKilledDuringTheHandOverRunsAtOneEntry() {
         for (int millis = 0; millis <= 10; millis++) {
             SimulatedEntries system = new SimulatedEntries(3);
             RecordedAnswer first = new RecordedAnswer();
@@ -260,7 +260,7 @@
             system.run(millis);
             system.kill("a");
             system.run(100);
-            assertEquals(1, system.engine.holders().size(), system.engine.runs().toString());
+            assertEquals(1, system.engine.activeEntries().size(), system.engine.runs().toString());
             RecordedAnswer rest =
                     system.entry("c").ask(first.requestId(), first.tokens(), new RecordedAnswer());
             system.run(4_000);
@@ -271,7 +271,7 @@
 
     // Guards against a request that is lost with an heir which is killed just after it took it.
     @Example
-    void heirThatIsKilledJustAfterItTookTheRequestLeavesItToOne() {
+    void requestOfASuccessorKilledAfterAcceptingRunsAtOneEntry() {
         for (int millis = 0; millis <= 10; millis++) {
             SimulatedEntries system = new SimulatedEntries(3);
             RecordedAnswer first = new RecordedAnswer();
@@ -281,7 +281,7 @@
             system.run(millis);
             system.kill("b");
             system.run(600);
-            assertEquals(List.of("c"), system.engine.holders(), millis + " ms");
+            assertEquals(List.of("c"), system.engine.activeEntries(), millis + " ms");
             RecordedAnswer rest =
                     system.entry("c").ask(first.requestId(), first.tokens(), new RecordedAnswer());
             system.run(4_000);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/PeerRelayTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/PeerRelayTest.java
@@ -50,7 +50,7 @@
     @Example
     void refusalAfterTheAnswerHasBegunIsLookedForElsewhereAndNotPassedOn() {
         PeerRelay relay = new PeerRelay(REACHES_ALL);
-        List<PeerRelay.Lost> lost = new ArrayList<>();
+        List<PeerRelay.LostAnswer> lost = new ArrayList<>();
         relay.onLost(lost::add);
         RecordedAnswer answer = new RecordedAnswer();
         IncomingRequest request =
--- a/trailladder-entry/src/test/java/io/trailladder/entry/PersistentCaller.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/PersistentCaller.java
@@ -22,9 +22,9 @@
  * second of silence, it asks the next entry that runs.
  */
 final class PersistentCaller {
-    private static final long ASK_AGAIN_MILLIS = 20;
-    private static final long SILENCE_MILLIS = 1_000;
-    private static final long LOOK_MILLIS = 100;
+    private static final long RETRY_DELAY_MILLIS = 20;
+    private static final long IDLE_TIMEOUT_MILLIS = 1_000;
+    private static final long CHECK_INTERVAL_MILLIS = 100;
 
     private final SimulatedEntries system;
     private final StringBuilder text = new StringBuilder();
@@ -33,8 +33,8 @@
     private int tokens;
     private int asks;
     private int next;
-    private int seen;
-    private long seenMillis;
+    private int lastTokens;
+    private long lastProgressMillis;
     private long wholeMillis = -1;
 
     PersistentCaller(SimulatedEntries system) {
@@ -45,7 +45,7 @@
     void begin(String entry, int maxTokens) {
         answer = new RecordedAnswer(this::over);
         system.entry(entry).stream(maxTokens, answer);
-        system.clock.after(LOOK_MILLIS, this::look);
+        system.clock.after(CHECK_INTERVAL_MILLIS, this::checkIdle);
     }
 
     boolean isWhole() {
@@ -71,7 +71,7 @@
         if (answer.isWhole()) {
             wholeMillis = system.clock.millis();
         } else {
-            system.clock.after(ASK_AGAIN_MILLIS, this::ask);
+            system.clock.after(RETRY_DELAY_MILLIS, this::ask);
         }
     }
 
@@ -81,30 +81,30 @@
             return;
         }
         if (running.isEmpty()) {
-            system.clock.after(LOOK_MILLIS, this::ask);
+            system.clock.after(CHECK_INTERVAL_MILLIS, this::ask);
             return;
         }
         asks++;
-        seen = 0;
-        seenMillis = system.clock.millis();
+        lastTokens = 0;
+        lastProgressMillis = system.clock.millis();
         answer = new RecordedAnswer(this::over);
         running.get(next++ % running.size()).ask(requestId, tokens, answer);
     }
 
     /** Leaves an answer that has been silent for too long. */
-    private void look() {
+    private void checkIdle() {
         if (isWhole()) {
             return;
         }
         long now = system.clock.millis();
-        if (answer.tokens() != seen) {
-            seen = answer.tokens();
-            seenMillis = now;
-        } else if (!answer.isOver() && now - seenMillis >= SILENCE_MILLIS) {
+        if (answer.tokens() != lastTokens) {
+            lastTokens = answer.tokens();
+            lastProgressMillis = now;
+        } else if (!answer.isOver() && now - lastProgressMillis >= IDLE_TIMEOUT_MILLIS) {
             answer.leave();
             over();
         }
-        system.clock.after(LOOK_MILLIS, this::look);
+        system.clock.after(CHECK_INTERVAL_MILLIS, this::checkIdle);
     }
 
     @Override
--- a/trailladder-entry/src/test/java/io/trailladder/entry/RecordedAnswer.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/RecordedAnswer.java
@@ -30,7 +30,7 @@
     private final Runnable onOver;
     private final StringBuilder text = new StringBuilder();
     private final StringBuilder bytes = new StringBuilder();
-    private Runnable gone = () -> {};
+    private Runnable onGone = () -> {};
     private String requestId = "";
     private String outcome = "";
     private int status;
@@ -102,7 +102,7 @@
     /** Leaves before the end. */
     void leave() {
         over = true;
-        gone.run();
+        onGone.run();
     }
 
     @Override
@@ -116,8 +116,8 @@
     }
 
     @Override
-    public void whenGone(Runnable action) {
-        gone = action;
+    public void whenDisconnected(Runnable action) {
+        onGone = action;
     }
 
     int status() {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/RequestHistoriesProperties.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/RequestHistoriesProperties.java
@@ -174,7 +174,7 @@
         Play play = new Play(count, 10_000);
         events.forEach(play::play);
         play.calmDown();
-        assertEquals(1, play.system.engine.holders().size(), play.toString());
+        assertEquals(1, play.system.engine.activeEntries().size(), play.toString());
     }
 
     @Provide
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEngine.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEngine.java
@@ -36,19 +36,19 @@
         final String entry;
         final String requestId;
         final int resumedFrom;
-        final long beganMillis;
+        final long startedMillis;
         boolean over;
 
         Run(String entry, String requestId, int resumedFrom, long beganMillis) {
             this.entry = entry;
             this.requestId = requestId;
             this.resumedFrom = resumedFrom;
-            this.beganMillis = beganMillis;
+            this.startedMillis = beganMillis;
         }
 
         @Override
         public String toString() {
-            return entry + " from " + resumedFrom + " at " + beganMillis + (over ? "" : " (runs)");
+            return entry + " from " + resumedFrom + " at " + startedMillis + (over ? "" : " (runs)");
         }
     }
 
@@ -76,7 +76,7 @@
     }
 
     /** Returns the entries that work on a request now. */
-    List<String> holders() {
+    List<String> activeEntries() {
         return runs.stream().filter(run -> !run.over).map(run -> run.entry).distinct().toList();
     }
 
@@ -86,21 +86,21 @@
     }
 
     /** Returns the engine as one entry reaches it. */
-    EngineApi seenBy(String entry, VirtualTimer timer) {
-        return new Seen(entry, timer);
+    EngineApi viewFor(String entry, VirtualTimer timer) {
+        return new EntryView(entry, timer);
     }
 
-    private final class Seen implements EngineApi {
+    private final class EntryView implements EngineApi {
         private final String entry;
         private final VirtualTimer timer;
 
-        Seen(String entry, VirtualTimer timer) {
+        EntryView(String entry, VirtualTimer timer) {
             this.entry = entry;
             this.timer = timer;
         }
 
         @Override
-        public Running generate(LocalUpstream engine, Attempt attempt, Listener listener) {
+        public RunningAttempt generate(LocalUpstream engine, Attempt attempt, Listener listener) {
             int from = attempt.resume().size();
             Run run = new Run(entry, attempt.requestId(), from, clock.millis());
             runs.add(run);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntries.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntries.java
@@ -43,16 +43,16 @@
     final VirtualClock clock = new VirtualClock();
     final SimulatedEngine engine = new SimulatedEngine(clock);
     final Map<String, SimulatedEntry> entries = new LinkedHashMap<>();
-    private final Map<Way, Direction> directions = new HashMap<>();
+    private final Map<EntryPair, Direction> directions = new HashMap<>();
 
     /** From one entry to another. */
-    private record Way(String from, String to) {}
+    private record EntryPair(String from, String to) {}
 
     /** One direction of a link. */
     private static final class Direction {
         boolean cut;
-        int life;
-        long heldUntil;
+        int incarnation;
+        long heldUntilMillis;
         long lastDelivery;
         final List<PeerMessage> sent = new ArrayList<>();
     }
@@ -83,7 +83,7 @@
 
     private void add(String id) {
         EntryInfo info = new EntryInfo(id, "baires-a", id + ":1", id + ":2", id + ":3");
-        entries.put(id, new SimulatedEntry(info, new VirtualTimer(clock), new LinksOf(id), engine));
+        entries.put(id, new SimulatedEntry(info, new VirtualTimer(clock), new EntryLinks(id), engine));
     }
 
     /** Has a table in force at every entry. */
@@ -113,7 +113,7 @@
 
     /** Holds everything back that is sent from one entry to another, for a span from now. */
     void hold(String from, String to, long millis) {
-        direction(from, to).heldUntil = clock.millis() + millis;
+        direction(from, to).heldUntilMillis = clock.millis() + millis;
     }
 
     /** Breaks the link between two entries; what is on its way is lost. */
@@ -121,18 +121,18 @@
         if (!direction(one, other).cut) {
             down(one, other);
             down(other, one);
-            tellLost(one, other);
-            tellLost(other, one);
+            reportLost(one, other);
+            reportLost(other, one);
         }
     }
 
     private void down(String from, String to) {
         Direction direction = direction(from, to);
         direction.cut = true;
-        direction.life++;
+        direction.incarnation++;
     }
 
-    private void tellLost(String at, String peer) {
+    private void reportLost(String at, String peer) {
         SimulatedEntry entry = entries.get(at);
         clock.after(LINK_MILLIS, () -> entry.timer.run(() -> entry.lost(entries.get(peer).info)));
     }
@@ -169,7 +169,7 @@
     void handOver(String id) {
         SimulatedEntry entry = entries.get(id);
         entry.drain();
-        entry.book.handOver();
+        entry.book.handOverAll();
         clock.after(
                 HAND_OVER_MILLIS,
                 () ->
@@ -188,19 +188,19 @@
         }
         entry.timer.freeze();
         clock.after(
-                PeerLinks.LIVE_MILLIS,
+                PeerLinks.LIVE_TIMEOUT_MILLIS,
                 () -> {
                     if (!entry.timer.isRunning() && !entry.timer.isLost()) {
                         entries.keySet().stream()
                                 .filter(peer -> !peer.equals(id))
-                                .forEach(peer -> tellLost(peer, id));
+                                .forEach(peer -> reportLost(peer, id));
                     }
                 });
         clock.after(millis, entry.timer::thaw);
     }
 
     private Direction direction(String from, String to) {
-        return directions.computeIfAbsent(new Way(from, to), way -> new Direction());
+        return directions.computeIfAbsent(new EntryPair(from, to), way -> new Direction());
     }
 
     /** Sends a message; delivery is in order, and lost with the link. */
@@ -212,13 +212,13 @@
         }
         direction.sent.add(message);
         byte[] frame = PeerCodec.encode(message);
-        long due = Math.max(clock.millis() + LINK_MILLIS, direction.heldUntil);
+        long due = Math.max(clock.millis() + LINK_MILLIS, direction.heldUntilMillis);
         direction.lastDelivery = Math.max(direction.lastDelivery, due);
-        int life = direction.life;
+        int life = direction.incarnation;
         clock.at(
                 direction.lastDelivery,
                 () -> {
-                    if (direction.life == life) {
+                    if (direction.incarnation == life) {
                         PeerMessage copy =
                                 PeerCodec.decode(frame, PeerCodec.LENGTH_BYTES, frame.length);
                         receiver.timer.run(() -> receiver.received(entries.get(from).info, copy));
@@ -228,10 +228,10 @@
     }
 
     /** The links of one entry. */
-    private final class LinksOf implements Peers {
+    private final class EntryLinks implements Peers {
         private final String self;
 
-        LinksOf(String self) {
+        EntryLinks(String self) {
             this.self = self;
         }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntry.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntry.java
@@ -27,7 +27,7 @@
 import io.trailladder.entry.serve.PeerRelay;
 import io.trailladder.entry.serve.PeerServer;
 import io.trailladder.entry.serve.Placements;
-import io.trailladder.entry.serve.RequestBook;
+import io.trailladder.entry.serve.RequestRegistry;
 import io.trailladder.entry.serve.RequestDispatcher;
 import io.trailladder.entry.serve.RequestFinder;
 import io.trailladder.entry.serve.RowPolicies;
@@ -50,7 +50,7 @@
 
     final EntryInfo info;
     final VirtualTimer timer;
-    final RequestBook book;
+    final RequestRegistry book;
     final RowPolicies policies = new RowPolicies();
     private final RequestDispatcher dispatcher;
     private final DataCentreChooser chooser;
@@ -61,7 +61,7 @@
         this.info = info;
         this.timer = timer;
         Placements placements = new Placements(info.dataCentre(), 1, timer);
-        placements.listed(
+        placements.applyList(
                 List.of(new LocalUpstream("e-1", info.dataCentre(), "127.0.0.1:1", MODEL)),
                 List.of());
         ServingContext context =
@@ -69,14 +69,14 @@
                         info,
                         settings(info.dataCentre()),
                         placements,
-                        engine.seenBy(info.id(), timer),
+                        engine.viewFor(info.id(), timer),
                         null,
                         links,
                         timer,
                         new EntryMetrics(),
                         policies);
         chooser = new DataCentreChooser(links, placements);
-        book = new RequestBook(context, chooser::isStopping);
+        book = new RequestRegistry(context, chooser::isStopping);
         ClaimService claims =
                 new ClaimService(info.id(), links, RangeMap.DEFAULT_RANGES, 1_000, 60_000);
         PeerRelay relay = new PeerRelay(links);
@@ -154,7 +154,7 @@
 
     void received(EntryInfo from, PeerMessage message) {
         if (message instanceof Heartbeat heartbeat) {
-            chooser.heard(from.id(), heartbeat);
+            chooser.heartbeatReceived(from.id(), heartbeat);
         } else {
             router.received(from, message);
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/VirtualTimer.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/VirtualTimer.java
@@ -30,7 +30,7 @@
 /** The timer of one simulated process: drops work once the process is lost, keeps it if frozen. */
 final class VirtualTimer extends AbstractExecutorService implements ScheduledExecutorService {
     private final VirtualClock clock;
-    private final Queue<Runnable> kept = new ArrayDeque<>();
+    private final Queue<Runnable> pending = new ArrayDeque<>();
     private boolean lost;
     private boolean frozen;
 
@@ -41,7 +41,7 @@
     /** Runs work of the process, later if it is frozen, never if it is lost. */
     void run(Runnable work) {
         if (frozen) {
-            kept.add(work);
+            pending.add(work);
         } else if (!lost) {
             work.run();
         }
@@ -61,8 +61,8 @@
 
     void thaw() {
         frozen = false;
-        while (!kept.isEmpty()) {
-            run(kept.poll());
+        while (!pending.isEmpty()) {
+            run(pending.poll());
         }
     }
 
@@ -119,7 +119,7 @@
     @Override
     public void shutdown() {
         lost = true;
-        kept.clear();
+        pending.clear();
     }
 
     @Override
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ClusterViewTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ClusterViewTest.java
@@ -49,12 +49,12 @@
 
     private ClusterView view() {
         GatewayMetrics metrics = new GatewayMetrics();
-        NoFormat format = new NoFormat();
+        EmptyPlatformFormat format = new EmptyPlatformFormat();
         ClusterView created =
                 new ClusterView(
                         () -> 0,
-                        new PolicyKeeper(format),
-                        new DirectoryKeeper(format, new UpstreamDirectory(), () -> 0, task -> {}),
+                        new PolicyManager(format),
+                        new DirectoryManager(format, new UpstreamDirectory(), () -> 0, task -> {}),
                         new StoreHealth(metrics),
                         quotas,
                         new UpstreamLoads(),
@@ -78,7 +78,7 @@
         return created;
     }
 
-    private void hear(int life, double used, double level) {
+    private void receiveDigest(int life, double used, double level) {
         NodeHello peer = new NodeHello("peer", Integer.toString(life), "a", "h:1");
         view.received(
                 peer,
@@ -100,10 +100,10 @@
     }
 
     @Example
-    void figuresOfAPeerThatStartedAgainAreNotTakenForThoseOfItsFormerLife() {
-        hear(1, 5_000, LIMIT);
-        hear(1, 5_900, 100);
-        hear(2, 10, LIMIT);
+    void countersOfARestartedPeerAreNotComparedWithItsPreviousIncarnation() {
+        receiveDigest(1, 5_000, LIMIT);
+        receiveDigest(1, 5_900, 100);
+        receiveDigest(2, 10, LIMIT);
         assertEquals(0, quotas.tryTake(ORGANISATION, 100, 0), "100 of the limit are left");
         assertTrue(quotas.tryTake(ORGANISATION, 100, 0) > 0, "none is left");
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ConnectionSharesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ConnectionSharesTest.java
@@ -30,7 +30,7 @@
             new Upstream("w", "m", "a", "127.0.0.1:1", 8, false, false, 0);
 
     @Property(tries = 500, seed = "20261203")
-    void partsAddUpToWhatIsAccepted(
+    void idleConnectionsOfAllProcessesFitIntoTheAcceptedNumber(
             @ForAll @IntRange(min = 1, max = 340) int processes,
             @ForAll @IntRange(min = 1, max = 1_000) int accepted) {
         int most = ConnectionShares.share(accepted - UPSTREAM.slots(), processes);
@@ -40,8 +40,8 @@
     }
 
     @Example
-    void withoutABoundAFixedNumberRests() {
-        ConnectionShares shares = new ConnectionShares(new PolicyKeeper(new NoFormat()), () -> 340);
+    void withoutABoundAFixedNumberOfIdleConnectionsIsKept() {
+        ConnectionShares shares = new ConnectionShares(new PolicyManager(new EmptyPlatformFormat()), () -> 340);
         assertEquals(64, shares.maxIdle("m", UPSTREAM));
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashHistoriesTest.java
@@ -42,111 +42,111 @@
  */
 class CrashHistoriesTest {
     private static final int DATA_CENTRES = 3;
-    private static final int OF_EACH = 10;
-    private static final int OTHERS = 60;
-    private static final int BESIDE = 12;
-    private static final long COMES_MILLIS = 260;
-    private static final long RUNS_MILLIS = 100;
+    private static final int PROCESSES_PER_DATA_CENTRE = 10;
+    private static final int OTHER_REQUESTS = 60;
+    private static final int CONCURRENT_REQUESTS = 12;
+    private static final long ARRIVAL_INTERVAL_MILLIS = 260;
+    private static final long RUN_MILLIS = 100;
 
     /** How long a process must have been left alone to count as in touch, in milliseconds. */
-    private static final long CONTACT_MILLIS = 3_000;
+    private static final long UNDISTURBED_MILLIS = 3_000;
 
     /** Tries in touch that the platform bears after the third end was known so long. */
-    private static final int MOST_LATER = 3;
+    private static final int MAX_LATE_ATTEMPTS = 3;
 
-    private static final RequestFingerprint BAD = new RequestFingerprint(-1);
+    private static final RequestFingerprint CRASHING = new RequestFingerprint(-1);
 
-    private SimulatedCluster cluster = new SimulatedCluster(DATA_CENTRES, OF_EACH, 10_000);
-    private final Map<String, Long> troubleMillis = new HashMap<>();
+    private SimulatedCluster cluster = new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, 10_000);
+    private final Map<String, Long> disturbedMillis = new HashMap<>();
     private final List<Run> running = new ArrayList<>();
     private final Set<Integer> wronglyRefused = new HashSet<>();
     private final SplittableRandom random = new SplittableRandom(20_261_203);
-    private long comesMillis;
+    private long nextArrivalMillis;
     private long thirdEndMillis = Long.MAX_VALUE;
     private int ends;
-    private int later;
-    private int lives;
+    private int lateAttempts;
+    private int upstreamsStarted;
 
     /** The bad request runs at an upstream. */
     private record Run(String process, Upstream upstream, long sentMillis) {}
 
     private static final List<Consumer<CrashHistoriesTest>> EVENTS =
             List.of(
-                    CrashHistoriesTest::nothing,
+                    CrashHistoriesTest::noEvent,
                     CrashHistoriesTest::rollingRestart,
                     CrashHistoriesTest::freeze,
                     CrashHistoriesTest::dataCentreIsCutOff,
                     CrashHistoriesTest::dataCentreLosesPower,
                     CrashHistoriesTest::hubsAreKilled);
 
-    private void nothing() {
-        cluster.pass(5_000);
+    private void noEvent() {
+        cluster.advance(5_000);
     }
 
     private void rollingRestart() {
         for (String name : cluster.names()) {
             cluster.kill(name);
-            cluster.pass(400);
+            cluster.advance(400);
             cluster.restart(name);
-            trouble(List.of(name));
-            cluster.pass(200);
+            markDisturbed(List.of(name));
+            cluster.advance(200);
         }
     }
 
     private void freeze() {
         List<String> frozen = cluster.names().stream().filter(n -> n.endsWith("3")).toList();
         frozen.forEach(name -> cluster.freeze(name, true));
-        cluster.pass(3_500);
+        cluster.advance(3_500);
         frozen.forEach(name -> cluster.freeze(name, false));
-        trouble(frozen);
+        markDisturbed(frozen);
     }
 
     private void dataCentreIsCutOff() {
         List<String> cutOff = cluster.namesOf("dc1");
         cluster.cut((one, other) -> cutOff.contains(one) && !cutOff.contains(other));
-        trouble(cluster.names());
-        cluster.pass(5_500);
+        markDisturbed(cluster.names());
+        cluster.advance(5_500);
         cluster.cut((one, other) -> false);
-        trouble(cluster.names());
+        markDisturbed(cluster.names());
     }
 
     private void dataCentreLosesPower() {
         cluster.namesOf("dc0").forEach(cluster::losePower);
-        cluster.pass(600);
+        cluster.advance(600);
         cluster.namesOf("dc0").forEach(cluster::restart);
-        trouble(cluster.namesOf("dc0"));
+        markDisturbed(cluster.namesOf("dc0"));
     }
 
     private void hubsAreKilled() {
         List<String> hubs =
                 cluster.names().stream().filter(n -> cluster.process(n).isHub()).toList();
         hubs.forEach(cluster::kill);
-        cluster.pass(1_000);
+        cluster.advance(1_000);
         hubs.forEach(cluster::restart);
-        trouble(hubs);
+        markDisturbed(hubs);
     }
 
-    private void trouble(List<String> names) {
-        names.forEach(name -> troubleMillis.put(name, cluster.now()));
+    private void markDisturbed(List<String> names) {
+        names.forEach(name -> disturbedMillis.put(name, cluster.now()));
     }
 
-    private void begin() {
-        cluster.pass(10_000);
-        comesMillis = cluster.now();
+    private void startRequests() {
+        cluster.advance(10_000);
+        nextArrivalMillis = cluster.now();
         cluster.onStep(this::step);
     }
 
     private void step() {
         long now = cluster.now();
         for (Run run : List.copyOf(running)) {
-            if (now - run.sentMillis() >= RUNS_MILLIS) {
+            if (now - run.sentMillis() >= RUN_MILLIS) {
                 running.remove(run);
                 ends(run);
             }
         }
-        if (now >= comesMillis) {
-            comesMillis = now + COMES_MILLIS;
-            comes(anyRunning());
+        if (now >= nextArrivalMillis) {
+            nextArrivalMillis = now + ARRIVAL_INTERVAL_MILLIS;
+            requestArrives(anyRunning());
         }
     }
 
@@ -160,15 +160,15 @@
         return new RequestIdentity(() -> request);
     }
 
-    private void comes(String process) {
-        if (cluster.process(process).crashes().refuses("t", identity(BAD))) {
+    private void requestArrives(String process) {
+        if (cluster.process(process).crashes().refuses("t", identity(CRASHING))) {
             return;
         }
-        boolean inTouch = cluster.now() - troubleMillis.getOrDefault(process, 0L) >= CONTACT_MILLIS;
-        if (inTouch && cluster.now() - CONTACT_MILLIS >= thirdEndMillis) {
-            later++;
+        boolean inTouch = cluster.now() - disturbedMillis.getOrDefault(process, 0L) >= UNDISTURBED_MILLIS;
+        if (inTouch && cluster.now() - UNDISTURBED_MILLIS >= thirdEndMillis) {
+            lateAttempts++;
         }
-        Upstream upstream = new Upstream("w" + lives++, "s", "dc0", "h:1", 8, false, false, 0);
+        Upstream upstream = new Upstream("w" + upstreamsStarted++, "s", "dc0", "h:1", 8, false, false, 0);
         running.add(new Run(process, upstream, cluster.now()));
     }
 
@@ -178,27 +178,27 @@
         if (ends == CrashLedger.REFUSAL_MIN_ENDS) {
             thirdEndMillis = cluster.now();
         }
-        sees(run.process(), BAD, run.upstream(), cluster.now() - run.sentMillis());
-        for (int i = 0; i < BESIDE; i++) {
-            int other = random.nextInt(OTHERS);
+        recordEnd(run.process(), CRASHING, run.upstream(), cluster.now() - run.sentMillis());
+        for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
+            int other = random.nextInt(OTHER_REQUESTS);
             RequestFingerprint request = new RequestFingerprint(other);
             String process = anyRunning();
             if (cluster.process(process).crashes().refuses("o", identity(request))) {
                 wronglyRefused.add(other);
             } else {
-                sees(process, request, run.upstream(), random.nextLong(50, 2_000));
+                recordEnd(process, request, run.upstream(), random.nextLong(50, 2_000));
             }
         }
     }
 
-    private void sees(
+    private void recordEnd(
             String process, RequestFingerprint request, Upstream upstream, long ranMillis) {
         if (cluster.process(process).isRunning()) {
-            cluster.process(process).crashes().ended("t", identity(request), upstream, ranMillis);
+            cluster.process(process).crashes().recordEnd("t", identity(request), upstream, ranMillis);
         }
     }
 
-    private List<String> servedBy(RequestFingerprint request) {
+    private List<String> processesServing(RequestFingerprint request) {
         List<String> serving = new ArrayList<>();
         for (String name : cluster.names()) {
             CrashLedger ledger = cluster.process(name).crashes().ledger();
@@ -210,58 +210,58 @@
     }
 
     @Property(tries = 6, generation = GenerationMode.EXHAUSTIVE)
-    void badRequestIsRefusedByAllInTouchWhateverFails(@ForAll @IntRange(max = 5) int event) {
-        begin();
-        cluster.pass(1_000);
+    void crashingRequestIsRefusedByAllProcessesDespiteFailures(@ForAll @IntRange(max = 5) int event) {
+        startRequests();
+        cluster.advance(1_000);
         EVENTS.get(event).accept(this);
-        cluster.pass(10_000);
+        cluster.advance(10_000);
         System.out.println(
                 "event "
                         + event
                         + ": "
                         + ends
                         + " ends, "
-                        + later
+                        + lateAttempts
                         + " later in touch, "
                         + wronglyRefused.size()
                         + " others refused for a while");
-        assertTrue(later <= MOST_LATER, later + " tries later, at most " + MOST_LATER);
-        assertEquals(List.of(), servedBy(BAD));
+        assertTrue(lateAttempts <= MAX_LATE_ATTEMPTS, lateAttempts + " tries later, at most " + MAX_LATE_ATTEMPTS);
+        assertEquals(List.of(), processesServing(CRASHING));
     }
 
     @Property(tries = 6, generation = GenerationMode.EXHAUSTIVE)
-    void nobodyWhoStoodBesideIsRefusedInTheEnd(@ForAll @IntRange(max = 5) int event) {
-        begin();
+    void requestsThatRanBesideACrashingOneAreServedInTheEnd(@ForAll @IntRange(max = 5) int event) {
+        startRequests();
         EVENTS.get(event).accept(this);
-        cluster.pass(10_000);
-        for (int other = 0; other < OTHERS; other++) {
-            List<String> serving = servedBy(new RequestFingerprint(other));
-            assertEquals(DATA_CENTRES * OF_EACH, serving.size(), "request " + other);
+        cluster.advance(10_000);
+        for (int other = 0; other < OTHER_REQUESTS; other++) {
+            List<String> serving = processesServing(new RequestFingerprint(other));
+            assertEquals(DATA_CENTRES * PROCESSES_PER_DATA_CENTRE, serving.size(), "request " + other);
         }
     }
 
     /** The link between the regions carries sums only, and what is known of such requests. */
     @Example
-    void bothRegionsRefuseIt() {
-        cluster = new SimulatedCluster(6, OF_EACH / 2, 10_000, SimulatedCluster.REGIONS_OF_SIX);
-        begin();
-        cluster.pass(12_000);
-        System.out.println("two regions: " + ends + " ends, " + later + " later in touch");
-        assertTrue(later <= MOST_LATER, later + " tries later, at most " + MOST_LATER);
-        assertEquals(List.of(), servedBy(BAD));
+    void bothRegionsRefuseTheCrashingRequest() {
+        cluster = new SimulatedCluster(6, PROCESSES_PER_DATA_CENTRE / 2, 10_000, SimulatedCluster.REGIONS_OF_SIX);
+        startRequests();
+        cluster.advance(12_000);
+        System.out.println("two regions: " + ends + " ends, " + lateAttempts + " later in touch");
+        assertTrue(lateAttempts <= MAX_LATE_ATTEMPTS, lateAttempts + " tries later, at most " + MAX_LATE_ATTEMPTS);
+        assertEquals(List.of(), processesServing(CRASHING));
     }
 
     @Example
-    void allProcessesAtRestTellLittleOfIt() {
-        cluster.pass(10_000);
+    void reportsOfACrashingRequestAddLittleTraffic() {
+        cluster.advance(10_000);
         long before = cluster.bytes();
-        cluster.pass(10_000);
+        cluster.advance(10_000);
         long usual = cluster.bytes() - before;
-        begin();
-        cluster.pass(10_000);
+        startRequests();
+        cluster.advance(10_000);
         before = cluster.bytes();
-        cluster.pass(10_000);
-        long more = (cluster.bytes() - before - usual) / (DATA_CENTRES * OF_EACH) / 10;
+        cluster.advance(10_000);
+        long more = (cluster.bytes() - before - usual) / (DATA_CENTRES * PROCESSES_PER_DATA_CENTRE) / 10;
         System.out.println(usual / 300 + " bytes a second and process, " + more + " more with it");
         assertTrue(more <= 2_000, more + " bytes a second and process more");
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashPartTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashPartTest.java
@@ -31,7 +31,7 @@
 
 /** What processes tell each other of requests that end upstreams. */
 class CrashPartTest {
-    private static final long LONG_AGO_MILLIS = 60_000;
+    private static final long NO_LONGER_RECENT_MILLIS = 60_000;
 
     private long now = 1_000_000;
     private final CrashWatch own = watch();
@@ -51,9 +51,9 @@
         return new Upstream(id, "s", "dc", "h:1", 8, false, false, 0);
     }
 
-    private void end(CrashWatch watch, long request, int times) {
+    private void recordEnds(CrashWatch watch, long request, int times) {
         for (int i = 0; i < times; i++) {
-            watch.ended("t", request(request), upstream(request + "-" + i), 100);
+            watch.recordEnd("t", request(request), upstream(request + "-" + i), 100);
         }
     }
 
@@ -63,9 +63,9 @@
     }
 
     @Example
-    void endsSeenByTwoAddUp() throws IOException {
-        end(own, 1, 2);
-        other.ended("t", request(1), upstream("elsewhere"), 100);
+    void endsSeenByTwoProcessesAddUp() throws IOException {
+        recordEnds(own, 1, 2);
+        other.recordEnd("t", request(1), upstream("elsewhere"), 100);
         otherPart.received("own", section(ownPart), now);
         assertTrue(other.refuses("t", request(1)));
         assertFalse(own.refuses("t", request(1)));
@@ -74,11 +74,11 @@
     }
 
     @Example
-    void peersNewLifeIsToldOfAllSuspects() throws IOException {
+    void newIncarnationOfAPeerReceivesAllSuspects() throws IOException {
         for (int request = 1; request <= 20; request++) {
-            end(own, request, 3);
+            recordEnds(own, request, 3);
         }
-        now += LONG_AGO_MILLIS;
+        now += NO_LONGER_RECENT_MILLIS;
         int atRest = section(ownPart).body().length;
         ownPart.received("other", section(otherPart), now);
         DigestSection all = section(ownPart);
@@ -90,10 +90,10 @@
     }
 
     @Example
-    void atRestSuspectsAreToldInTurn() throws IOException {
-        end(own, 1, 3);
-        end(own, 2, 3);
-        now += LONG_AGO_MILLIS;
+    void suspectsWithoutRecentEndsAreReportedInRotation() throws IOException {
+        recordEnds(own, 1, 3);
+        recordEnds(own, 2, 3);
+        now += NO_LONGER_RECENT_MILLIS;
         for (int round = 0; round < 2; round++) {
             otherPart.received("own", section(ownPart), now);
             now += ClusterView.DIGEST_INTERVAL_MILLIS;
@@ -103,15 +103,15 @@
     }
 
     @Example
-    void sectionIsBoundedHoweverManyThereAre() {
+    void sectionSizeIsBoundedForAnyNumberOfSuspects() {
         for (int request = 1; request <= 1_000; request++) {
-            end(own, request, 1);
+            recordEnds(own, request, 1);
         }
-        assertTrue(section(ownPart).body().length <= DigestSection.MOST_BYTES);
+        assertTrue(section(ownPart).body().length <= DigestSection.MAX_BODY_BYTES);
     }
 
     @Example
-    void unsoundSectionIsRefusedWhole() {
+    void invalidSectionIsRefusedAsAWhole() {
         DigestSection shortOne = new DigestSection("crashes", 1, 0, new byte[3]);
         assertThrows(IOException.class, () -> ownPart.received("p", shortOne, now));
         byte[] tooManyEnds = new byte[8 + 13];
@@ -122,8 +122,8 @@
     }
 
     @Example
-    void operatorsWordIsToldToo() throws IOException {
-        end(own, 1, 3);
+    void liftByAnOperatorIsReportedToPeers() throws IOException {
+        recordEnds(own, 1, 3);
         otherPart.received("own", section(ownPart), now);
         now += 1_000;
         assertTrue(other.lift(new RequestFingerprint(1)));
@@ -132,10 +132,10 @@
     }
 
     @Example
-    void foundRequestIsToldOnce() throws IOException {
+    void newlyRefusedRequestIsReportedOnce() throws IOException {
         List<RequestFingerprint> found = new ArrayList<>();
         other.onRefused(found::add);
-        end(own, 1, 3);
+        recordEnds(own, 1, 3);
         otherPart.received("own", section(ownPart), now);
         otherPart.received("own", section(ownPart), now);
         assertEquals(List.of(new RequestFingerprint(1)), found);
@@ -143,13 +143,13 @@
 
     /** Each saw one end and the request run whole after it, before it was told of the others. */
     @Example
-    void wholeRunsBetweenEndsKeepARequestServed() throws IOException {
+    void completeRunsBetweenEndsKeepARequestServed() throws IOException {
         List<CrashPart> tellers = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             CrashWatch watch = watch();
-            watch.ended("t", request(1), upstream("w" + i), 50);
+            watch.recordEnd("t", request(1), upstream("w" + i), 50);
             now += 20;
-            watch.ranWhole(request(1));
+            watch.ranToCompletion(request(1));
             now += 20;
             tellers.add(new CrashPart(watch, 10 + i));
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashReportsProperties.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/CrashReportsProperties.java
@@ -34,38 +34,38 @@
 
 /** The form in which reports of requests that end upstreams are told. */
 class CrashReportsProperties {
-    private static final long NOW = 5_000_000;
+    private static final long NOW_MILLIS = 5_000_000;
 
-    private static List<CrashReport> drawn(Random random) {
+    private static List<CrashReport> randomReports(Random random) {
         List<CrashReport> reports = new ArrayList<>();
         for (int i = random.nextInt(20); i > 0; i--) {
             List<UpstreamEnd> ends = new ArrayList<>();
             for (int e = random.nextInt(CrashHistory.MAX_ENDS + 1); e > 0; e--) {
-                long at = NOW - random.nextInt(1_000_000);
+                long at = NOW_MILLIS - random.nextInt(1_000_000);
                 ends.add(
                         new UpstreamEnd(
                                 random.nextLong(), random.nextInt(9), at, random.nextInt(9_000)));
             }
-            long cleared = random.nextBoolean() ? CrashReport.NEVER : NOW - random.nextInt(99_999);
+            long cleared = random.nextBoolean() ? CrashReport.NEVER : NOW_MILLIS - random.nextInt(99_999);
             reports.add(new CrashReport(new RequestFingerprint(random.nextLong()), cleared, ends));
         }
         return reports;
     }
 
     @Property(tries = 500, seed = "20261203")
-    void reportsComeBackUnchangedByTheReadersClock(@ForAll long seed) throws IOException {
-        List<CrashReport> reports = drawn(new Random(seed));
-        byte[] bytes = CrashReports.write(reports, 100_000, NOW);
-        assertEquals(reports, CrashReports.read(ByteBuffer.wrap(bytes), NOW));
+    void reportsAreReadBackUnchangedByTheReadersClock(@ForAll long seed) throws IOException {
+        List<CrashReport> reports = randomReports(new Random(seed));
+        byte[] bytes = CrashReportCodec.write(reports, 100_000, NOW_MILLIS);
+        assertEquals(reports, CrashReportCodec.read(ByteBuffer.wrap(bytes), NOW_MILLIS));
     }
 
     @Property(tries = 200, seed = "20261203")
     void asManyReportsAreWrittenAsFit(@ForAll long seed) throws IOException {
-        List<CrashReport> reports = drawn(new Random(seed));
+        List<CrashReport> reports = randomReports(new Random(seed));
         int most = new Random(seed).nextInt(2_000);
-        byte[] bytes = CrashReports.write(reports, most, NOW);
+        byte[] bytes = CrashReportCodec.write(reports, most, NOW_MILLIS);
         assertTrue(bytes.length <= most);
-        List<CrashReport> read = CrashReports.read(ByteBuffer.wrap(bytes), NOW);
+        List<CrashReport> read = CrashReportCodec.read(ByteBuffer.wrap(bytes), NOW_MILLIS);
         assertEquals(reports.subList(0, read.size()), read);
     }
 
@@ -73,9 +73,9 @@
     @Property(tries = 2_000, seed = "20261203")
     void anyBytesAreReadOrRefused(@ForAll byte[] bytes) {
         try {
-            for (CrashReport report : CrashReports.read(ByteBuffer.wrap(bytes), NOW)) {
+            for (CrashReport report : CrashReportCodec.read(ByteBuffer.wrap(bytes), NOW_MILLIS)) {
                 assertTrue(report.ends().size() <= CrashHistory.MAX_ENDS);
-                report.ends().forEach(end -> assertTrue(end.atMillis() <= NOW));
+                report.ends().forEach(end -> assertTrue(end.atMillis() <= NOW_MILLIS));
             }
         } catch (IOException e) {
             assertTrue(e.getMessage() != null);
@@ -83,17 +83,17 @@
     }
 
     @Example
-    void reportThatEndsEarlyIsRefused() {
+    void truncatedReportIsRefused() {
         List<CrashReport> reports =
                 List.of(
                         new CrashReport(
                                 new RequestFingerprint(7),
                                 CrashReport.NEVER,
-                                List.of(new UpstreamEnd(1, 0, NOW, 5))));
-        byte[] bytes = CrashReports.write(reports, 1_000, NOW);
+                                List.of(new UpstreamEnd(1, 0, NOW_MILLIS, 5))));
+        byte[] bytes = CrashReportCodec.write(reports, 1_000, NOW_MILLIS);
         for (int length = 1; length < bytes.length; length++) {
             ByteBuffer cut = ByteBuffer.wrap(bytes, 0, length);
-            assertThrows(IOException.class, () -> CrashReports.read(cut, NOW));
+            assertThrows(IOException.class, () -> CrashReportCodec.read(cut, NOW_MILLIS));
         }
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/DirectoryKeeperTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/DirectoryKeeperTest.java
@@ -34,26 +34,26 @@
 class DirectoryKeeperTest {
     private static final String READY = "ready";
     private static final String LEAVING = "leaving";
-    private static final String SPOILED = "spoiled";
+    private static final String INVALID = "spoiled";
 
     private final UpstreamDirectory directory = new UpstreamDirectory();
-    private final List<String> left = new ArrayList<>();
-    private final List<Runnable> later = new ArrayList<>();
+    private final List<String> leftIds = new ArrayList<>();
+    private final List<Runnable> scheduled = new ArrayList<>();
     private long now;
-    private final DirectoryKeeper keeper =
-            new DirectoryKeeper(new PlainFormat(), directory, () -> now, later::add);
+    private final DirectoryManager manager =
+            new DirectoryManager(new PlainFormat(), directory, () -> now, scheduled::add);
 
     DirectoryKeeperTest() {
-        keeper.onLeaving(upstream -> left.add(upstream.id()));
-        keeper.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 2);
+        manager.onLeaving(upstream -> leftIds.add(upstream.id()));
+        manager.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 2);
     }
 
     /** Entries whose whole text is their state. */
-    private static final class PlainFormat extends NoFormat {
+    private static final class PlainFormat extends EmptyPlatformFormat {
         @Override
         public Either<String, Upstream> upstream(String id, byte[] value) {
             String state = new String(value, StandardCharsets.UTF_8);
-            if (state.equals(SPOILED)) {
+            if (state.equals(INVALID)) {
                 return Either.left("field 'state' is missing");
             }
             boolean leaving = state.equals(LEAVING);
@@ -66,14 +66,14 @@
         return new StoreItem("upstream/" + id, value, revision, 1, false);
     }
 
-    private static StoreItem gone(String id, long revision) {
+    private static StoreItem removed(String id, long revision) {
         return new StoreItem("upstream/" + id, new byte[0], revision, 1, true);
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         now += millis;
-        List<Runnable> due = List.copyOf(later);
-        later.clear();
+        List<Runnable> due = List.copyOf(scheduled);
+        scheduled.clear();
         due.forEach(Runnable::run);
     }
 
@@ -82,115 +82,115 @@
     }
 
     @Example
-    void entryThatLapsedAndComesBackServesAgain() {
-        keeper.changed(gone("a", 3));
+    void entryThatLapsedAndIsWrittenAgainServesAgain() {
+        manager.changed(removed("a", 3));
         assertEquals(1, serving());
-        keeper.changed(item("a", READY, 4));
+        manager.changed(item("a", READY, 4));
         assertEquals(2, serving());
     }
 
     @Example
-    void entriesMissingRightAfterTheStoreReturnsServeOnUntilTheyAreBack() {
-        keeper.storeRegained();
-        keeper.listed(List.of(item("a", READY, 1)), 5);
+    void entriesMissingRightAfterAStoreOutageServeUntilTheyReturn() {
+        manager.storeRegained();
+        manager.listed(List.of(item("a", READY, 1)), 5);
         assertEquals(2, serving());
-        now += DirectoryKeeper.RETURN_MILLIS - 1;
-        keeper.changed(item("b", READY, 6));
-        pass(1);
+        now += DirectoryManager.REAPPEARANCE_MILLIS - 1;
+        manager.changed(item("b", READY, 6));
+        advance(1);
         assertEquals(2, serving());
-        assertTrue(left.isEmpty(), left.toString());
+        assertTrue(leftIds.isEmpty(), leftIds.toString());
     }
 
     @Example
-    void entriesThatDoNotComeBackAreGone() {
-        keeper.storeRegained();
-        keeper.changed(gone("a", 3));
-        keeper.listed(List.of(), 5);
+    void entriesThatDoNotReturnAfterAStoreOutageAreRemoved() {
+        manager.storeRegained();
+        manager.changed(removed("a", 3));
+        manager.listed(List.of(), 5);
         assertEquals(2, serving());
-        pass(DirectoryKeeper.RETURN_MILLIS);
+        advance(DirectoryManager.REAPPEARANCE_MILLIS);
         assertEquals(0, serving());
-        assertEquals(2, left.size(), left.toString());
+        assertEquals(2, leftIds.size(), leftIds.toString());
     }
 
     @Example
-    void leavingThatWasAcknowledgedBindsWhileTheStoreIsAway() {
-        keeper.changed(item("a", LEAVING, 3));
-        keeper.storeRegained();
-        keeper.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 5);
+    void acknowledgedLeavingStaysInForceAfterAStoreOutage() {
+        manager.changed(item("a", LEAVING, 3));
+        manager.storeRegained();
+        manager.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 5);
         assertEquals(1, serving());
-        keeper.changed(gone("a", 6));
-        keeper.changed(item("a", READY, 7));
+        manager.changed(removed("a", 6));
+        manager.changed(item("a", READY, 7));
         assertEquals(1, serving());
-        assertTrue(keeper.isLeaving("a"));
-        assertFalse(keeper.isLeaving("b"));
+        assertTrue(manager.isLeaving("a"));
+        assertFalse(manager.isLeaving("b"));
     }
 
     @Example
-    void leavingToldByAPeerBindsToo() {
-        keeper.leavingSeenBy(new LeavingUpstream("b", 0), "peer");
-        keeper.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 5);
+    void leavingReportedByAPeerStaysInForceToo() {
+        manager.leavingReportedBy(new LeavingUpstream("b", 0), "peer");
+        manager.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 5);
         assertEquals(1, serving());
     }
 
     @Example
-    void whatAnUpstreamSaysItselfIsNewsOnce() {
-        assertTrue(keeper.leavingSaidBy(directory.find("a").orElseThrow()));
-        assertFalse(keeper.leavingSaidBy(directory.find("a").orElseThrow()));
-        keeper.changed(item("a", LEAVING, 3));
-        keeper.leavingSeenBy(new LeavingUpstream("a", 0), "peer");
-        assertEquals(List.of("a"), left);
+    void leavingAnnouncedByTheUpstreamIsReportedOnce() {
+        assertTrue(manager.leavingAnnouncedBy(directory.find("a").orElseThrow()));
+        assertFalse(manager.leavingAnnouncedBy(directory.find("a").orElseThrow()));
+        manager.changed(item("a", LEAVING, 3));
+        manager.leavingReportedBy(new LeavingUpstream("a", 0), "peer");
+        assertEquals(List.of("a"), leftIds);
         assertEquals(1, serving());
     }
 
     /** Its upstream has not ended: nothing is moved away or put down to a request. */
     @Example
-    void entryThatCannotBeUsedNamesNobodyUntilItIsSoundAgain() {
-        keeper.changed(item("a", SPOILED, 3));
+    void invalidEntryIsNotServedUntilItIsValidAgain() {
+        manager.changed(item("a", INVALID, 3));
         assertEquals(1, serving());
-        assertEquals(1, keeper.unusable());
-        keeper.listed(List.of(item("a", SPOILED, 3), item("b", SPOILED, 4)), 4);
+        assertEquals(1, manager.unusable());
+        manager.listed(List.of(item("a", INVALID, 3), item("b", INVALID, 4)), 4);
         assertEquals(0, serving());
-        assertEquals(2, keeper.unusable());
-        assertTrue(left.isEmpty(), left.toString());
-        keeper.changed(item("a", READY, 5));
-        keeper.changed(gone("b", 6));
+        assertEquals(2, manager.unusable());
+        assertTrue(leftIds.isEmpty(), leftIds.toString());
+        manager.changed(item("a", READY, 5));
+        manager.changed(removed("b", 6));
         assertEquals(1, serving());
-        keeper.listed(List.of(item("a", READY, 5)), 7);
-        assertEquals(0, keeper.unusable());
+        manager.listed(List.of(item("a", READY, 5)), 7);
+        assertEquals(0, manager.unusable());
     }
 
     // Guards against lists of a lost history that count as newer for their higher revision.
     @Example
-    void anyListOfANewHistoryIsNewer() {
-        keeper.changed(item("a", READY, 400));
-        keeper.historyReplaced();
-        assertTrue(keeper.isKnown(), "upstreams stay known");
-        keeper.fromPeer(List.of(new UpstreamEntry("a", bytes(READY))), 20, "hub");
-        assertEquals(20, keeper.revision());
+    void anyListOfANewHistoryReplacesTheCurrentOne() {
+        manager.changed(item("a", READY, 400));
+        manager.historyReplaced();
+        assertTrue(manager.isKnown(), "upstreams stay known");
+        manager.applyFromPeer(List.of(new UpstreamEntry("a", bytes(READY))), 20, "hub");
+        assertEquals(20, manager.revision());
         assertEquals(2, serving(), "one that is missing may come back");
-        pass(DirectoryKeeper.RETURN_MILLIS);
+        advance(DirectoryManager.REAPPEARANCE_MILLIS);
         assertEquals(1, serving());
     }
 
     // Guards against upstreams that went and that a copy lists as they were.
     @Example
-    void entryThatWentIsNotBelievedBackUntilItIsWrittenAnew() {
-        keeper.changed(gone("a", 400));
-        keeper.historyReplaced();
-        keeper.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 5);
+    void removedEntryOfARestoredStoreIsNotServedUntilItIsWrittenAgain() {
+        manager.changed(removed("a", 400));
+        manager.historyReplaced();
+        manager.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 5);
         assertEquals(1, serving());
-        keeper.changed(item("a", READY, 6));
+        manager.changed(item("a", READY, 6));
         assertEquals(2, serving());
     }
 
     // Guards against an upstream being left out for good because its entry was doubted.
     @Example
-    void doubtedEntryIsBelievedOnceOthersHaveLapsed() {
-        keeper.changed(gone("a", 400));
-        keeper.historyReplaced();
-        keeper.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 5);
-        pass(DirectoryKeeper.RETURN_MILLIS);
-        pass(DirectoryKeeper.RETURN_MILLIS);
+    void doubtedEntryIsServedOnceOthersHaveLapsed() {
+        manager.changed(removed("a", 400));
+        manager.historyReplaced();
+        manager.listed(List.of(item("a", READY, 1), item("b", READY, 2)), 5);
+        advance(DirectoryManager.REAPPEARANCE_MILLIS);
+        advance(DirectoryManager.REAPPEARANCE_MILLIS);
         assertEquals(2, serving());
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/NoFormat.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/EmptyPlatformFormat.java
@@ -23,7 +23,7 @@
 import io.vavr.control.Either;
 
 /** A platform that tells nothing, for tests of what does not depend on it. */
-class NoFormat implements PlatformFormat {
+class EmptyPlatformFormat implements PlatformFormat {
     @Override
     public String policyKey() {
         return "policy";
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/EventSplitterProperties.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/EventSplitterProperties.java
@@ -34,7 +34,7 @@
             "id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\ndata: c\n\nid: 3\r\ndata: d\r\n\r\n";
 
     @Property
-    void cutsDoNotChangeEvents(@ForAll @IntRange(min = 1, max = 20) int part) {
+    void chunkSizeDoesNotChangeEvents(@ForAll @IntRange(min = 1, max = 20) int part) {
         EventSplitter splitter = new EventSplitter();
         List<String> ids = new ArrayList<>();
         ByteArrayOutputStream whole = new ByteArrayOutputStream();
@@ -53,7 +53,7 @@
     }
 
     @Example
-    void idIsOfTheFirstLineThatNamesIt() {
+    void idIsTakenFromTheFirstLineThatSetsIt() {
         EventSplitter splitter = new EventSplitter();
         byte[] bytes = "data: id: 7\nid\nid:8 \nid: 9\n\ni\n\n".getBytes(StandardCharsets.UTF_8);
         List<StreamEvent> events = splitter.append(bytes);
@@ -62,7 +62,7 @@
     }
 
     @Example
-    void halfAnEventIsKeptBack() {
+    void incompleteEventIsHeldBack() {
         EventSplitter splitter = new EventSplitter();
         byte[] bytes = "id: 1\ndata: a\n\nid: 2\nda".getBytes(StandardCharsets.UTF_8);
         assertEquals(1, splitter.append(bytes).size());
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LeavingHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LeavingHistoriesTest.java
@@ -36,47 +36,47 @@
  */
 class LeavingHistoriesTest {
     private static final int DATA_CENTRES = 3;
-    private static final int OF_EACH = 10;
+    private static final int PROCESSES_PER_DATA_CENTRE = 10;
 
     /** The reclaimable part of a data centre of 825. */
-    private static final int LEAVERS = 355;
+    private static final int LEAVING_UPSTREAMS = 355;
 
     /** How long an upstream that leaves goes on serving, in milliseconds. */
     private static final long DRAIN_MILLIS = 2_000;
 
-    private final SimulatedCluster cluster = new SimulatedCluster(DATA_CENTRES, OF_EACH, 10_000);
+    private final SimulatedCluster cluster = new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, 10_000);
 
     private static String id(int leaver) {
         return "i-" + (1_000_000 + leaver);
     }
 
-    private static Optional<LeavingUpstream> unlessGone(String id) {
+    private static Optional<LeavingUpstream> unlessRemoved(String id) {
         return id.equals("gone") ? Optional.empty() : Optional.of(new LeavingUpstream(id, 5));
     }
 
     private void listAll() {
-        cluster.pass(5_000);
-        for (int i = 0; i < LEAVERS; i++) {
+        cluster.advance(5_000);
+        for (int i = 0; i < LEAVING_UPSTREAMS; i++) {
             Upstream upstream = new Upstream(id(i), "s", "dc0", "h:1", 8, false, true, 0);
             for (String name : cluster.names()) {
                 cluster.process(name).upstreams().changed(upstream);
             }
         }
-        cluster.pass(1_000);
+        cluster.advance(1_000);
     }
 
-    private void leave() {
+    private void announceLeaving() {
         List<String> names = cluster.names();
-        for (int i = 0; i < LEAVERS; i++) {
-            DirectoryKeeper directory = cluster.process(names.get(i % names.size())).directory();
-            directory.leavingSaidBy(directory.find(id(i)).orElseThrow());
+        for (int i = 0; i < LEAVING_UPSTREAMS; i++) {
+            DirectoryManager directory = cluster.process(names.get(i % names.size())).directory();
+            directory.leavingAnnouncedBy(directory.find(id(i)).orElseThrow());
         }
     }
 
-    private int unknown() {
+    private int unknownPairs() {
         int unknown = 0;
         for (String name : cluster.names()) {
-            for (int i = 0; i < LEAVERS; i++) {
+            for (int i = 0; i < LEAVING_UPSTREAMS; i++) {
                 unknown += cluster.process(name).directory().isLeaving(id(i)) ? 0 : 1;
             }
         }
@@ -85,13 +85,13 @@
 
     private void assertAllKnowWithin(long millis, Consumer<SimulatedCluster> trouble) {
         listAll();
-        leave();
+        announceLeaving();
         trouble.accept(cluster);
         long begun = cluster.now();
-        while (unknown() > 0 && cluster.now() - begun < millis) {
-            cluster.pass(100);
+        while (unknownPairs() > 0 && cluster.now() - begun < millis) {
+            cluster.advance(100);
         }
-        assertEquals(0, unknown(), "pairs of process and leaver not known " + millis + " ms later");
+        assertEquals(0, unknownPairs(), "pairs of process and leaver not known " + millis + " ms later");
     }
 
     @Example
@@ -100,34 +100,34 @@
     }
 
     @Example
-    void dataCentreThatWasCutOffLearnsItAfterwards() {
+    void dataCentreThatWasCutOffLearnsOfTheWaveAfterwards() {
         assertAllKnowWithin(
                 15_000,
                 all -> {
                     Set<String> cutOff = new HashSet<>(all.namesOf("dc1"));
                     all.cut((one, other) -> cutOff.contains(one) && !cutOff.contains(other));
-                    all.pass(5_500);
+                    all.advance(5_500);
                     all.cut((one, other) -> false);
                 });
     }
 
     @Example
-    void lossOfHubsInTheMiddleLosesNoLeaver() {
+    void frozenHubsLoseNoLeavingUpstream() {
         assertAllKnowWithin(
                 15_000,
                 all -> {
-                    all.pass(200);
+                    all.advance(200);
                     List<String> hubs =
                             all.names().stream().filter(n -> all.process(n).isHub()).toList();
                     hubs.forEach(name -> all.freeze(name, true));
-                    all.pass(3_500);
+                    all.advance(3_500);
                     hubs.forEach(name -> all.freeze(name, false));
                 });
     }
 
     @Example
-    void digestsAtRestNameNobody() {
-        LeavingUpdates news = new LeavingUpdates(LeavingHistoriesTest::unlessGone);
+    void digestsNameOnlyListedUpstreamsThatLeave() {
+        LeavingUpdates news = new LeavingUpdates(LeavingHistoriesTest::unlessRemoved);
         assertTrue(news.next(0).isEmpty());
         news.began("gone", 0);
         assertTrue(news.next(0).isEmpty(), "one that is not listed any more");
@@ -138,31 +138,31 @@
     }
 
     @Example
-    void everyLeaverIsNamedInTurn() {
-        LeavingUpdates news = new LeavingUpdates(LeavingHistoriesTest::unlessGone);
+    void everyLeavingUpstreamIsNamedInRotation() {
+        LeavingUpdates news = new LeavingUpdates(LeavingHistoriesTest::unlessRemoved);
         Set<LeavingUpstream> fresh = new HashSet<>();
         Set<LeavingUpstream> older = new HashSet<>();
-        for (int i = 0; i < LEAVERS; i++) {
+        for (int i = 0; i < LEAVING_UPSTREAMS; i++) {
             news.began(id(i), 0);
         }
-        for (int digest = 0; digest * LeavingUpdates.MAX_PER_DIGEST < LEAVERS; digest++) {
+        for (int digest = 0; digest * LeavingUpdates.MAX_PER_DIGEST < LEAVING_UPSTREAMS; digest++) {
             List<LeavingUpstream> told = news.next(0);
             assertTrue(
                     told.size() <= LeavingUpdates.MAX_PER_DIGEST, told.size() + " in one digest");
             fresh.addAll(told);
         }
-        for (int digest = 0; digest * LeavingUpdates.MAX_REPEATED < LEAVERS; digest++) {
+        for (int digest = 0; digest * LeavingUpdates.MAX_REPEATED < LEAVING_UPSTREAMS; digest++) {
             List<LeavingUpstream> told = news.next(UpdateRotation.FRESH_MILLIS);
             assertTrue(told.size() <= LeavingUpdates.MAX_REPEATED, told.size() + " at rest");
             older.addAll(told);
         }
-        assertEquals(LEAVERS, fresh.size());
-        assertEquals(LEAVERS, older.size());
+        assertEquals(LEAVING_UPSTREAMS, fresh.size());
+        assertEquals(LEAVING_UPSTREAMS, older.size());
     }
 
     /** Builds without the section read the names; an unfitting section tells no lives. */
     @Example
-    void livesStandBesideTheNamesThatAllBuildsRead() {
+    void incarnationsAreSentBesideTheNamesThatAllBuildsRead() {
         List<LeavingUpstream> leaving =
                 List.of(new LeavingUpstream("a", 7), new LeavingUpstream("b", 0));
         DigestSection lives = LeavingIncarnations.section(leaving).orElseThrow();
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitExchangeTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitExchangeTest.java
@@ -35,7 +35,7 @@
     private static final String ORGANISATION = "t";
     private static final int PROCESSES = 77;
     private static final long STEP_MILLIS = 200;
-    private static final long LEARNED_MILLIS = 10_000;
+    private static final long HUB_CONTACT_MILLIS = 10_000;
 
     private final Quotas quotas = new Quotas(true, new GatewaySettings.Tolerance(0, 0));
     private final LimitExchange limits = new LimitExchange(quotas, false);
@@ -62,7 +62,7 @@
                 List.of());
     }
 
-    private void hear(double unitsSinceLast, long nowMillis) {
+    private void receiveHubDigest(double unitsSinceLast, long nowMillis) {
         usedByOthers += unitsSinceLast;
         NodeDigest digest = digest(usedByOthers, 1_000);
         hub.received(digest, nowMillis);
@@ -80,7 +80,7 @@
                 0);
     }
 
-    private double passed(long nowMillis, double units, int requests) {
+    private double grantedUnits(long nowMillis, double units, int requests) {
         double passed = 0;
         for (int i = 0; i < requests; i++) {
             passed += quotas.tryTake(ORGANISATION, units, nowMillis) == 0 ? units : 0;
@@ -89,70 +89,70 @@
     }
 
     @Example
-    void leafBetweenTwoHubsRefusesNobodyWhoIsWithinTheLimit() {
+    void leafThatChangesHubsRefusesNothingWithinTheLimit() {
         limit(1_000);
-        for (long now = 0; now <= LEARNED_MILLIS; now += STEP_MILLIS) {
-            hear(100, now);
+        for (long now = 0; now <= HUB_CONTACT_MILLIS; now += STEP_MILLIS) {
+            receiveHubDigest(100, now);
         }
-        double passed = passed(LEARNED_MILLIS, 100, 20);
+        double passed = grantedUnits(HUB_CONTACT_MILLIS, 100, 20);
         assertTrue(passed > 0, "the level is used up");
-        long end = LEARNED_MILLIS + LimitExchange.HUB_CHANGE_MILLIS;
-        for (long now = LEARNED_MILLIS + STEP_MILLIS; now < end; now += STEP_MILLIS) {
+        long end = HUB_CONTACT_MILLIS + LimitExchange.HUB_CHANGE_MILLIS;
+        for (long now = HUB_CONTACT_MILLIS + STEP_MILLIS; now < end; now += STEP_MILLIS) {
             limits.share(true, true, 1, PROCESSES, now);
         }
         // 500 a second are left by the others, 2.8 s long
-        assertEquals(1_000, passed(end - STEP_MILLIS, 100, 20), 1);
+        assertEquals(1_000, grantedUnits(end - STEP_MILLIS, 100, 20), 1);
     }
 
     @Example
-    void leafThatStaysAloneUsesItsOwnPartOnly() {
+    void leafThatStaysWithoutAHubUsesItsOwnShareOnly() {
         limit(1_000);
-        for (long now = 0; now <= LEARNED_MILLIS; now += STEP_MILLIS) {
-            hear(100, now);
+        for (long now = 0; now <= HUB_CONTACT_MILLIS; now += STEP_MILLIS) {
+            receiveHubDigest(100, now);
         }
-        long alone = LEARNED_MILLIS + LimitExchange.HUB_CHANGE_MILLIS;
-        for (long now = LEARNED_MILLIS + STEP_MILLIS; now <= alone; now += STEP_MILLIS) {
+        long alone = HUB_CONTACT_MILLIS + LimitExchange.HUB_CHANGE_MILLIS;
+        for (long now = HUB_CONTACT_MILLIS + STEP_MILLIS; now <= alone; now += STEP_MILLIS) {
             limits.share(true, true, 1, PROCESSES, now);
         }
-        passed(alone, 10, 200);
+        grantedUnits(alone, 10, 200);
         limits.share(true, true, 1, PROCESSES, alone + 10_000);
-        assertTrue(passed(alone + 10_000, 10, 200) <= 10_000.0 / PROCESSES + 10);
+        assertTrue(grantedUnits(alone + 10_000, 10, 200) <= 10_000.0 / PROCESSES + 10);
     }
 
     @Example
-    void processThatReliesOnNoHubGetsNoSuchGrace() {
+    void processThatReliesOnNoHubGetsNoGracePeriod() {
         limit(1_000);
-        for (long now = 0; now <= LEARNED_MILLIS; now += STEP_MILLIS) {
-            hear(100, now);
+        for (long now = 0; now <= HUB_CONTACT_MILLIS; now += STEP_MILLIS) {
+            receiveHubDigest(100, now);
         }
-        long alone = LEARNED_MILLIS + STEP_MILLIS;
+        long alone = HUB_CONTACT_MILLIS + STEP_MILLIS;
         limits.share(true, false, 1, PROCESSES, alone);
-        passed(alone, 10, 200);
+        grantedUnits(alone, 10, 200);
         limits.share(true, false, 1, PROCESSES, alone + 1_000);
-        assertEquals(0, passed(alone + 1_000, 100, 5));
+        assertEquals(0, grantedUnits(alone + 1_000, 100, 5));
     }
 
     @Example
-    void processThatHasJustBegunToHearOthersGetsNoSuchGrace() {
+    void processThatHasJustBegunToReceiveDigestsGetsNoGracePeriod() {
         limit(1_000);
-        hear(100, 0);
-        hear(100, STEP_MILLIS);
+        receiveHubDigest(100, 0);
+        receiveHubDigest(100, STEP_MILLIS);
         long alone = 2 * STEP_MILLIS;
         limits.share(true, true, 1, PROCESSES, alone);
-        passed(alone, 10, 200);
+        grantedUnits(alone, 10, 200);
         limits.share(true, true, 1, PROCESSES, alone + 1_000);
-        assertEquals(0, passed(alone + 1_000, 100, 5));
+        assertEquals(0, grantedUnits(alone + 1_000, 100, 5));
     }
 
     @Example
-    void hubThatIsHeardAgainTellsNothingTwice() {
+    void useReportedByAReconnectedHubIsNotCountedTwice() {
         limit(1_000);
-        for (long now = 0; now <= LEARNED_MILLIS; now += STEP_MILLIS) {
-            hear(100, now);
+        for (long now = 0; now <= HUB_CONTACT_MILLIS; now += STEP_MILLIS) {
+            receiveHubDigest(100, now);
         }
-        hub = new Peer(hubHello, LEARNED_MILLIS);
+        hub = new Peer(hubHello, HUB_CONTACT_MILLIS);
         usedByOthers += 5_000;
-        hear(0, LEARNED_MILLIS);
-        assertTrue(passed(LEARNED_MILLIS, 100, 20) > 0);
+        receiveHubDigest(0, HUB_CONTACT_MILLIS);
+        assertTrue(grantedUnits(HUB_CONTACT_MILLIS, 100, 20) > 0);
     }
 }
