--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitHistoriesTest.java
@@ -33,15 +33,15 @@
  */
 class LimitHistoriesTest {
     private static final int DATA_CENTRES = 3;
-    private static final int OF_EACH = 10;
-    private static final double LIMIT = 10_000;
-    private static final double USUAL = LIMIT / 1.8;
-    private static final long CALM_MILLIS = 10_000;
+    private static final int PROCESSES_PER_DATA_CENTRE = 10;
+    private static final double LIMIT_PER_SECOND = 10_000;
+    private static final double USUAL_DEMAND_PER_SECOND = LIMIT_PER_SECOND / 1.8;
+    private static final long SETTLE_MILLIS = 10_000;
 
     private SimulatedCluster cluster;
 
     /** The event that changes the limit itself, which the check of windows cannot take. */
-    private static final int LIMIT_CHANGES = 6;
+    private static final int LIMIT_CHANGE_EVENT = 6;
 
     /** What may happen, one of them after the other. */
     private static final List<Consumer<SimulatedCluster>> EVENTS =
@@ -49,12 +49,12 @@
                     LimitHistoriesTest::rollingRestartOfADataCentre,
                     LimitHistoriesTest::rollingRestartOfAll,
                     LimitHistoriesTest::freeze,
-                    LimitHistoriesTest::allLosePower,
+                    LimitHistoriesTest::allAreKilled,
                     LimitHistoriesTest::dataCentreIsCutOff,
-                    LimitHistoriesTest::manyRequests,
+                    LimitHistoriesTest::demandSurges,
                     LimitHistoriesTest::limitFallsAndRises,
-                    LimitHistoriesTest::entryOfNobody,
-                    LimitHistoriesTest::dataCentreLosesPowerForAMoment);
+                    LimitHistoriesTest::entriesWithoutProcesses,
+                    LimitHistoriesTest::dataCentreLosesPowerBriefly);
 
     private static void rollingRestartOfADataCentre(SimulatedCluster cluster) {
         restartOneByOne(cluster, cluster.namesOf("dc0"));
@@ -67,113 +67,113 @@
     private static void restartOneByOne(SimulatedCluster cluster, List<String> names) {
         for (String name : names) {
             cluster.kill(name);
-            cluster.pass(800);
+            cluster.advance(800);
             cluster.restart(name);
-            cluster.pass(400);
+            cluster.advance(400);
         }
     }
 
     private static void freeze(SimulatedCluster cluster) {
         List<String> frozen = cluster.names().stream().filter(n -> n.endsWith("3")).toList();
         frozen.forEach(name -> cluster.freeze(name, true));
-        cluster.pass(3_500);
+        cluster.advance(3_500);
         frozen.forEach(name -> cluster.freeze(name, false));
-        cluster.pass(500);
+        cluster.advance(500);
     }
 
-    private static void allLosePower(SimulatedCluster cluster) {
+    private static void allAreKilled(SimulatedCluster cluster) {
         cluster.names().forEach(cluster::kill);
-        cluster.pass(1_400);
+        cluster.advance(1_400);
         cluster.names().forEach(cluster::restart);
-        cluster.pass(1_000);
+        cluster.advance(1_000);
     }
 
     private static void dataCentreIsCutOff(SimulatedCluster cluster) {
         List<String> cutOff = cluster.namesOf("dc1");
         cluster.cut((one, other) -> cutOff.contains(one) && !cutOff.contains(other));
-        cluster.pass(5_500);
+        cluster.advance(5_500);
         cluster.cut((one, other) -> false);
-        cluster.pass(500);
+        cluster.advance(500);
     }
 
-    private static void manyRequests(SimulatedCluster cluster) {
-        cluster.demand(6 * USUAL);
-        cluster.pass(6_000);
-        cluster.demand(USUAL);
+    private static void demandSurges(SimulatedCluster cluster) {
+        cluster.demand(6 * USUAL_DEMAND_PER_SECOND);
+        cluster.advance(6_000);
+        cluster.demand(USUAL_DEMAND_PER_SECOND);
     }
 
     private static void limitFallsAndRises(SimulatedCluster cluster) {
-        cluster.limit(LIMIT / 4);
-        cluster.pass(4_000);
-        cluster.limit(LIMIT);
+        cluster.limit(LIMIT_PER_SECOND / 4);
+        cluster.advance(4_000);
+        cluster.limit(LIMIT_PER_SECOND);
     }
 
-    private static void entryOfNobody(SimulatedCluster cluster) {
-        for (int i = 0; i < DATA_CENTRES * OF_EACH; i++) {
-            cluster.ghost("x" + i, "dc2", 6_000);
+    private static void entriesWithoutProcesses(SimulatedCluster cluster) {
+        for (int i = 0; i < DATA_CENTRES * PROCESSES_PER_DATA_CENTRE; i++) {
+            cluster.addEntryWithoutProcess("x" + i, "dc2", 6_000);
         }
-        cluster.pass(9_000);
+        cluster.advance(9_000);
     }
 
-    private static void dataCentreLosesPowerForAMoment(SimulatedCluster cluster) {
+    private static void dataCentreLosesPowerBriefly(SimulatedCluster cluster) {
         cluster.namesOf("dc0").forEach(cluster::losePower);
-        cluster.pass(600);
+        cluster.advance(600);
         cluster.namesOf("dc0").forEach(cluster::restart);
-        cluster.pass(1_000);
+        cluster.advance(1_000);
     }
 
-    private void begin() {
-        cluster = new SimulatedCluster(DATA_CENTRES, OF_EACH, LIMIT);
-        cluster.pass(CALM_MILLIS);
-        cluster.demand(USUAL);
-        cluster.pass(CALM_MILLIS);
+    private void startWithUsualDemand() {
+        cluster = new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, LIMIT_PER_SECOND);
+        cluster.advance(SETTLE_MILLIS);
+        cluster.demand(USUAL_DEMAND_PER_SECOND);
+        cluster.advance(SETTLE_MILLIS);
         assertEquals(0, cluster.refusedSince(0), "refused while all is calm");
     }
 
     /** Tells how many are refused once a window has passed since now. */
     private int refusedAWindowLater() {
-        cluster.pass(SimulatedCluster.WINDOW_MILLIS);
+        cluster.advance(SimulatedCluster.WINDOW_MILLIS);
         long since = cluster.now() + 1;
-        cluster.pass(SimulatedCluster.WINDOW_MILLIS);
+        cluster.advance(SimulatedCluster.WINDOW_MILLIS);
         return cluster.refusedSince(since);
     }
 
     @Property(tries = 9, generation = GenerationMode.EXHAUSTIVE)
-    void nobodyWithinTheLimitIsRefusedLongAfterAnEvent(@ForAll @IntRange(max = 8) int event) {
-        begin();
+    void requestsWithinTheLimitAreServedAWindowAfterAnEvent(@ForAll @IntRange(max = 8) int event) {
+        startWithUsualDemand();
         EVENTS.get(event).accept(cluster);
         assertEquals(0, refusedAWindowLater());
     }
 
     @Property(tries = 12, seed = "20261202", generation = GenerationMode.RANDOMIZED)
-    void nobodyWithinTheLimitIsRefusedLongAfterTwoEvents(
+    void requestsWithinTheLimitAreServedAWindowAfterTwoEvents(
             @ForAll @IntRange(max = 8) int first, @ForAll @IntRange(max = 8) int second) {
-        begin();
+        startWithUsualDemand();
         EVENTS.get(first).accept(cluster);
         EVENTS.get(second).accept(cluster);
         assertEquals(0, refusedAWindowLater());
     }
 
     @Example
-    void hubsOfADataCentreThatRestartInTurnRefuseNobodyWithinTheLimit() {
-        begin();
+    void hubsThatRestartOneByOneRefuseNothingWithinTheLimit() {
+        startWithUsualDemand();
         long since = cluster.now() + 1;
         List<String> hubs = new ArrayList<>(cluster.namesOf("dc0").subList(0, 2));
         restartOneByOne(cluster, hubs);
-        cluster.pass(2_000);
+        cluster.advance(2_000);
         assertEquals(0, cluster.refusedSince(since));
     }
 
     @Property(tries = 9, generation = GenerationMode.EXHAUSTIVE)
-    void noWindowPassesMoreThanTheLimitAllowsWhileManyAsk(@ForAll @IntRange(max = 8) int event) {
-        begin();
-        cluster.demand(6 * USUAL);
-        cluster.pass(3_000);
-        if (event != LIMIT_CHANGES) {
+    void noWindowExceedsTheLimitUnderHighDemand(@ForAll @IntRange(max = 8) int event) {
+        startWithUsualDemand();
+        cluster.demand(6 * USUAL_DEMAND_PER_SECOND);
+        cluster.advance(3_000);
+        if (event != LIMIT_CHANGE_EVENT) {
             EVENTS.get(event).accept(cluster);
         }
-        cluster.pass(SimulatedCluster.WINDOW_MILLIS);
-        double fullest = cluster.fullestWindow();
+        cluster.advance(SimulatedCluster.WINDOW_MILLIS);
+        double fullest = cluster.fullestWindowShare();
         assertTrue(fullest <= 1, "the fullest window passed " + fullest + " of what is allowed");
     }
 
@@ -181,25 +181,25 @@
      * Each of a third of the processes is cut off from all others, then one organisation asks much.
      */
     @Example
-    void processesCutOffOneByOneDoNotSpendTheWholeBurstEach() {
-        begin();
+    void isolatedProcessesDoNotEachSpendTheWholeBurst() {
+        startWithUsualDemand();
         List<String> single = cluster.names().stream().filter(n -> n.matches(".*[369]")).toList();
         cluster.cut((one, other) -> single.contains(one) || single.contains(other));
-        cluster.pass(500);
-        cluster.demand(6 * USUAL);
-        cluster.pass(12_000);
-        double fullest = cluster.fullestWindow();
+        cluster.advance(500);
+        cluster.demand(6 * USUAL_DEMAND_PER_SECOND);
+        cluster.advance(12_000);
+        double fullest = cluster.fullestWindowShare();
         assertTrue(fullest <= 1, "the fullest window passed " + fullest + " of what is allowed");
     }
 
     /** Callers that spread evenly over all processes need no more than the part of each. */
     @Example
-    void processesCutOffOneByOneRefuseNobodyWhoIsWithinTheirPart() {
-        begin();
+    void isolatedProcessesRefuseNothingWithinTheirShare() {
+        startWithUsualDemand();
         long since = cluster.now() + 1;
         List<String> single = cluster.names().stream().filter(n -> n.matches(".*[369]")).toList();
         cluster.cut((one, other) -> single.contains(one) || single.contains(other));
-        cluster.pass(12_000);
+        cluster.advance(12_000);
         assertEquals(0, cluster.refusedSince(since));
         cluster.cut((one, other) -> false);
         assertEquals(0, refusedAWindowLater());
@@ -213,23 +213,23 @@
      * where the fullest window stays below 0.95: what is missing is the way from limit to upstream.
      */
     @Property(tries = 8, generation = GenerationMode.EXHAUSTIVE)
-    void killsTwiceWithinAWindowDoNotPassMoreThanTheLimitAllows(
+    void twoKillsWithinAWindowDoNotExceedTheLimit(
             @ForAll @IntRange(max = 7) int steps) {
-        cluster = new SimulatedCluster(DATA_CENTRES, 3, LIMIT);
-        cluster.pass(CALM_MILLIS);
-        cluster.demand(USUAL);
-        cluster.pass(CALM_MILLIS);
-        cluster.demand(6 * USUAL);
-        cluster.pass(1_000);
+        cluster = new SimulatedCluster(DATA_CENTRES, 3, LIMIT_PER_SECOND);
+        cluster.advance(SETTLE_MILLIS);
+        cluster.demand(USUAL_DEMAND_PER_SECOND);
+        cluster.advance(SETTLE_MILLIS);
+        cluster.demand(6 * USUAL_DEMAND_PER_SECOND);
+        cluster.advance(1_000);
         for (int kill = 0; kill < 2; kill++) {
             List<String> killed = cluster.names().subList(2 * kill, 2 * kill + 5);
             killed.forEach(cluster::kill);
-            cluster.pass(500 + 100 * steps);
+            cluster.advance(500 + 100 * steps);
             killed.forEach(cluster::restart);
-            cluster.pass(3_500 - 100 * steps);
+            cluster.advance(3_500 - 100 * steps);
         }
-        cluster.pass(SimulatedCluster.WINDOW_MILLIS);
-        double fullest = cluster.fullestWindow();
+        cluster.advance(SimulatedCluster.WINDOW_MILLIS);
+        double fullest = cluster.fullestWindowShare();
         assertTrue(fullest <= 1, "the fullest window passed " + fullest + " of what is allowed");
     }
 
@@ -239,13 +239,13 @@
      * allowed and 7,200 tolerated. Two such moments after kills broke the limit over a window.
      */
     @Example
-    void surgeIsToldBeforeAllHaveLetPassTheWholeBurst() {
-        cluster = new SimulatedCluster(DATA_CENTRES, 3, LIMIT);
-        cluster.pass(CALM_MILLIS);
-        cluster.demand(15 * LIMIT);
+    void surgeIsReportedBeforeAllProcessesGrantTheWholeBurst() {
+        cluster = new SimulatedCluster(DATA_CENTRES, 3, LIMIT_PER_SECOND);
+        cluster.advance(SETTLE_MILLIS);
+        cluster.demand(15 * LIMIT_PER_SECOND);
         long begun = cluster.now();
-        cluster.pass(ClusterView.DIGEST_INTERVAL_MILLIS);
-        double allowed = LIMIT * (1 + ClusterView.DIGEST_INTERVAL_MILLIS / 1_000.0);
+        cluster.advance(ClusterView.DIGEST_INTERVAL_MILLIS);
+        double allowed = LIMIT_PER_SECOND * (1 + ClusterView.DIGEST_INTERVAL_MILLIS / 1_000.0);
         double granted = cluster.grantedSince(begun);
         assertTrue(
                 granted <= allowed + SimulatedCluster.TOLERANCE_UNITS,
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitReportsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/LimitReportsTest.java
@@ -31,8 +31,8 @@
 /** The form in which limits are told. */
 class LimitReportsTest {
     private static final long NOW_MILLIS = 1_000_000;
-    private static final int MOST_BYTES = 10_000;
-    private static final List<LimitReport> SOME =
+    private static final int MAX_BYTES = 10_000;
+    private static final List<LimitReport> REPORTS =
             List.of(
                     new LimitReport("w-1", 5, LimitNotice.of(0.05), 900_000, 900_010, 999_000),
                     new LimitReport("w-2", 0, LimitNotice.of(0), 1, 2, 3),
@@ -40,14 +40,14 @@
 
     @Example
     void readsWhatItWrites() throws IOException {
-        byte[] written = LimitReports.write(SOME, MOST_BYTES, NOW_MILLIS);
-        assertEquals(SOME, LimitReports.read(written, NOW_MILLIS));
+        byte[] written = LimitReports.write(REPORTS, MAX_BYTES, NOW_MILLIS);
+        assertEquals(REPORTS, LimitReports.read(written, NOW_MILLIS));
     }
 
     /** Peers of later builds must write so for this one to read it. */
     @Example
-    void formStays() {
-        byte[] written = LimitReports.write(SOME.subList(0, 1), MOST_BYTES, NOW_MILLIS);
+    void encodingIsStable() {
+        byte[] written = LimitReports.write(REPORTS.subList(0, 1), MAX_BYTES, NOW_MILLIS);
         assertEquals(
                 "[0, 3, 119, 45, 49, 0, 0, 0, 0, 0, 0, 0, 5, 63, -87, -103, -103, -103, -103, -103,"
                         + " -102, 0, 1, -122, -96, 0, 1, -122, -106, 0, 0, 0, 0, 0, 15, 62, 88]",
@@ -57,16 +57,16 @@
     @Example
     void writesNoMoreThanFits() throws IOException {
         for (int most = 0; most < 120; most++) {
-            byte[] written = LimitReports.write(SOME, most, NOW_MILLIS);
+            byte[] written = LimitReports.write(REPORTS, most, NOW_MILLIS);
             assertTrue(written.length <= most);
             List<LimitReport> read = LimitReports.read(written, NOW_MILLIS);
-            assertEquals(SOME.subList(0, read.size()), read);
+            assertEquals(REPORTS.subList(0, read.size()), read);
         }
     }
 
     @Example
-    void unsoundReportsAreRefused() {
-        byte[] written = LimitReports.write(SOME, MOST_BYTES, NOW_MILLIS);
+    void invalidReportsAreRefused() {
+        byte[] written = LimitReports.write(REPORTS, MAX_BYTES, NOW_MILLIS);
         for (int length = 1; length < written.length; length++) {
             byte[] cut = Arrays.copyOf(written, length);
             boolean whole = length == 37 || length == 74;
@@ -76,7 +76,7 @@
         }
         for (double limit : new double[] {-2, Double.NaN, Double.POSITIVE_INFINITY}) {
             LimitReport unsound = new LimitReport("w", 0, LimitNotice.of(limit), 0, 0, 0);
-            byte[] bytes = LimitReports.write(List.of(unsound), MOST_BYTES, NOW_MILLIS);
+            byte[] bytes = LimitReports.write(List.of(unsound), MAX_BYTES, NOW_MILLIS);
             assertThrows(IOException.class, () -> LimitReports.read(bytes, NOW_MILLIS));
         }
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MemberFormatTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MemberFormatTest.java
@@ -29,20 +29,20 @@
             new GatewayMember("edge-1", "baires-a", "10.0.0.1:7400", 140.5, 0.36);
 
     @Example
-    void entryComesBackAsItWasWritten() {
+    void writtenEntryIsReadBackUnchanged() {
         assertEquals(MEMBER, MemberFormat.read(MemberFormat.write(MEMBER)).get());
     }
 
     /** Processes of the version before write their entries by a library. */
     @Example
-    void entryIsTheOneThatALibraryWrites() throws IOException {
+    void entryIsCompatibleWithJackson() throws IOException {
         ObjectMapper library = new ObjectMapper();
         assertEquals(MEMBER, MemberFormat.read(library.writeValueAsBytes(MEMBER)).get());
         assertEquals(MEMBER, library.readValue(MemberFormat.write(MEMBER), GatewayMember.class));
     }
 
     @Example
-    void brokenEntryIsRefused() {
+    void malformedEntryIsRefused() {
         byte[] nameless = "{\"address\":\"h:1\"}".getBytes(StandardCharsets.UTF_8);
         assertTrue(MemberFormat.read(nameless).getLeft().contains("lacks name"));
         assertTrue(MemberFormat.read(new byte[] {1, 2}).getLeft().contains("no JSON"));
@@ -50,7 +50,7 @@
     }
 
     @Example
-    void entryWhoseAddressIsNoneIsRefused() {
+    void entryWithAnInvalidAddressIsRefused() {
         String entry = "{\"name\": \"g1\", \"dataCentre\": \"a\", \"address\": \"nowhere\"}";
         String fault = MemberFormat.read(entry.getBytes(StandardCharsets.UTF_8)).getLeft();
         assertTrue(fault.startsWith("address 'nowhere', expected HOST:PORT"), fault);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MembershipTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MembershipTest.java
@@ -53,13 +53,13 @@
     }
 
     @Example
-    void restartedProcessAsksForTheOthersBeforeItServes() throws IOException {
+    void restartedProcessListsTheMembersAtOnce() throws IOException {
         start(false);
         assertEquals(List.of("grant", "list " + Membership.PREFIX), calls);
     }
 
     @Example
-    void processOfAFirstStartWaitsUntilTheOthersAreListed() throws IOException {
+    void processOfAFirstStartDelaysItsFirstList() throws IOException {
         start(true);
         assertEquals(List.of("grant"), calls);
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MeshUseTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MeshUseTest.java
@@ -25,29 +25,29 @@
  */
 class MeshUseTest {
     private static final int DATA_CENTRES = 6;
-    private static final int PROCESSES_OF_EACH = 12;
-    private static final int PROCESSES = DATA_CENTRES * PROCESSES_OF_EACH;
+    private static final int PROCESSES_PER_DATA_CENTRE = 12;
+    private static final int PROCESSES = DATA_CENTRES * PROCESSES_PER_DATA_CENTRE;
     private static final int SECONDS = 10;
     private static final long SETTLE_MILLIS = 6_000;
-    private static final double LIMIT = 10_000;
+    private static final double LIMIT_PER_SECOND = 10_000;
 
     /** 17.5 were counted: five a second on each of 66 links between hubs and 60 of leaves. */
-    private static final double MESSAGES = 19.3;
+    private static final double MAX_MESSAGES_PER_SECOND = 19.3;
 
     /** 442.5 were counted. */
-    private static final double REST_BYTES = 487;
+    private static final double MAX_IDLE_BYTES_PER_SECOND = 487;
 
     /** 967.5 were counted. */
-    private static final double BUSY_BYTES = 1_064;
+    private static final double MAX_BUSY_BYTES_PER_SECOND = 1_064;
 
     private final SimulatedCluster cluster =
-            new SimulatedCluster(DATA_CENTRES, PROCESSES_OF_EACH, LIMIT);
+            new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, LIMIT_PER_SECOND);
 
-    private void count(double mostMessages, double mostBytes) {
-        cluster.pass(SETTLE_MILLIS);
+    private void assertTraffic(double mostMessages, double mostBytes) {
+        cluster.advance(SETTLE_MILLIS);
         long messages = cluster.messages();
         long bytes = cluster.bytes();
-        cluster.pass(SECONDS * 1_000L);
+        cluster.advance(SECONDS * 1_000L);
         double each = PROCESSES * SECONDS;
         double sent = (cluster.messages() - messages) / each;
         double size = (cluster.bytes() - bytes) / each;
@@ -57,13 +57,13 @@
     }
 
     @Example
-    void atRest() {
-        count(MESSAGES, REST_BYTES);
+    void trafficIsBoundedWithoutRequests() {
+        assertTraffic(MAX_MESSAGES_PER_SECOND, MAX_IDLE_BYTES_PER_SECOND);
     }
 
     @Example
-    void whileRequestsCome() {
-        cluster.demand(LIMIT / 2);
-        count(MESSAGES, BUSY_BYTES);
+    void trafficIsBoundedUnderLoad() {
+        cluster.demand(LIMIT_PER_SECOND / 2);
+        assertTraffic(MAX_MESSAGES_PER_SECOND, MAX_BUSY_BYTES_PER_SECOND);
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/QuotasTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/QuotasTest.java
@@ -41,7 +41,7 @@
                 1, List.of(), List.of(), List.of(organisation), RequestBounds.DEFAULTS);
     }
 
-    private static double passedAtOnce(Quotas quotas) {
+    private static double grantedAtOnce(Quotas quotas) {
         double passed = 0;
         while (quotas.tryTake(ORGANISATION, 10, 0) == 0) {
             passed += 10;
@@ -50,38 +50,38 @@
     }
 
     @Example
-    void restartGivesLessThanAFirstStart() {
+    void restartGrantsLessThanAFirstStart() {
         Quotas first = new Quotas(true, EXACT);
         first.applyPolicy(policy(1_000, 1_000), 0);
         Quotas restarted = new Quotas(false, EXACT);
         restarted.applyPolicy(policy(1_000, 1_000), 0);
-        assertEquals(1_000, passedAtOnce(first));
-        assertEquals(600, passedAtOnce(restarted));
+        assertEquals(1_000, grantedAtOnce(first));
+        assertEquals(600, grantedAtOnce(restarted));
     }
 
     @Example
-    void restartNeverGivesMoreThanASecondOfALargeBurst() {
+    void restartGrantsAtMostOneSecondOfALargeBurst() {
         Quotas restarted = new Quotas(false, EXACT);
         restarted.applyPolicy(policy(1_000, 5_000), 0);
-        assertEquals(1_000, passedAtOnce(restarted));
+        assertEquals(1_000, grantedAtOnce(restarted));
     }
 
     @Example
-    void peersUseCountsOnceHoweverOftenItIsTold() {
+    void useOfAPeerCountsOnceHoweverOftenItIsReported() {
         Quotas quotas = new Quotas(true, EXACT);
         quotas.applyPolicy(policy(1_000, 1_000), 0);
         quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 0, 0, 1_000)), 0);
         quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 400, 400, 600)), 0);
         quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 400, 400, 600)), 0);
-        assertEquals(600, passedAtOnce(quotas));
+        assertEquals(600, grantedAtOnce(quotas));
     }
 
     @Example
-    void lowerLimitBindsAtOnce() {
+    void lowerLimitAppliesAtOnce() {
         Quotas quotas = new Quotas(true, EXACT);
         quotas.applyPolicy(policy(1_000, 1_000), 0);
         quotas.applyPolicy(policy(10, 50), 0);
-        assertTrue(passedAtOnce(quotas) <= 50);
+        assertTrue(grantedAtOnce(quotas) <= 50);
     }
 
     private static Quotas limited(double burst) {
@@ -91,7 +91,7 @@
     }
 
     @Example
-    void useOfALeafReachesAllThroughItsHubAndComesBackToNobody() {
+    void useOfALeafReachesAllThroughItsHubAndIsCountedOnce() {
         Quotas leaf = limited(1_000);
         Quotas hub = limited(1_000);
         Quotas otherHub = limited(1_000);
@@ -103,14 +103,14 @@
         leaf.recordPeerUse("hub/1/rest", hub.usesWithoutLeaf("leaf/1", 0), 0);
         otherHub.recordPeerUse("hub/1", hub.groupUses(0), 0);
         otherLeaf.recordPeerUse("hub2/1/rest", otherHub.usesWithoutLeaf("leaf2/1", 0), 0);
-        assertEquals(600, passedAtOnce(leaf));
-        assertEquals(600, passedAtOnce(hub));
-        assertEquals(600, passedAtOnce(otherHub));
-        assertEquals(600, passedAtOnce(otherLeaf));
+        assertEquals(600, grantedAtOnce(leaf));
+        assertEquals(600, grantedAtOnce(hub));
+        assertEquals(600, grantedAtOnce(otherHub));
+        assertEquals(600, grantedAtOnce(otherLeaf));
     }
 
     @Example
-    void leafThatChangesItsHubTellsNothingTwiceAndNothingIsMissed() {
+    void useOfALeafThatChangesItsHubIsCountedExactlyOnce() {
         Quotas leaf = limited(1_000);
         Quotas first = limited(1_000);
         Quotas second = limited(1_000);
@@ -120,11 +120,11 @@
         second.recordPeerUse("first/1", first.groupUses(0), 0);
         leaf.tryTake(ORGANISATION, 200, 0);
         second.recordLeafUse("leaf/1", leaf.ownUses(0), 0);
-        assertEquals(500, passedAtOnce(second));
+        assertEquals(500, grantedAtOnce(second));
     }
 
     @Example
-    void leafThatReturnsToAnEarlierHubIsToldNothingTwice() {
+    void leafThatReturnsToAnEarlierHubCountsItsReportsOnce() {
         Quotas leaf = limited(1_000);
         Quotas first = limited(1_000);
         Quotas second = limited(1_000);
@@ -137,11 +137,11 @@
         leaf.recordPeerUse("second/1", second.usesWithoutLeaf("leaf/1", 0), 0);
         leaf.resetIncarnation("first/1");
         leaf.recordPeerUse("first/1", first.usesWithoutLeaf("leaf/1", 0), 0);
-        assertEquals(600, passedAtOnce(leaf));
+        assertEquals(600, grantedAtOnce(leaf));
     }
 
     @Example
-    void leafThatReturnsToAnEarlierHubTellsNothingTwice() {
+    void earlierHubCountsTheUseOfAReturningLeafOnce() {
         Quotas leaf = limited(1_000);
         Quotas first = limited(1_000);
         Quotas second = limited(1_000);
@@ -153,32 +153,32 @@
         first.recordPeerUse("second/1", second.groupUses(0), 0);
         first.resetIncarnation("leaf/1");
         first.recordLeafUse("leaf/1", leaf.ownUses(0), 0);
-        assertEquals(600, passedAtOnce(first));
+        assertEquals(600, grantedAtOnce(first));
     }
 
     /** Uses of nothing are not told, so the first one that is told is an increase from nothing. */
     @Example
-    void firstUseOfALifeThatWasHeardBeforeCounts() {
+    void firstUseOfAKnownIncarnationIsCounted() {
         Quotas quotas = limited(1_000);
         quotas.recordPeerUse("p/1", List.of(), 0);
         quotas.recordPeerUse("q/1", List.of(), 0);
         quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
         quotas.recordPeerUse("q/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
-        assertEquals(400, passedAtOnce(quotas));
+        assertEquals(400, grantedAtOnce(quotas));
     }
 
     /** What it used before is in the level that it tells. */
     @Example
-    void firstUseOfALifeThatWasNotHeardBeforeTellsTheLevel() {
+    void firstUseOfAnUnknownIncarnationSetsTheLevel() {
         Quotas quotas = limited(1_000);
         quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 300, 300, 700)), 0);
         quotas.resetIncarnation("p/1");
         quotas.recordPeerUse("p/1", List.of(new OrganisationUse(ORGANISATION, 350, 350, 650)), 0);
-        assertEquals(650, passedAtOnce(quotas));
+        assertEquals(650, grantedAtOnce(quotas));
     }
 
     @Example
-    void peersAreToldOutOfTurnOnceMuchWasLetPass() {
+    void earlyReportIsRequestedOnceMuchUseIsUnreported() {
         Quotas quotas = limited(1_000);
         int[] told = {0};
         quotas.onMuchUnreported(() -> told[0]++);
@@ -194,7 +194,7 @@
     }
 
     @Example
-    void limitWithoutABurstTellsNoMoreOften() {
+    void limitWithoutABurstRequestsNoEarlyReport() {
         Quotas quotas = new Quotas(true, EXACT);
         quotas.applyPolicy(policy(1_000, 0), 0);
         quotas.onMuchUnreported(() -> fail("10 of 1,000 a second are little"));
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLimitsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLimitsTest.java
@@ -32,131 +32,131 @@
  * the limit allows.
  */
 class RegionLimitsTest {
-    private static final int OF_EACH = 5;
-    private static final double LIMIT = 10_000;
-    private static final double USUAL = LIMIT / 1.8;
-    private static final long CALM_MILLIS = 10_000;
+    private static final int PROCESSES_PER_DATA_CENTRE = 5;
+    private static final double LIMIT_PER_SECOND = 10_000;
+    private static final double USUAL_DEMAND_PER_SECOND = LIMIT_PER_SECOND / 1.8;
+    private static final long SETTLE_MILLIS = 10_000;
 
     /** The processes that carry the sums of the two regions while all is calm. */
-    private static final List<String> CARRIERS = List.of("p000", "p002", "p001", "p003");
+    private static final List<String> BRIDGES = List.of("p000", "p002", "p001", "p003");
 
     private static final List<Consumer<SimulatedCluster>> EVENTS =
             List.of(
-                    RegionLimitsTest::carriersRestartInTurn,
-                    RegionLimitsTest::carriersFreezeInTurn,
-                    RegionLimitsTest::carriersOfARegionAreKilledTogether,
-                    RegionLimitsTest::regionsLoseEachOtherForAMoment,
-                    RegionLimitsTest::regionsLoseEachOtherForMinutes,
-                    RegionLimitsTest::allLosePowerWhileTheRegionsAreApart,
-                    RegionLimitsTest::dataCentreOfTheFirstCarrierIsCutOff,
-                    RegionLimitsTest::firstCarriersCannotReachEachOther);
+                    RegionLimitsTest::bridgesRestartOneByOne,
+                    RegionLimitsTest::bridgesFreezeOneByOne,
+                    RegionLimitsTest::bridgesOfARegionAreKilledTogether,
+                    RegionLimitsTest::regionsAreDisconnectedBriefly,
+                    RegionLimitsTest::regionsAreDisconnectedForMinutes,
+                    RegionLimitsTest::allAreKilledWhileTheRegionsAreDisconnected,
+                    RegionLimitsTest::dataCentreOfTheFirstBridgeIsCutOff,
+                    RegionLimitsTest::firstBridgesCannotReachEachOther);
 
     private SimulatedCluster cluster;
 
-    private static void carriersRestartInTurn(SimulatedCluster cluster) {
-        for (String name : CARRIERS) {
+    private static void bridgesRestartOneByOne(SimulatedCluster cluster) {
+        for (String name : BRIDGES) {
             cluster.kill(name);
-            cluster.pass(800);
+            cluster.advance(800);
             cluster.restart(name);
-            cluster.pass(400);
+            cluster.advance(400);
         }
     }
 
-    private static void carriersFreezeInTurn(SimulatedCluster cluster) {
-        for (String name : CARRIERS) {
+    private static void bridgesFreezeOneByOne(SimulatedCluster cluster) {
+        for (String name : BRIDGES) {
             cluster.freeze(name, true);
-            cluster.pass(3_500);
+            cluster.advance(3_500);
             cluster.freeze(name, false);
-            cluster.pass(500);
+            cluster.advance(500);
         }
     }
 
-    private static void carriersOfARegionAreKilledTogether(SimulatedCluster cluster) {
+    private static void bridgesOfARegionAreKilledTogether(SimulatedCluster cluster) {
         cluster.kill("p000");
         cluster.kill("p002");
-        cluster.pass(6_000);
+        cluster.advance(6_000);
         cluster.restart("p000");
         cluster.restart("p002");
-        cluster.pass(1_000);
+        cluster.advance(1_000);
     }
 
-    private static void regionsLoseEachOtherForAMoment(SimulatedCluster cluster) {
+    private static void regionsAreDisconnectedBriefly(SimulatedCluster cluster) {
         cutRegions(cluster, 5_500);
     }
 
-    private static void regionsLoseEachOtherForMinutes(SimulatedCluster cluster) {
+    private static void regionsAreDisconnectedForMinutes(SimulatedCluster cluster) {
         cutRegions(cluster, 120_000);
     }
 
     private static void cutRegions(SimulatedCluster cluster, long millis) {
         cluster.cut(cluster::isBetweenRegions);
-        cluster.pass(millis);
+        cluster.advance(millis);
         cluster.cut((one, other) -> false);
-        cluster.pass(2_000);
+        cluster.advance(2_000);
     }
 
-    private static void allLosePowerWhileTheRegionsAreApart(SimulatedCluster cluster) {
+    private static void allAreKilledWhileTheRegionsAreDisconnected(SimulatedCluster cluster) {
         cluster.cut(cluster::isBetweenRegions);
-        cluster.pass(3_000);
+        cluster.advance(3_000);
         cluster.names().forEach(cluster::kill);
-        cluster.pass(1_400);
+        cluster.advance(1_400);
         cluster.names().forEach(cluster::restart);
-        cluster.pass(4_000);
+        cluster.advance(4_000);
         cluster.cut((one, other) -> false);
-        cluster.pass(2_000);
+        cluster.advance(2_000);
     }
 
-    private static void dataCentreOfTheFirstCarrierIsCutOff(SimulatedCluster cluster) {
+    private static void dataCentreOfTheFirstBridgeIsCutOff(SimulatedCluster cluster) {
         List<String> cutOff = cluster.namesOf("dc0");
         cluster.cut((one, other) -> cutOff.contains(one) && !cutOff.contains(other));
-        cluster.pass(5_500);
+        cluster.advance(5_500);
         cluster.cut((one, other) -> false);
-        cluster.pass(1_000);
+        cluster.advance(1_000);
     }
 
-    private static void firstCarriersCannotReachEachOther(SimulatedCluster cluster) {
+    private static void firstBridgesCannotReachEachOther(SimulatedCluster cluster) {
         cluster.cut((one, other) -> one.equals("p000") && other.equals("p001"));
-        cluster.pass(5_500);
+        cluster.advance(5_500);
         cluster.cut((one, other) -> false);
-        cluster.pass(1_000);
+        cluster.advance(1_000);
     }
 
-    private void begin() {
-        cluster = new SimulatedCluster(6, OF_EACH, LIMIT, SimulatedCluster.REGIONS_OF_SIX);
-        cluster.pass(CALM_MILLIS);
-        cluster.demand(USUAL);
-        cluster.pass(CALM_MILLIS);
+    private void startWithUsualDemand() {
+        cluster = new SimulatedCluster(6, PROCESSES_PER_DATA_CENTRE, LIMIT_PER_SECOND, SimulatedCluster.REGIONS_OF_SIX);
+        cluster.advance(SETTLE_MILLIS);
+        cluster.demand(USUAL_DEMAND_PER_SECOND);
+        cluster.advance(SETTLE_MILLIS);
         assertEquals(0, cluster.refusedSince(0), "refused while all is calm");
     }
 
     @Example
-    void limitIsKeptWhileManyAskInBothRegions() {
-        begin();
-        cluster.demand(6 * USUAL);
-        cluster.pass(20_000);
-        double fullest = cluster.fullestWindow();
+    void limitIsKeptUnderHighDemandInBothRegions() {
+        startWithUsualDemand();
+        cluster.demand(6 * USUAL_DEMAND_PER_SECOND);
+        cluster.advance(20_000);
+        double fullest = cluster.fullestWindowShare();
         assertTrue(fullest <= 1, "the fullest window passed " + fullest + " of what is allowed");
         assertTrue(fullest >= 0.8, "the fullest window passed only " + fullest);
     }
 
     @Property(tries = 8, generation = GenerationMode.EXHAUSTIVE)
-    void nobodyWithinTheLimitIsRefusedLongAfterAnEvent(@ForAll @IntRange(max = 7) int event) {
-        begin();
+    void requestsWithinTheLimitAreServedAWindowAfterAnEvent(@ForAll @IntRange(max = 7) int event) {
+        startWithUsualDemand();
         EVENTS.get(event).accept(cluster);
-        cluster.pass(SimulatedCluster.WINDOW_MILLIS);
+        cluster.advance(SimulatedCluster.WINDOW_MILLIS);
         long since = cluster.now() + 1;
-        cluster.pass(SimulatedCluster.WINDOW_MILLIS);
+        cluster.advance(SimulatedCluster.WINDOW_MILLIS);
         assertEquals(0, cluster.refusedSince(since));
     }
 
     @Property(tries = 8, generation = GenerationMode.EXHAUSTIVE)
-    void noWindowPassesMoreThanTheLimitAllowsWhileManyAsk(@ForAll @IntRange(max = 7) int event) {
-        begin();
-        cluster.demand(6 * USUAL);
-        cluster.pass(3_000);
+    void noWindowExceedsTheLimitUnderHighDemand(@ForAll @IntRange(max = 7) int event) {
+        startWithUsualDemand();
+        cluster.demand(6 * USUAL_DEMAND_PER_SECOND);
+        cluster.advance(3_000);
         EVENTS.get(event).accept(cluster);
-        cluster.pass(SimulatedCluster.WINDOW_MILLIS);
-        double fullest = cluster.fullestWindow();
+        cluster.advance(SimulatedCluster.WINDOW_MILLIS);
+        double fullest = cluster.fullestWindowShare();
         assertTrue(fullest <= 1, "the fullest window passed " + fullest + " of what is allowed");
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RegionLinksTest.java
@@ -33,28 +33,28 @@
  * 96 processes in six data centres, a message takes 20 ms.
  */
 class RegionLinksTest {
-    private static final double LIMIT = 10_000;
+    private static final double LIMIT_PER_SECOND = 10_000;
     private static final Map<String, String> REGIONS = SimulatedCluster.REGIONS_OF_SIX;
-    private static final long SETTLED_MILLIS = 8_000;
+    private static final long SETTLE_MILLIS = 8_000;
 
     private static SimulatedCluster settled(int ofEach, Map<String, String> regions) {
-        SimulatedCluster cluster = new SimulatedCluster(6, ofEach, LIMIT, regions);
-        cluster.pass(SETTLED_MILLIS);
+        SimulatedCluster cluster = new SimulatedCluster(6, ofEach, LIMIT_PER_SECOND, regions);
+        cluster.advance(SETTLE_MILLIS);
         return cluster;
     }
 
-    private static void allKnow(SimulatedCluster cluster, Upstream upstream) {
+    private static void addToAll(SimulatedCluster cluster, Upstream upstream) {
         cluster.names().forEach(name -> cluster.process(name).upstreams().changed(upstream));
     }
 
-    private static List<String> unaware(SimulatedCluster cluster, String upstream) {
+    private static List<String> processesUnawareOfLeaving(SimulatedCluster cluster, String upstream) {
         return cluster.names().stream()
                 .filter(name -> cluster.process(name).isRunning())
                 .filter(name -> !cluster.process(name).upstreams().isLeaving(upstream))
                 .toList();
     }
 
-    private static void everyoneHearsAll(SimulatedCluster cluster, int processes) {
+    private static void assertAllReceiveFrom(SimulatedCluster cluster, int processes) {
         for (String name : cluster.names()) {
             if (cluster.process(name).isRunning()) {
                 assertEquals(processes, cluster.process(name).view().totalProcesses(), name);
@@ -63,27 +63,27 @@
     }
 
     @Property(tries = 4, seed = "20261203")
-    void everyProcessIsHeardOnceByEveryOther(@ForAll @IntRange(min = 2, max = 16) int ofEach) {
-        everyoneHearsAll(settled(ofEach, REGIONS), 6 * ofEach);
+    void everyProcessIsCountedOnceByEveryOther(@ForAll @IntRange(min = 2, max = 16) int ofEach) {
+        assertAllReceiveFrom(settled(ofEach, REGIONS), 6 * ofEach);
     }
 
     @Example
-    void bytesBetweenRegionsAreFewAndDoNotGrowWithTheProcesses() {
-        long few = bytesASecond(2, REGIONS);
-        long many = bytesASecond(12, REGIONS);
-        long without = bytesASecond(12, Map.of());
+    void trafficBetweenRegionsIsSmallAndDoesNotGrowWithTheProcesses() {
+        long few = bytesPerSecond(2, REGIONS);
+        long many = bytesPerSecond(12, REGIONS);
+        long without = bytesPerSecond(12, Map.of());
         String seen = few + " of 12, " + many + " of 72, " + without + " of 72 without levels";
         assertTrue(many < 60_000, seen);
         assertTrue(many < 2 * few + 1_000, seen);
         assertTrue(many < without / 4, seen);
     }
 
-    private static long bytesASecond(int ofEach, Map<String, String> regions) {
+    private static long bytesPerSecond(int ofEach, Map<String, String> regions) {
         SimulatedCluster cluster = settled(ofEach, regions);
-        cluster.demand(LIMIT / 2);
-        cluster.pass(2_000);
+        cluster.demand(LIMIT_PER_SECOND / 2);
+        cluster.advance(2_000);
         long before = cluster.bytesBetweenRegions();
-        cluster.pass(10_000);
+        cluster.advance(10_000);
         return (cluster.bytesBetweenRegions() - before) / 10;
     }
 
@@ -92,24 +92,24 @@
      * upstreams that every process has work at.
      */
     @Example
-    void bytesBetweenRegionsStayFewUnderTheLoadOfManyOrganisationsAndUpstreams() {
+    void trafficBetweenRegionsStaysSmallUnderTheLoadOfManyOrganisationsAndUpstreams() {
         SimulatedCluster cluster = settled(12, REGIONS);
         for (int i = 0; i < 63; i++) {
-            allKnow(cluster, new Upstream("w" + i, "s", "dc" + i % 6, "h:1", 8, false, false, 0));
+            addToAll(cluster, new Upstream("w" + i, "s", "dc" + i % 6, "h:1", 8, false, false, 0));
         }
-        cluster.demand(LIMIT / 2);
+        cluster.demand(LIMIT_PER_SECOND / 2);
         long begun = 0;
         for (int step = 0; step < 600; step++) {
             begun = step == 100 ? cluster.bytesBetweenRegions() : begun;
-            work(cluster, step);
-            cluster.pass(20);
+            applyLoad(cluster, step);
+            cluster.advance(20);
         }
         long aSecond = (cluster.bytesBetweenRegions() - begun) / 10;
         assertTrue(aSecond < 2 * 60_000, aSecond + " bytes a second, both ways together");
     }
 
     /** Ten requests begin to run, and each process sends one to another upstream. */
-    private static void work(SimulatedCluster cluster, int step) {
+    private static void applyLoad(SimulatedCluster cluster, int step) {
         List<String> names = cluster.names();
         for (int i = 0; i < 10; i++) {
             String name = names.get((step * 10 + i) % names.size());
@@ -123,37 +123,37 @@
     @Example
     void upstreamThatLeavesIsKnownInTheOtherRegionWithinHalfASecond() {
         SimulatedCluster cluster = settled(12, REGIONS);
-        allKnow(cluster, new Upstream("w", "s", "dc0", "h:1", 8, false, false, 0));
+        addToAll(cluster, new Upstream("w", "s", "dc0", "h:1", 8, false, false, 0));
         List<String> north = cluster.namesOf("dc2");
         cluster.process(north.get(north.size() - 1))
                 .directory()
-                .leavingSeenBy(new LeavingUpstream("w", 0), "itself");
-        cluster.pass(500);
-        assertEquals(List.of(), unaware(cluster, "w"));
+                .leavingReportedBy(new LeavingUpstream("w", 0), "itself");
+        cluster.advance(500);
+        assertEquals(List.of(), processesUnawareOfLeaving(cluster, "w"));
     }
 
     @Example
-    void upstreamThatLeavesIsKnownWithinTwoSecondsThoughBothCarriersOfARegionAreLost() {
+    void upstreamThatLeavesIsKnownWithinTwoSecondsAfterTheLossOfBothBridgesOfARegion() {
         SimulatedCluster cluster = settled(12, REGIONS);
-        allKnow(cluster, new Upstream("w", "s", "dc0", "h:1", 8, false, false, 0));
+        addToAll(cluster, new Upstream("w", "s", "dc0", "h:1", 8, false, false, 0));
         cluster.kill("p000");
         cluster.kill("p002");
         List<String> north = cluster.namesOf("dc4");
         cluster.process(north.get(north.size() - 1))
                 .directory()
-                .leavingSeenBy(new LeavingUpstream("w", 0), "itself");
-        cluster.pass(2_000);
-        assertEquals(List.of(), unaware(cluster, "w"));
+                .leavingReportedBy(new LeavingUpstream("w", 0), "itself");
+        cluster.advance(2_000);
+        assertEquals(List.of(), processesUnawareOfLeaving(cluster, "w"));
     }
 
     @Example
-    void versionThatOneProcessKnowsIsKnownEverywhereWithinASecond() {
+    void policyVersionOfOneProcessIsKnownEverywhereWithinASecond() {
         SimulatedCluster cluster = settled(12, REGIONS);
         String leaf = cluster.namesOf("dc5").get(11);
         for (int version = 1; version <= 3; version++) {
             byte[] value = Integer.toString(version).getBytes(StandardCharsets.US_ASCII);
             cluster.process(leaf).policies().offer(value, "store");
-            cluster.pass(1_000);
+            cluster.advance(1_000);
             for (String name : cluster.names()) {
                 assertEquals(version, cluster.process(name).policies().version(), name);
             }
@@ -161,62 +161,62 @@
     }
 
     @Example
-    void carrierThatLosesPowerIsReplacedWithinOnePointTwoSeconds() {
+    void bridgeThatLosesPowerIsReplacedWithinOnePointTwoSeconds() {
         SimulatedCluster cluster = settled(12, REGIONS);
         cluster.losePower("p000");
-        cluster.pass(1_200);
+        cluster.advance(1_200);
         for (String name : cluster.namesOf("dc1")) {
             int heard = cluster.process(name).view().totalProcesses();
             assertTrue(heard >= 36 + 24, name + " hears " + heard);
         }
-        cluster.pass(10_000);
-        everyoneHearsAll(cluster, 71);
+        cluster.advance(10_000);
+        assertAllReceiveFrom(cluster, 71);
     }
 
     @Example
-    void regionsThatLoseEachOtherHearTheirOwnAndComeTogetherAgain() {
+    void disconnectedRegionsStayConnectedInternallyAndReconnect() {
         SimulatedCluster cluster = settled(6, REGIONS);
         cluster.cut(cluster::isBetweenRegions);
-        cluster.pass(3_000);
-        everyoneHearsAll(cluster, 18);
-        cluster.pass(60_000);
-        everyoneHearsAll(cluster, 18);
+        cluster.advance(3_000);
+        assertAllReceiveFrom(cluster, 18);
+        cluster.advance(60_000);
+        assertAllReceiveFrom(cluster, 18);
         cluster.cut((one, other) -> false);
-        cluster.pass(2_000);
-        everyoneHearsAll(cluster, 36);
+        cluster.advance(2_000);
+        assertAllReceiveFrom(cluster, 36);
     }
 
     @Example
-    void hubThatGoesFirstButCannotReachTheOtherRegionIsStoodInFor() {
+    void firstHubThatCannotReachTheOtherRegionIsReplaced() {
         SimulatedCluster cluster = settled(6, REGIONS);
         List<String> apart = cluster.namesOf("dc0");
         cluster.cut((one, other) -> apart.contains(one) && cluster.isBetweenRegions(one, other));
-        cluster.pass(4_000);
-        everyoneHearsAll(cluster, 36);
+        cluster.advance(4_000);
+        assertAllReceiveFrom(cluster, 36);
         cluster.cut((one, other) -> false);
-        cluster.pass(4_000);
-        everyoneHearsAll(cluster, 36);
+        cluster.advance(4_000);
+        assertAllReceiveFrom(cluster, 36);
     }
 
     @Example
-    void leafThatReachesNobodyOfItsRegionIsHeardThroughTheOther() {
+    void leafThatReachesNoProcessOfItsRegionIsConnectedThroughTheOther() {
         SimulatedCluster cluster = settled(4, REGIONS);
         String leaf = cluster.namesOf("dc5").get(3);
         cluster.cut((one, other) -> one.equals(leaf) && !cluster.isBetweenRegions(one, other));
-        cluster.pass(40_000);
-        everyoneHearsAll(cluster, 24);
+        cluster.advance(40_000);
+        assertAllReceiveFrom(cluster, 24);
     }
 
     @Example
-    void usageIsKnownOnceToEveryHubSinceAnyMayReportIt() {
+    void usageIsCountedOnceAtEveryHub() {
         SimulatedCluster cluster = settled(6, REGIONS);
         for (String name : cluster.names()) {
             cluster.process(name).usage().started("t", 1_000);
         }
-        cluster.pass(1_600);
+        cluster.advance(1_600);
         cluster.kill("p000");
         cluster.process("p035").usage().started("t", 1_000);
-        cluster.pass(3_000);
+        cluster.advance(3_000);
         for (String name : cluster.names()) {
             if (cluster.process(name).isRunning() && cluster.process(name).isHub()) {
                 assertEquals(Map.of("t", 37), cluster.process(name).usage().total(0), name);
@@ -225,23 +225,23 @@
     }
 
     @Example
-    void workOfAnotherRegionIsKnownAsOneSumOnceThoughItsCarrierChanges() {
+    void loadOfAnotherRegionIsCountedOnceWhenItsBridgeChanges() {
         SimulatedCluster cluster = settled(6, REGIONS);
-        allKnow(cluster, new Upstream("n1", "s", "dc0", "h:1", 8, false, false, 0));
-        allKnow(cluster, new Upstream("n2", "s", "dc2", "h:1", 8, false, false, 0));
-        allKnow(cluster, new Upstream("m", "s", "dc1", "h:1", 8, false, false, 0));
+        addToAll(cluster, new Upstream("n1", "s", "dc0", "h:1", 8, false, false, 0));
+        addToAll(cluster, new Upstream("n2", "s", "dc2", "h:1", 8, false, false, 0));
+        addToAll(cluster, new Upstream("m", "s", "dc1", "h:1", 8, false, false, 0));
         for (String name : cluster.namesOf("dc2")) {
             cluster.process(name).loads().sent("n1", 100);
         }
         cluster.process(cluster.namesOf("dc2").get(3)).loads().sent("m", 10);
-        cluster.pass(2_000);
-        checkWork(cluster);
+        cluster.advance(2_000);
+        assertLoads(cluster);
         cluster.kill("p000");
-        cluster.pass(3_000);
-        checkWork(cluster);
+        cluster.advance(3_000);
+        assertLoads(cluster);
     }
 
-    private static void checkWork(SimulatedCluster cluster) {
+    private static void assertLoads(SimulatedCluster cluster) {
         for (String name : cluster.namesOf("dc3")) {
             var loads = cluster.process(name).loads();
             assertEquals(6, loads.requests("n1") + loads.requests("n2"), name);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RolloutKeeperTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/RolloutKeeperTest.java
@@ -34,54 +34,54 @@
     private static final RolloutOrder ORDER = new RolloutOrder("m", "v2", 20_000, 400);
 
     private final VersionGate gate = new VersionGate();
-    private final RolloutKeeper keeper =
-            new RolloutKeeper(
-                    new NoFormat(),
+    private final RolloutManager manager =
+            new RolloutManager(
+                    new EmptyPlatformFormat(),
                     gate,
                     new GatewaySettings.Rollouts(true, 0.1, 50),
                     new SplittableRandom(1),
                     () -> 0,
                     new GatewayMetrics());
 
-    private void told(RolloutOrder order, RolloutPhase phase) {
-        keeper.heard(new RolloutUpdate(order, phase, 10_000, 1, List.of()), true);
+    private void receiveUpdate(RolloutOrder order, RolloutPhase phase) {
+        manager.receive(new RolloutUpdate(order, phase, 10_000, 1, List.of()), true);
     }
 
-    private Optional<State> lost() {
+    private Optional<State> lostState() {
         Rollout rollout = gate.rollout("m").orElseThrow();
-        return keeper.lostRecord(rollout).map(RolloutStatus::state);
+        return manager.lostRecord(rollout).map(RolloutStatus::state);
     }
 
     // Guards against a leader that has heard the result from a peer only, and writes again the
     // record before it.
     @Example
-    void resultThatOnlyAPeerToldIsRecordedAgain() {
-        told(ORDER, RolloutPhase.SAMPLING);
-        keeper.recorded(new RolloutStatus("m", "v2", State.IN_PROGRESS, 401), true);
-        told(ORDER, RolloutPhase.ROLLED_BACK);
-        keeper.historyReplaced();
-        told(ORDER.withRevision(12), RolloutPhase.ROLLED_BACK);
-        assertEquals(Optional.of(State.ROLLED_BACK), lost());
+    void resultReportedOnlyByAPeerIsRecordedAgain() {
+        receiveUpdate(ORDER, RolloutPhase.SAMPLING);
+        manager.recorded(new RolloutStatus("m", "v2", State.IN_PROGRESS, 401), true);
+        receiveUpdate(ORDER, RolloutPhase.ROLLED_BACK);
+        manager.historyReplaced();
+        receiveUpdate(ORDER.withRevision(12), RolloutPhase.ROLLED_BACK);
+        assertEquals(Optional.of(State.ROLLED_BACK), lostState());
     }
 
     @Example
-    void resultThatAPeerTellsAfterARecordWasWrittenAgainIsRecorded() {
-        told(ORDER, RolloutPhase.SAMPLING);
-        keeper.recorded(new RolloutStatus("m", "v2", State.IN_PROGRESS, 401), true);
-        keeper.historyReplaced();
-        told(ORDER.withRevision(12), RolloutPhase.SAMPLING);
-        assertEquals(Optional.of(State.IN_PROGRESS), lost());
-        keeper.recorded(new RolloutStatus("m", "v2", State.IN_PROGRESS, 13), true);
-        assertEquals(Optional.empty(), lost());
-        told(ORDER.withRevision(12), RolloutPhase.ROLLED_BACK);
-        assertEquals(Optional.of(State.ROLLED_BACK), lost());
-        keeper.recorded(new RolloutStatus("m", "v2", State.ROLLED_BACK, 14), true);
-        assertEquals(Optional.empty(), lost());
+    void resultReportedByAPeerAfterARecordWasWrittenAgainIsRecorded() {
+        receiveUpdate(ORDER, RolloutPhase.SAMPLING);
+        manager.recorded(new RolloutStatus("m", "v2", State.IN_PROGRESS, 401), true);
+        manager.historyReplaced();
+        receiveUpdate(ORDER.withRevision(12), RolloutPhase.SAMPLING);
+        assertEquals(Optional.of(State.IN_PROGRESS), lostState());
+        manager.recorded(new RolloutStatus("m", "v2", State.IN_PROGRESS, 13), true);
+        assertEquals(Optional.empty(), lostState());
+        receiveUpdate(ORDER.withRevision(12), RolloutPhase.ROLLED_BACK);
+        assertEquals(Optional.of(State.ROLLED_BACK), lostState());
+        manager.recorded(new RolloutStatus("m", "v2", State.ROLLED_BACK, 14), true);
+        assertEquals(Optional.empty(), lostState());
     }
 
     @Example
-    void withoutAReturnNothingIsRecordedAgain() {
-        told(ORDER, RolloutPhase.ROLLED_BACK);
-        assertEquals(Optional.empty(), lost());
+    void withoutARestoredStoreNothingIsRecordedAgain() {
+        receiveUpdate(ORDER, RolloutPhase.ROLLED_BACK);
+        assertEquals(Optional.empty(), lostState());
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/TurnOrdersTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SendSlotOrdersTest.java
@@ -30,7 +30,7 @@
 import net.jqwik.api.Example;
 
 /** Which turns are whose. */
-class TurnOrdersTest {
+class SendSlotOrdersTest {
     private static final Map<String, String> REGIONS = Map.of("a", "r1", "b", "r1", "c", "r2");
 
     private static GatewayMember member(int number, String dataCentre) {
@@ -49,7 +49,7 @@
     }
 
     @Example
-    void eachOfARegionHasOnePlace() {
+    void eachProcessOfARegionHasOnePlace() {
         List<GatewayMember> listed = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             listed.add(member(i, List.of("a", "b", "c").get(i % 3)));
@@ -64,21 +64,21 @@
     }
 
     @Example
-    void oneThatIsNotListedYetCountsItself() {
+    void unlistedProcessCountsItself() {
         List<GatewayMember> listed = List.of(member(0, "a"), member(2, "a"));
         assertEquals(new SendSlotOrder(1, 3), order(1, "a", listed, 3, "a"));
     }
 
     /** Or all would take every turn when the store has told nothing after a start of all. */
     @Example
-    void whileNobodyIsKnownAPartIsTaken() {
+    void processTakesAShareWhileOthersAreUnknown() {
         assertEquals(10, order(1, "a", List.of(), 1, "a").count());
         assertEquals(340, order(1, "a", List.of(), 340, "a").count());
         assertEquals(8, order(1, "a", List.of(member(1, "a")), 8, "a").count());
     }
 
     @Example
-    void regionWithoutProcessesIsServedByAll() {
+    void slotsOfARegionWithoutProcessesAreSharedByAll() {
         List<GatewayMember> listed = List.of(member(0, "a"), member(1, "b"));
         assertEquals(2, order(0, "a", listed, 2, "c").count());
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SettingsReaderTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SettingsReaderTest.java
@@ -24,7 +24,7 @@
 
 /** Wrong settings are named all at once, with value and expected form. */
 class SettingsReaderTest {
-    private static final String GOOD =
+    private static final String VALID =
             """
             {"node": {"name": "n", "data_centre": "z", "first_start": true},
              "listen": {"callers": "127.0.0.1:1", "health": "127.0.0.1:2",
@@ -37,7 +37,7 @@
 
     @Example
     void readsAllOptionsAndIgnoresUnknownOnes() {
-        GatewaySettings settings = SettingsReader.parse("f", GOOD);
+        GatewaySettings settings = SettingsReader.parse("f", VALID);
         assertEquals("n", settings.node().name());
         assertEquals(8_000, settings.timing().graceMillis());
         assertEquals(10_000, settings.retries().windowMillis());
@@ -45,9 +45,9 @@
     }
 
     @Example
-    void namesEveryFault() {
+    void reportsEveryInvalidOption() {
         String bad =
-                GOOD.replace("\"n\"", "\"\"")
+                VALID.replace("\"n\"", "\"\"")
                         .replace("127.0.0.1:6", "nowhere")
                         .replace("0.2", "\"much\"");
         SettingsException e =
@@ -58,8 +58,8 @@
     }
 
     @Example
-    void keyOfTheVersionBeforeIsRefusedWithItsNewName() {
-        String old = GOOD.replace("data_centre", "zone");
+    void keyOfThePreviousVersionIsRefusedWithItsNewName() {
+        String old = VALID.replace("data_centre", "zone");
         SettingsException e =
                 assertThrows(SettingsException.class, () -> SettingsReader.parse("f", old));
         assertTrue(
@@ -71,7 +71,7 @@
     }
 
     private static final String TWO_REGIONS =
-            GOOD.replace("\"first_start\"", "\"region\": \"r\", \"first_start\"")
+            VALID.replace("\"first_start\"", "\"region\": \"r\", \"first_start\"")
                     .replace(
                             "\"seeds\"",
                             "\"regions\": {\"z\": \"r\", \"y\": \"q\"},"
@@ -89,15 +89,15 @@
     }
 
     @Example
-    void withoutRegionAndMemoryThereIsOneRegionAndNoBound() {
-        GatewaySettings settings = SettingsReader.parse("f", GOOD);
+    void withoutRegionAndMemoryThereIsOneRegionAndNoLimit() {
+        GatewaySettings settings = SettingsReader.parse("f", VALID);
         assertEquals(GatewaySettings.Regions.ONE, settings.regions());
         assertEquals(GatewaySettings.Limits.UNKNOWN, settings.limits());
         assertEquals(2, settings.notes().size(), settings.notes().toString());
     }
 
     @Example
-    void tableOfRegionsWithoutTheOwnOneIsSetAsideWithANote() {
+    void regionTableWithoutTheOwnRegionIsIgnoredWithANote() {
         String bad = TWO_REGIONS.replace("\"z\": \"r\"", "\"x\": \"r\"");
         GatewaySettings settings = SettingsReader.parse("f", bad);
         assertEquals(GatewaySettings.Regions.ONE, settings.regions());
@@ -110,7 +110,7 @@
     }
 
     @Example
-    void memoryBelowZeroIsAFault() {
+    void negativeMemoryIsRefused() {
         String bad = TWO_REGIONS.replace("330", "-1");
         SettingsException e =
                 assertThrows(SettingsException.class, () -> SettingsReader.parse("f", bad));
@@ -118,10 +118,10 @@
     }
 
     @Example
-    void rolloutsAreOrderedOnlyWhereTheSettingsSaySo() {
-        assertEquals(GatewaySettings.Rollouts.NONE, SettingsReader.parse("f", GOOD).rollouts());
+    void rolloutsAreOrderedOnlyWhereTheSettingsEnableThem() {
+        assertEquals(GatewaySettings.Rollouts.NONE, SettingsReader.parse("f", VALID).rollouts());
         String ordered =
-                GOOD.replace(
+                VALID.replace(
                         "\"not_known\"",
                         "\"rollouts\": {\"share\": 0.1, \"allowance\": 50}, \"x\"");
         assertEquals(
@@ -134,7 +134,7 @@
     }
 
     @Example
-    void saysThatAFileIsNoJson() {
+    void fileThatIsNotJsonIsRefused() {
         SettingsException e =
                 assertThrows(SettingsException.class, () -> SettingsReader.parse("f", "node = 1"));
         assertTrue(e.getMessage().contains("is no JSON"), e.getMessage());
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedCluster.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedCluster.java
@@ -44,12 +44,12 @@
  * Gateway processes in virtual time that share one organisation's limit: their real views of each
  * other, limits and plans of links, over links and a store that this class plays.
  *
- * <p>Callers send requests of {@link #UNITS} units at a steady rate, in equal parts to all
+ * <p>Callers send requests of {@link #UNITS_PER_REQUEST} units at a steady rate, in equal parts to all
  * processes that run.
  */
 final class SimulatedCluster {
     /** Size of each request. */
-    static final double UNITS = 10;
+    static final double UNITS_PER_REQUEST = 10;
 
     static final String ORGANISATION = "t";
 
@@ -63,8 +63,8 @@
     static final long WINDOW_MILLIS = 8_000;
 
     private static final long STEP_MILLIS = 20;
-    private static final long LEASE_MILLIS = 8_000;
-    private static final long RENEW_MILLIS = 2_000;
+    private static final long LEASE_TTL_MILLIS = 8_000;
+    private static final long RENEWAL_INTERVAL_MILLIS = 2_000;
     private static final double TOLERANCE = 0.1;
 
     /** Units on top: what the largest limits of the users' deployments have in proportion. */
@@ -74,7 +74,7 @@
     private final Map<String, Long> leaseEnds = new HashMap<>();
     private final Map<String, GatewayMember> entries = new HashMap<>();
     private final Set<Link> links = new HashSet<>();
-    private final Deque<Message> underWay = new ArrayDeque<>();
+    private final Deque<Message> inFlight = new ArrayDeque<>();
     private final TreeMap<Long, Integer> granted = new TreeMap<>();
     private final TreeMap<Long, Integer> refused = new TreeMap<>();
     private BiPredicate<String, String> cut = (one, other) -> false;
@@ -82,9 +82,9 @@
     private long bytesBetweenRegions;
     private ServingPolicy policy;
     private Runnable onStep = () -> {};
-    private Set<String> older = Set.of();
+    private Set<String> olderBuildNames = Set.of();
     private double demand;
-    private double mostAllowed;
+    private double maxAllowedUnits;
     private long now;
     private long messages;
     private long bytes;
@@ -116,7 +116,7 @@
             GatewayMember member = new GatewayMember(name, dataCentre, name + ":1", linkMbps, 1);
             processes.put(name, new SimulatedProcess(this, member, i * 7L % 200));
             entries.put(name, member);
-            leaseEnds.put(name, LEASE_MILLIS);
+            leaseEnds.put(name, LEASE_TTL_MILLIS);
         }
         processes.values().forEach(process -> process.start(true));
     }
@@ -165,7 +165,7 @@
                         List.of(organisation),
                         RequestBounds.DEFAULTS);
         double measured = perSecond * (WINDOW_MILLIS / 1000.0 + 1);
-        mostAllowed = measured * (1 + TOLERANCE) + TOLERANCE_UNITS;
+        maxAllowedUnits = measured * (1 + TOLERANCE) + TOLERANCE_UNITS;
         processes.values().forEach(SimulatedProcess::policyChanged);
     }
 
@@ -200,13 +200,13 @@
     }
 
     /** Has the store tell a change of the list of upstreams to all that follow it now. */
-    void storeTells(StoreItem item) {
-        followers().forEach(name -> processes.get(name).storeTells(item));
+    void deliverStoreChange(StoreItem item) {
+        followers().forEach(name -> processes.get(name).storeChanged(item));
     }
 
     /** Has the store answer a process, or not. */
-    void storeAnswers(String name, boolean answers) {
-        processes.get(name).storeAnswers(answers);
+    void setStoreReachable(String name, boolean answers) {
+        processes.get(name).setStoreReachable(answers);
     }
 
     /** Returns the processes that follow the store themselves. */
@@ -258,13 +258,13 @@
     }
 
     /** Has time pass. */
-    void pass(long millis) {
+    void advance(long millis) {
         long end = now + millis;
         while (now < end) {
             now += STEP_MILLIS;
             deliver();
             processes.values().forEach(this::step);
-            ask();
+            sendRequests();
             onStep.run();
         }
     }
@@ -276,21 +276,21 @@
 
     /** Returns the units that were let pass from a time on. */
     double grantedSince(long millis) {
-        return UNITS
+        return UNITS_PER_REQUEST
                 * granted.tailMap(millis, false).values().stream().mapToInt(count -> count).sum();
     }
 
     /** Returns the part of what one window allows that the fullest window passed; at most 1. */
-    double fullestWindow() {
+    double fullestWindowShare() {
         double most = 0;
         for (long end : granted.keySet()) {
             int requests =
                     granted.subMap(end - WINDOW_MILLIS, false, end, true).values().stream()
                             .mapToInt(count -> count)
                             .sum();
-            most = Math.max(most, requests * UNITS);
+            most = Math.max(most, requests * UNITS_PER_REQUEST);
         }
-        return most / mostAllowed;
+        return most / maxAllowedUnits;
     }
 
     /** Returns the processes that the store lists. */
@@ -306,7 +306,7 @@
     }
 
     /** Has an entry stand in the store although there is no such process. */
-    void ghost(String name, String dataCentre, long forMillis) {
+    void addEntryWithoutProcess(String name, String dataCentre, long forMillis) {
         entries.put(name, new GatewayMember(name, dataCentre, name + ":1", 1, 1));
         leaseEnds.put(name, now + forMillis);
     }
@@ -330,7 +330,7 @@
     }
 
     /** Closes the links that a process opened and does not want any more. */
-    void closeUnwanted(String dialler, Set<String> wantedAddresses) {
+    void closeUnplanned(String dialler, Set<String> wantedAddresses) {
         links.removeIf(
                 link ->
                         link.dialler().equals(dialler)
@@ -342,16 +342,16 @@
     }
 
     /** Has some processes be of a build that neither tells nor reads epochs of the store. */
-    void older(Collection<String> names) {
-        older = Set.copyOf(names);
+    void olderBuildNames(Collection<String> names) {
+        olderBuildNames = Set.copyOf(names);
     }
 
-    boolean isOlder(String name) {
-        return older.contains(name);
+    boolean isOlderBuild(String name) {
+        return olderBuildNames.contains(name);
     }
 
-    private NodeMessage readable(NodeHello from, String to, NodeMessage message) {
-        boolean between = older.contains(from.name()) || older.contains(to);
+    private NodeMessage withoutUnknownSections(NodeHello from, String to, NodeMessage message) {
+        boolean between = olderBuildNames.contains(from.name()) || olderBuildNames.contains(to);
         if (!between || !(message instanceof NodeDigest digest)) {
             return message;
         }
@@ -378,7 +378,7 @@
         if (isBetweenRegions(from.name(), to)) {
             bytesBetweenRegions += PeerCodec.encode(message).length;
         }
-        underWay.add(new Message(from, to, readable(from, to, message)));
+        inFlight.add(new Message(from, to, withoutUnknownSections(from, to, message)));
         messages++;
         bytes += PeerCodec.encode(message).length;
     }
@@ -394,8 +394,8 @@
     }
 
     private void deliver() {
-        List<Message> due = List.copyOf(underWay);
-        underWay.clear();
+        List<Message> due = List.copyOf(inFlight);
+        inFlight.clear();
         for (Message message : due) {
             SimulatedProcess target = processes.get(message.to());
             if (target != null && linked(message.from().name(), message.to())) {
@@ -409,21 +409,21 @@
             return;
         }
         process.step(now);
-        if (now % RENEW_MILLIS == 0) {
-            leaseEnds.put(process.member().name(), now + LEASE_MILLIS);
+        if (now % RENEWAL_INTERVAL_MILLIS == 0) {
+            leaseEnds.put(process.member().name(), now + LEASE_TTL_MILLIS);
         }
     }
 
-    private void ask() {
+    private void sendRequests() {
         List<SimulatedProcess> running =
                 processes.values().stream().filter(SimulatedProcess::isRunning).toList();
         for (SimulatedProcess process : running) {
-            int requests = process.due(demand / running.size() * STEP_MILLIS / 1000.0 / UNITS);
+            int requests = process.wholeRequests(demand / running.size() * STEP_MILLIS / 1000.0 / UNITS_PER_REQUEST);
             for (int i = 0; i < requests; i++) {
                 TreeMap<Long, Integer> counts = process.tryTake(now) ? granted : refused;
                 counts.merge(now, 1, Integer::sum);
             }
-            process.tellSoon();
+            process.sendRequestedDigest();
         }
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedProcess.java
@@ -50,10 +50,10 @@
 
 /** One process of a {@link SimulatedCluster}. */
 final class SimulatedProcess {
-    private static final long DIAL_MILLIS = 400;
-    private static final long SILENT_MILLIS = 2_500;
-    private static final long SETTLING_LIST_MILLIS = 1_000;
-    private static final long LIST_MILLIS = 3_000;
+    private static final long DIAL_INTERVAL_MILLIS = 400;
+    private static final long PEER_TIMEOUT_MILLIS = 2_500;
+    private static final long STARTUP_LIST_INTERVAL_MILLIS = 1_000;
+    private static final long LIST_INTERVAL_MILLIS = 3_000;
 
     /** Length of the windows of usage, in milliseconds. */
     static final long USAGE_WINDOW_MILLIS = 5_000;
@@ -61,11 +61,11 @@
     private final SimulatedCluster cluster;
     private final GatewayMember member;
     private final long offsetMillis;
-    private final Map<String, Long> heardMillis = new HashMap<>();
+    private final Map<String, Long> lastReceivedMillis = new HashMap<>();
     private final UpstreamDirectory upstreams = new UpstreamDirectory();
     private Topology topology;
-    private DirectoryKeeper directory;
-    private PolicyKeeper policies;
+    private DirectoryManager directory;
+    private PolicyManager policies;
     private UpstreamLoads loads;
     private LinkPlanner planner;
     private LinkPlan plan;
@@ -75,16 +75,16 @@
     private CrashWatch crashes;
     private UpstreamLimits limits;
     private StoreHealth health;
-    private boolean fed;
+    private boolean suppliedByPeers;
     private NodeHello hello;
     private boolean planned;
     private boolean running;
     private boolean frozen;
-    private boolean tellsSoon;
-    private int life;
+    private boolean earlyDigestRequested;
+    private int incarnation;
     private long startedMillis;
     private long listAtMillis;
-    private double owed;
+    private double fractionalRequests;
 
     SimulatedProcess(SimulatedCluster cluster, GatewayMember member, long offsetMillis) {
         this.cluster = cluster;
@@ -93,7 +93,7 @@
     }
 
     void start(boolean firstStart) {
-        life++;
+        incarnation++;
         running = true;
         planned = false;
         plan = new LinkPlan(true, Set.of());
@@ -102,18 +102,18 @@
         hello =
                 new NodeHello(
                         member.name(),
-                        Integer.toString(life),
+                        Integer.toString(incarnation),
                         member.dataCentre(),
                         member.address());
         quotas = new Quotas(firstStart, cluster.tolerance());
         GatewayMetrics metrics = new GatewayMetrics();
         PlatformFormat format = new VersionFormat();
-        policies = new PolicyKeeper(format);
+        policies = new PolicyManager(format);
         health = new StoreHealth(metrics);
-        directory = new DirectoryKeeper(format, upstreams, cluster::now, task -> {});
+        directory = new DirectoryManager(format, upstreams, cluster::now, task -> {});
         health.history().onReplaced(directory::historyReplaced);
-        fed = false;
-        usage = new UsageLedger(member.name() + '/' + life, USAGE_WINDOW_MILLIS);
+        suppliedByPeers = false;
+        usage = new UsageLedger(member.name() + '/' + incarnation, USAGE_WINDOW_MILLIS);
         loads = new UpstreamLoads();
         view =
                 new ClusterView(
@@ -129,16 +129,16 @@
                         metrics,
                         !firstStart);
         crashes = new CrashWatch(cluster::now, metrics);
-        limits = new UpstreamLimits(cluster::now, this::turns);
-        view.add(LimitPart.of(limits, cluster::now, () -> tellsSoon = true));
-        view.add(new CrashPart(crashes, member.name().hashCode() * 31L + life));
-        crashes.onOwnNews(view::sendDigestsSoon);
-        quotas.onMuchUnreported(() -> tellsSoon = true);
+        limits = new UpstreamLimits(cluster::now, this::sendSlotOrder);
+        view.add(LimitPart.of(limits, cluster::now, () -> earlyDigestRequested = true));
+        view.add(new CrashPart(crashes, member.name().hashCode() * 31L + incarnation));
+        crashes.onNewEnd(view::sendDigestsSoon);
+        quotas.onMuchUnreported(() -> earlyDigestRequested = true);
         view.start(new Links(), () -> false);
         quotas.applyPolicy(cluster.policy(), cluster.now());
         startedMillis = cluster.now();
         listAtMillis = startedMillis;
-        heardMillis.clear();
+        lastReceivedMillis.clear();
     }
 
     void stop() {
@@ -161,11 +161,11 @@
         return upstreams;
     }
 
-    DirectoryKeeper directory() {
+    DirectoryManager directory() {
         return directory;
     }
 
-    PolicyKeeper policies() {
+    PolicyManager policies() {
         return policies;
     }
 
@@ -181,7 +181,7 @@
         return limits;
     }
 
-    private SendSlotOrder turns(Upstream upstream) {
+    private SendSlotOrder sendSlotOrder(Upstream upstream) {
         List<String> names = cluster.names();
         return new SendSlotOrder(names.indexOf(member.name()), names.size());
     }
@@ -207,34 +207,34 @@
     }
 
     /** Tells how many requests come now, if so many are expected on average. */
-    int due(double requests) {
-        owed += requests;
-        int whole = (int) owed;
-        owed -= whole;
+    int wholeRequests(double requests) {
+        fractionalRequests += requests;
+        int whole = (int) fractionalRequests;
+        fractionalRequests -= whole;
         return whole;
     }
 
     /** Tells peers what could not wait, once the requests of this moment are decided. */
-    void tellSoon() {
-        if (tellsSoon) {
-            tellsSoon = false;
+    void sendRequestedDigest() {
+        if (earlyDigestRequested) {
+            earlyDigestRequested = false;
             view.sendDigestsSoon();
         }
     }
 
     boolean tryTake(long now) {
-        return quotas.tryTake(SimulatedCluster.ORGANISATION, SimulatedCluster.UNITS, now) == 0;
+        return quotas.tryTake(SimulatedCluster.ORGANISATION, SimulatedCluster.UNITS_PER_REQUEST, now) == 0;
     }
 
     void step(long now) {
         if (now >= listAtMillis) {
             planner.members(cluster.listed());
             planned = true;
-            boolean settling = now - startedMillis < LIST_MILLIS;
-            listAtMillis = now + (settling ? SETTLING_LIST_MILLIS : LIST_MILLIS);
+            boolean settling = now - startedMillis < LIST_INTERVAL_MILLIS;
+            listAtMillis = now + (settling ? STARTUP_LIST_INTERVAL_MILLIS : LIST_INTERVAL_MILLIS);
         }
-        if ((now + offsetMillis) % DIAL_MILLIS < 20) {
-            maintain(now);
+        if ((now + offsetMillis) % DIAL_INTERVAL_MILLIS < 20) {
+            maintainLinks(now);
         }
         if ((now + offsetMillis) % ClusterView.DIGEST_INTERVAL_MILLIS < 20) {
             view.tick();
@@ -242,14 +242,14 @@
     }
 
     /** Tells a change of the list of upstreams as the store would. */
-    void storeTells(StoreItem item) {
+    void storeChanged(StoreItem item) {
         if (isRunning()) {
             directory.changed(item);
         }
     }
 
     /** Has the store lost to this process, or answering it again. */
-    void storeAnswers(boolean answers) {
+    void setStoreReachable(boolean answers) {
         if (answers) {
             health.answered();
         } else {
@@ -264,8 +264,8 @@
 
     /** Tells whether this process would follow the store itself. */
     boolean followsStore() {
-        fed = view.isFed(fed);
-        return !fed;
+        suppliedByPeers = view.isFed(suppliedByPeers);
+        return !suppliedByPeers;
     }
 
     long directoryRevision() {
@@ -274,7 +274,7 @@
 
     void linked(NodeHello peer) {
         planner.reached(peer.address());
-        heardMillis.put(peer.name(), cluster.now());
+        lastReceivedMillis.put(peer.name(), cluster.now());
         view.linked(peer);
     }
 
@@ -284,20 +284,20 @@
 
     void received(NodeHello peer, NodeMessage message) {
         if (isRunning()) {
-            heardMillis.put(peer.name(), cluster.now());
+            lastReceivedMillis.put(peer.name(), cluster.now());
             view.received(peer, message);
         }
     }
 
-    private void maintain(long now) {
-        for (Map.Entry<String, Long> heard : Map.copyOf(heardMillis).entrySet()) {
+    private void maintainLinks(long now) {
+        for (Map.Entry<String, Long> heard : Map.copyOf(lastReceivedMillis).entrySet()) {
             String address = heard.getKey() + ":1";
             boolean ownHub = !plan.hub() && plan.dial().contains(address);
-            long most = ownHub ? PeerMesh.HEARD_MILLIS : SILENT_MILLIS;
+            long most = ownHub ? PeerMesh.PEER_REACHABLE_MILLIS : PEER_TIMEOUT_MILLIS;
             if (cluster.linked(member.name(), heard.getKey()) && now - heard.getValue() > most) {
                 planner.unreachable(address, now);
                 cluster.close(member.name(), heard.getKey());
-                heardMillis.remove(heard.getKey());
+                lastReceivedMillis.remove(heard.getKey());
             }
         }
         if (planned) {
@@ -306,7 +306,7 @@
         boolean few =
                 planner.size() <= HubTopology.FULL_MESH_MAX_PROCESSES && topology.isOneRegion();
         if (planned && !few) {
-            cluster.closeUnwanted(member.name(), plan.dial());
+            cluster.closeUnplanned(member.name(), plan.dial());
         }
         for (String address : plan.dial()) {
             String name = address.substring(0, address.indexOf(':'));
@@ -317,7 +317,7 @@
     }
 
     /** Policies of which only the version is written. */
-    private static final class VersionFormat extends NoFormat {
+    private static final class VersionFormat extends EmptyPlatformFormat {
         @Override
         public Either<String, ServingPolicy> policy(byte[] value) {
             long version = Long.parseLong(new String(value, StandardCharsets.US_ASCII));
@@ -367,7 +367,7 @@
         }
 
         @Override
-        public boolean isFedBy(NodeHello peer) {
+        public boolean receivesUpdatesFrom(NodeHello peer) {
             boolean follower = isStoreFollower(peer.name()) && !followsStoreForHubs();
             return plan.hub() ? follower : isOwnHub(peer);
         }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedStore.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SimulatedStore.java
@@ -34,28 +34,28 @@
  */
 final class SimulatedStore {
     private static final long LOST_REVISIONS = 400;
-    private static final long HUB_CALLS_MILLIS = 900;
-    private static final long LEAF_CALLS_MILLIS = 3_000;
-    private static final long ANSWER_MILLIS = 40;
+    private static final long HUB_CALL_INTERVAL_MILLIS = 900;
+    private static final long LEAF_CALL_INTERVAL_MILLIS = 3_000;
+    private static final long ANSWER_DELAY_MILLIS = 40;
     private static final int UPSTREAMS = 5;
 
     private final SimulatedCluster cluster;
     private final TreeMap<String, StoreItem> items = new TreeMap<>();
     private final Map<String, Follower> followers = new HashMap<>();
     private final Set<String> cutOff = new HashSet<>();
-    private TreeMap<String, StoreItem> copy = new TreeMap<>();
+    private TreeMap<String, StoreItem> savedItems = new TreeMap<>();
     private long copiedRevision;
     private long revision = 10;
     private long epoch;
-    private int lists;
+    private int listCalls;
 
     /** What a process that follows the store has asked it. */
     private static final class Follower {
         private long epoch;
         private long revision;
-        private long listsAtMillis = -1;
-        private boolean watches;
-        private boolean silent;
+        private long listDueMillis = -1;
+        private boolean watching;
+        private boolean stalled;
     }
 
     /**
@@ -68,7 +68,7 @@
         this.epoch = epoch;
         cluster.onStep(this::serve);
         for (String name : cluster.names()) {
-            cluster.process(name).view().onMissedChange(() -> watchAnew(name));
+            cluster.process(name).view().onMissedChange(() -> restartWatch(name));
         }
         for (int i = 0; i < UPSTREAMS; i++) {
             put("u" + i);
@@ -80,29 +80,29 @@
     }
 
     /** Returns how often it was asked for all upstreams. */
-    int lists() {
-        return lists;
+    int listCalls() {
+        return listCalls;
     }
 
     /** Has no call of some processes reach it. */
     void cutOff(List<String> names) {
-        names.forEach(name -> cluster.storeAnswers(name, false));
+        names.forEach(name -> cluster.setStoreReachable(name, false));
         cutOff.addAll(names);
     }
 
     /** Has a process's watch wait on unheard. */
-    void silence(String name) {
-        followers.get(name).silent = true;
+    void stallWatch(String name) {
+        followers.get(name).stalled = true;
     }
 
-    private void watchAnew(String name) {
-        followers.get(name).watches = false;
+    private void restartWatch(String name) {
+        followers.get(name).watching = false;
     }
 
     /** Returns the processes whose watches wait. */
     List<String> watching() {
         return followers.entrySet().stream()
-                .filter(entry -> entry.getValue().watches)
+                .filter(entry -> entry.getValue().watching)
                 .map(Map.Entry::getKey)
                 .sorted()
                 .toList();
@@ -118,30 +118,30 @@
         items.remove(id);
         revision++;
         StoreItem gone = new StoreItem("upstream/" + id, new byte[0], revision, 0, true);
-        followers.forEach((name, follower) -> tell(name, follower, gone));
+        followers.forEach((name, follower) -> notifyFollower(name, follower, gone));
     }
 
     /** Copies what it holds, then has upstreams write, so that a return loses revisions. */
     void copyAndWrite() {
-        copy = new TreeMap<>(items);
+        savedItems = new TreeMap<>(items);
         copiedRevision = revision;
         for (int i = 0; i < LOST_REVISIONS; i++) {
             put("lost" + i % 7);
         }
-        cluster.pass(1_000);
+        cluster.advance(1_000);
     }
 
     /** Comes back; no call fails, and who waits for a change hears of none. */
-    void comeBack() {
+    void restoreFromCopy() {
         items.clear();
-        items.putAll(copy);
+        items.putAll(savedItems);
         revision = copiedRevision;
         epoch++;
         followers.forEach(
                 (name, follower) -> {
-                    follower.silent = true;
+                    follower.stalled = true;
                     // refused: it asks for changes after a revision that is not there
-                    follower.watches &= !cluster.isOlder(name);
+                    follower.watching &= !cluster.isOlderBuild(name);
                 });
     }
 
@@ -154,16 +154,16 @@
             if (!process.isRunning() || cutOff.contains(name)) {
                 continue;
             }
-            long pause = process.isHub() ? HUB_CALLS_MILLIS : LEAF_CALLS_MILLIS;
+            long pause = process.isHub() ? HUB_CALL_INTERVAL_MILLIS : LEAF_CALL_INTERVAL_MILLIS;
             if ((now + number * 140L) % pause < 20) {
-                answered(process);
+                recordAnswer(process);
             }
             follow(name, process, now);
         }
     }
 
-    private void answered(SimulatedProcess process) {
-        if (!cluster.isOlder(process.member().name())) {
+    private void recordAnswer(SimulatedProcess process) {
+        if (!cluster.isOlderBuild(process.member().name())) {
             process.health().history().isCurrent(epoch);
         }
         process.health().answered();
@@ -172,45 +172,45 @@
     private void follow(String name, SimulatedProcess process, long now) {
         Follower follower = followers.computeIfAbsent(name, key -> new Follower());
         if (!process.followsStore()) {
-            follower.watches = false;
-            follower.listsAtMillis = -1;
+            follower.watching = false;
+            follower.listDueMillis = -1;
             return;
         }
         boolean same = follower.epoch == process.health().history().epoch();
-        if (follower.watches && (same || cluster.isOlder(name))) {
+        if (follower.watching && (same || cluster.isOlderBuild(name))) {
             watch(name, follower);
             return;
         }
-        if (follower.listsAtMillis < 0) {
-            follower.listsAtMillis = now + ANSWER_MILLIS;
-        } else if (now >= follower.listsAtMillis) {
+        if (follower.listDueMillis < 0) {
+            follower.listDueMillis = now + ANSWER_DELAY_MILLIS;
+        } else if (now >= follower.listDueMillis) {
             list(process, follower);
         }
     }
 
     private void list(SimulatedProcess process, Follower follower) {
-        lists++;
-        answered(process);
+        listCalls++;
+        recordAnswer(process);
         process.directory().listed(List.copyOf(items.values()), revision);
         follower.epoch = epoch;
         follower.revision = revision;
-        follower.watches = true;
-        follower.silent = false;
-        follower.listsAtMillis = -1;
+        follower.watching = true;
+        follower.stalled = false;
+        follower.listDueMillis = -1;
     }
 
     private void watch(String name, Follower follower) {
         for (StoreItem item : List.copyOf(items.values())) {
             if (item.revision() > follower.revision) {
-                tell(name, follower, item);
+                notifyFollower(name, follower, item);
             }
         }
     }
 
-    private void tell(String name, Follower follower, StoreItem item) {
-        if (follower.watches && !follower.silent && !cutOff.contains(name)) {
+    private void notifyFollower(String name, Follower follower, StoreItem item) {
+        if (follower.watching && !follower.stalled && !cutOff.contains(name)) {
             follower.revision = Math.max(follower.revision, item.revision());
-            cluster.process(name).storeTells(item);
+            cluster.process(name).storeChanged(item);
         }
     }
 
@@ -226,7 +226,7 @@
             Map<String, String> expected = new TreeMap<>();
             items.forEach((id, item) -> expected.put(id, new String(item.value(), UTF_8)));
             boolean onHistory =
-                    process.health().history().epoch() == epoch || cluster.isOlder(name);
+                    process.health().history().epoch() == epoch || cluster.isOlderBuild(name);
             if (!onHistory || !held.equals(expected)) {
                 behind.add(name);
             }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SilentWatchTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StalledWatchTest.java
@@ -25,9 +25,9 @@
  * A process that follows the store for others hears nothing of it any more, though its watch waits
  * and its other calls are answered: what changes is known to all within two seconds all the same.
  */
-class SilentWatchTest {
-    private static final long CALM_MILLIS = 4_000;
-    private static final long KNOWN_MILLIS = 2_000;
+class StalledWatchTest {
+    private static final long SETTLE_MILLIS = 4_000;
+    private static final long PROPAGATION_MILLIS = 2_000;
 
     private SimulatedCluster cluster;
     private SimulatedStore store;
@@ -35,63 +35,63 @@
     private void start(int dataCentres, int ofEach) {
         cluster = new SimulatedCluster(dataCentres, ofEach, 10_000);
         store = new SimulatedStore(cluster, 0);
-        cluster.pass(CALM_MILLIS);
+        cluster.advance(SETTLE_MILLIS);
         store.put("u0");
-        cluster.pass(CALM_MILLIS);
+        cluster.advance(SETTLE_MILLIS);
         assertEquals(List.of(), store.behind());
     }
 
     private void assertKnownWithin(long millis) {
         long until = cluster.now() + millis;
         while (cluster.now() < until && !store.behind().isEmpty()) {
-            cluster.pass(100);
+            cluster.advance(100);
         }
         assertEquals(List.of(), store.behind(), "not known after " + millis + " ms");
     }
 
     // Guards against leaves that wait with their hub for a watch that hears nothing.
-    private void assertLeaversAreKnownThoughOneIsSilent(int dataCentres, int ofEach) {
+    private void assertChangesAreKnownDespiteAStalledWatch(int dataCentres, int ofEach) {
         start(dataCentres, ofEach);
         for (String follower : store.watching()) {
-            store.silence(follower);
+            store.stallWatch(follower);
             store.remove("u1");
-            assertKnownWithin(KNOWN_MILLIS);
+            assertKnownWithin(PROPAGATION_MILLIS);
             store.put("u1");
-            assertKnownWithin(KNOWN_MILLIS);
-            cluster.pass(CALM_MILLIS);
+            assertKnownWithin(PROPAGATION_MILLIS);
+            cluster.advance(SETTLE_MILLIS);
         }
     }
 
     @Example
     void sixProcesses() {
-        assertLeaversAreKnownThoughOneIsSilent(1, 6);
+        assertChangesAreKnownDespiteAStalledWatch(1, 6);
     }
 
     @Example
     void fourteenProcesses() {
-        assertLeaversAreKnownThoughOneIsSilent(1, 14);
+        assertChangesAreKnownDespiteAStalledWatch(1, 14);
     }
 
     @Example
     void ninetyFiveProcesses() {
-        assertLeaversAreKnownThoughOneIsSilent(5, 19);
+        assertChangesAreKnownDespiteAStalledWatch(5, 19);
     }
 
     @Example
     void threeHundredAndFortyProcesses() {
-        assertLeaversAreKnownThoughOneIsSilent(8, 42);
+        assertChangesAreKnownDespiteAStalledWatch(8, 42);
     }
 
     // Guards against lists of the store that are read anew because others were.
     @Example
-    void listsOfOthersAreNoReasonToList() {
+    void restartOfAFollowerCausesFewLists() {
         start(3, 10);
-        int before = store.lists();
+        int before = store.listCalls();
         String follower = store.watching().get(0);
         cluster.kill(follower);
         cluster.restart(follower);
-        cluster.pass(20_000);
-        int more = store.lists() - before;
+        cluster.advance(20_000);
+        int more = store.listCalls() - before;
         assertTrue(more <= 6, more + " lists");
         assertEquals(List.of(), store.behind());
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StartingRequestsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StartupRequestQueueTest.java
@@ -24,15 +24,15 @@
 import net.jqwik.api.Example;
 
 /** What becomes of requests that a process takes before it knows policy and upstreams. */
-class StartingRequestsTest {
+class StartupRequestQueueTest {
     private final TreeMap<Long, List<Runnable>> timers = new TreeMap<>();
     private final List<String> accepted = new ArrayList<>();
     private final List<String> refused = new ArrayList<>();
-    private final List<String> left = new ArrayList<>();
+    private final List<String> cancelled = new ArrayList<>();
     private long now;
     private boolean informed;
 
-    private final StartupRequestQueue<String> starting =
+    private final StartupRequestQueue<String> queue =
             new StartupRequestQueue<>(
                     () -> now,
                     (delay, task) ->
@@ -54,11 +54,11 @@
 
         @Override
         public boolean isOver(String request) {
-            return left.contains(request);
+            return cancelled.contains(request);
         }
     }
 
-    private void passTo(long millis) {
+    private void advanceTo(long millis) {
         while (!timers.isEmpty() && timers.firstKey() <= millis) {
             var due = timers.pollFirstEntry();
             now = due.getKey();
@@ -68,48 +68,48 @@
     }
 
     @Example
-    void requestIsServedOnceAllIsKnown() {
-        starting.hold("r1");
-        passTo(100);
+    void requestIsAcceptedOncePolicyAndUpstreamsAreKnown() {
+        queue.hold("r1");
+        advanceTo(100);
         assertTrue(accepted.isEmpty());
         informed = true;
-        passTo(120);
+        advanceTo(120);
         assertEquals(List.of("r1"), accepted);
         assertTrue(refused.isEmpty());
     }
 
     @Example
-    void requestsAreServedInTheOrderInWhichTheyCame() {
-        starting.hold("r1");
-        passTo(50);
-        starting.hold("r2");
+    void requestsAreAcceptedInOrderOfArrival() {
+        queue.hold("r1");
+        advanceTo(50);
+        queue.hold("r2");
         informed = true;
-        passTo(100);
+        advanceTo(100);
         assertEquals(List.of("r1", "r2"), accepted);
     }
 
     @Example
     void requestIsRefusedWhenItWasHeldForTooLong() {
-        starting.hold("r1");
-        passTo(StartupRequestQueue.MAX_HOLD_MILLIS - 1);
+        queue.hold("r1");
+        advanceTo(StartupRequestQueue.MAX_HOLD_MILLIS - 1);
         assertTrue(refused.isEmpty());
-        passTo(StartupRequestQueue.MAX_HOLD_MILLIS + 20);
+        advanceTo(StartupRequestQueue.MAX_HOLD_MILLIS + 20);
         assertEquals(List.of("r1"), refused);
     }
 
     @Example
-    void processThatStillKnowsNothingLongAfterItsStartRefusesAtOnce() {
-        passTo(StartupRequestQueue.STARTUP_WINDOW_MILLIS);
-        starting.hold("r1");
+    void uninformedProcessRefusesAtOnceAfterTheStartupWindow() {
+        advanceTo(StartupRequestQueue.STARTUP_WINDOW_MILLIS);
+        queue.hold("r1");
         assertEquals(List.of("r1"), refused);
     }
 
     @Example
-    void requestWhoseCallerHasLeftIsForgotten() {
-        starting.hold("r1");
-        left.add("r1");
+    void requestWhoseCallerHasLeftIsDropped() {
+        queue.hold("r1");
+        cancelled.add("r1");
         informed = true;
-        passTo(1_000);
+        advanceTo(1_000);
         assertTrue(accepted.isEmpty());
         assertTrue(refused.isEmpty());
         assertTrue(timers.isEmpty());
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreCallsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreCallsTest.java
@@ -29,14 +29,14 @@
     private final StoreCalls calls = new StoreCalls(new GatewayMetrics());
 
     @Example
-    void eachCallIsToldOnce() {
-        calls.made(Purpose.MEMBERS, Kind.RENEWAL);
-        calls.made(Purpose.MEMBERS, Kind.RENEWAL);
-        calls.made(Purpose.POLICY, Kind.FRESH_READ);
-        List<Count> told = calls.takeUntold();
+    void eachCallIsReportedOnce() {
+        calls.countCall(Purpose.MEMBERS, Kind.RENEWAL);
+        calls.countCall(Purpose.MEMBERS, Kind.RENEWAL);
+        calls.countCall(Purpose.POLICY, Kind.FRESH_READ);
+        List<Count> told = calls.takeUnreported();
         assertEquals(2, told.size());
         assertTrue(told.contains(new Count(Purpose.MEMBERS, Kind.RENEWAL, 2)));
         assertTrue(told.contains(new Count(Purpose.POLICY, Kind.FRESH_READ, 1)));
-        assertTrue(calls.takeUntold().isEmpty());
+        assertTrue(calls.takeUnreported().isEmpty());
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreEpochHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreEpochHistoriesTest.java
@@ -29,16 +29,16 @@
  * watches of before wait on unheard.
  */
 class StoreEpochHistoriesTest {
-    private static final long CALM_MILLIS = 4_000;
+    private static final long SETTLE_MILLIS = 4_000;
 
     /** Within which time each process is on the new history. */
-    private static final long KNOWN_MILLIS = 2_000;
+    private static final long EPOCH_PROPAGATION_MILLIS = 2_000;
 
     /** The same where only older builds could tell it: each process makes a call in 3 s. */
-    private static final long BESIDE_OLDER_MILLIS = 4_000;
+    private static final long EPOCH_PROPAGATION_WITH_OLDER_BUILDS_MILLIS = 4_000;
 
     /** Within which time a change is known to all in calm times. */
-    private static final long TOLD_MILLIS = 1_000;
+    private static final long CHANGE_PROPAGATION_MILLIS = 1_000;
 
     private SimulatedCluster cluster;
     private SimulatedStore store;
@@ -50,16 +50,16 @@
 
     private void run() {
         store = new SimulatedStore(cluster, 1);
-        cluster.pass(CALM_MILLIS);
+        cluster.advance(SETTLE_MILLIS);
         store.put("u0");
-        cluster.pass(CALM_MILLIS);
-        assertOnHistoryWithin(0);
+        cluster.advance(SETTLE_MILLIS);
+        assertAllCurrentWithin(0);
     }
 
-    private void assertOnHistoryWithin(long millis) {
+    private void assertAllCurrentWithin(long millis) {
         long until = cluster.now() + millis;
         while (cluster.now() < until && !store.behind().isEmpty()) {
-            cluster.pass(100);
+            cluster.advance(100);
         }
         assertEquals(
                 List.of(),
@@ -67,102 +67,102 @@
                 "not on epoch " + store.epoch() + " after " + millis + " ms");
     }
 
-    private void assertHearsOnAfterReturn(int dataCentres, int ofEach) {
+    private void assertChangesAreReceivedAfterRestore(int dataCentres, int ofEach) {
         start(dataCentres, ofEach);
         store.copyAndWrite();
-        int before = store.lists();
-        store.comeBack();
-        assertOnHistoryWithin(KNOWN_MILLIS);
+        int before = store.listCalls();
+        store.restoreFromCopy();
+        assertAllCurrentWithin(EPOCH_PROPAGATION_MILLIS);
         int processes = dataCentres * ofEach;
         assertTrue(
-                store.lists() - before <= 2 * processes,
-                store.lists() - before + " lists of " + processes);
+                store.listCalls() - before <= 2 * processes,
+                store.listCalls() - before + " lists of " + processes);
         store.put("later");
-        cluster.pass(TOLD_MILLIS);
+        cluster.advance(CHANGE_PROPAGATION_MILLIS);
         store.remove("u1");
-        assertOnHistoryWithin(TOLD_MILLIS);
+        assertAllCurrentWithin(CHANGE_PROPAGATION_MILLIS);
     }
 
     @Example
     void twoProcesses() {
-        assertHearsOnAfterReturn(1, 2);
+        assertChangesAreReceivedAfterRestore(1, 2);
     }
 
     @Example
     void fourteenProcesses() {
-        assertHearsOnAfterReturn(1, 14);
+        assertChangesAreReceivedAfterRestore(1, 14);
     }
 
     @Example
     void eightyProcesses() {
-        assertHearsOnAfterReturn(3, 27);
+        assertChangesAreReceivedAfterRestore(3, 27);
     }
 
     @Example
     void threeHundredAndFortyProcesses() {
-        assertHearsOnAfterReturn(8, 42);
+        assertChangesAreReceivedAfterRestore(8, 42);
     }
 
     @Example
-    void secondReturnDuringTheFirst() {
+    void secondRestoreDuringTheFirst() {
         start(3, 10);
         store.copyAndWrite();
-        store.comeBack();
-        cluster.pass(400);
-        store.comeBack();
-        assertOnHistoryWithin(KNOWN_MILLIS);
+        store.restoreFromCopy();
+        cluster.advance(400);
+        store.restoreFromCopy();
+        assertAllCurrentWithin(EPOCH_PROPAGATION_MILLIS);
         store.remove("u1");
-        assertOnHistoryWithin(TOLD_MILLIS);
+        assertAllCurrentWithin(CHANGE_PROPAGATION_MILLIS);
     }
 
     @Example
-    void processesThatCannotReachTheStoreAreTold() {
+    void processesThatCannotReachTheStoreAreNotified() {
         start(3, 10);
         store.copyAndWrite();
         List<String> apart = cluster.namesOf("dc1");
         store.cutOff(apart);
-        store.comeBack();
-        assertOnHistoryWithin(KNOWN_MILLIS);
+        store.restoreFromCopy();
+        assertAllCurrentWithin(EPOCH_PROPAGATION_MILLIS);
         store.remove("u1");
-        assertOnHistoryWithin(TOLD_MILLIS);
+        assertAllCurrentWithin(CHANGE_PROPAGATION_MILLIS);
     }
 
     @Example
-    void dataCentreThatIsCutOffFromTheOthersHearsTheStore() {
+    void dataCentreThatIsCutOffFromTheOthersFollowsTheStore() {
         start(3, 10);
         store.copyAndWrite();
         Set<String> apart = new HashSet<>(cluster.namesOf("dc2"));
         cluster.cut((one, other) -> apart.contains(one) && !apart.contains(other));
-        cluster.pass(CALM_MILLIS);
-        store.comeBack();
-        assertOnHistoryWithin(KNOWN_MILLIS);
+        cluster.advance(SETTLE_MILLIS);
+        store.restoreFromCopy();
+        assertAllCurrentWithin(EPOCH_PROPAGATION_MILLIS);
         store.remove("u1");
-        assertOnHistoryWithin(TOLD_MILLIS);
+        assertAllCurrentWithin(CHANGE_PROPAGATION_MILLIS);
     }
 
     /** The processes with the fastest links, two of each data centre, are the hubs. */
-    private void assertHearsOnBeside(boolean hubsAreOlder) {
+    private void assertChangesAreReceivedWithOlderBuilds(boolean hubsAreOlder) {
         cluster = new SimulatedCluster(3, 10, 10_000);
         List<String> hubs = cluster.names().subList(0, 6);
         List<String> leaves = cluster.names().subList(6, 30);
-        cluster.older(hubsAreOlder ? hubs : leaves);
+        cluster.olderBuildNames(hubsAreOlder ? hubs : leaves);
         run();
         store.copyAndWrite();
-        store.comeBack();
-        assertOnHistoryWithin(BESIDE_OLDER_MILLIS);
+        store.restoreFromCopy();
+        assertAllCurrentWithin(EPOCH_PROPAGATION_WITH_OLDER_BUILDS_MILLIS);
         store.remove("u1");
-        assertOnHistoryWithin(TOLD_MILLIS);
+        assertAllCurrentWithin(CHANGE_PROPAGATION_MILLIS);
     }
 
     // Guards against words of a hub that names no epoch being taken for those of the lost history.
     @Example
-    void leavesHearHubsOfAnOlderBuild() {
-        assertHearsOnBeside(true);
+    void leavesFollowHubsOfAnOlderBuild() {
+        assertChangesAreReceivedWithOlderBuilds(true);
     }
 
     // Guards against leaves of an older build that wait for revisions to pass those they hold.
     @Example
     void leavesOfAnOlderBuildReadTheStoreThemselves() {
-        assertHearsOnBeside(false);
+        assertChangesAreReceivedWithOlderBuilds(false);
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreFollowersTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreFollowersTest.java
@@ -29,90 +29,90 @@
  */
 class StoreFollowersTest {
     private static final int DATA_CENTRES = 6;
-    private static final int OF_EACH = 12;
-    private static final int MOST_FOLLOWERS = 3;
-    private static final long CALM_MILLIS = 4_000;
+    private static final int PROCESSES_PER_DATA_CENTRE = 12;
+    private static final int MAX_FOLLOWERS = 3;
+    private static final long SETTLE_MILLIS = 4_000;
 
     /** What a follower's loss may take to be noticed: a stale digest, and a look at the roles. */
-    private static final long NOTICE_MILLIS = 1_200;
+    private static final long DETECTION_MILLIS = 1_200;
 
     /** Two messages, from follower to hub to leaf, in steps of 20 ms. */
-    private static final long PASSED_ON_MILLIS = 60;
+    private static final long FORWARDING_MILLIS = 60;
 
-    private final SimulatedCluster cluster = new SimulatedCluster(DATA_CENTRES, OF_EACH, 10_000);
+    private final SimulatedCluster cluster = new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, 10_000);
     private long revision = 100;
 
     private void change() {
         revision++;
         byte[] value = {1};
-        cluster.storeTells(
+        cluster.deliverStoreChange(
                 new StoreItem("upstream/u" + revision, value, revision, revision, false));
     }
 
-    private List<String> calmFollowers() {
-        cluster.pass(CALM_MILLIS);
+    private List<String> settledFollowers() {
+        cluster.advance(SETTLE_MILLIS);
         change();
-        cluster.pass(CALM_MILLIS);
+        cluster.advance(SETTLE_MILLIS);
         return cluster.followers();
     }
 
     @Example
-    void inCalmTimesThreeHubsOfDifferentDataCentresFollowTheStore() {
-        List<String> followers = calmFollowers();
-        assertEquals(MOST_FOLLOWERS, followers.size(), followers.toString());
+    void threeHubsOfDifferentDataCentresFollowTheStoreWithoutFailures() {
+        List<String> followers = settledFollowers();
+        assertEquals(MAX_FOLLOWERS, followers.size(), followers.toString());
         HashSet<String> dataCentres = new HashSet<>();
         for (int i = 0; i < DATA_CENTRES; i++) {
             if (cluster.namesOf("dc" + i).stream().anyMatch(followers::contains)) {
                 dataCentres.add("dc" + i);
             }
         }
-        assertEquals(MOST_FOLLOWERS, dataCentres.size(), followers.toString());
+        assertEquals(MAX_FOLLOWERS, dataCentres.size(), followers.toString());
     }
 
     @Example
-    void aChangeIsPassedOnToAllAtOnce() {
-        calmFollowers();
+    void changeIsForwardedToAllAtOnce() {
+        settledFollowers();
         change();
-        cluster.pass(PASSED_ON_MILLIS);
+        cluster.advance(FORWARDING_MILLIS);
         assertEquals(List.of(), cluster.behind(revision));
     }
 
     @Example
     void afterTheLossOfAllFollowersOthersFollowAndNothingIsMissed() {
-        for (String lost : calmFollowers()) {
+        for (String lost : settledFollowers()) {
             cluster.losePower(lost);
         }
-        cluster.pass(NOTICE_MILLIS);
+        cluster.advance(DETECTION_MILLIS);
         assertTrue(!cluster.followers().isEmpty(), "nobody follows the store");
         change();
-        cluster.pass(NOTICE_MILLIS);
+        cluster.advance(DETECTION_MILLIS);
         assertEquals(List.of(), cluster.behind(revision));
     }
 
     @Example
-    void hubsThatTheStoreTurnsAwayAreReplaced() {
-        List<String> followers = calmFollowers();
-        followers.forEach(name -> cluster.storeAnswers(name, false));
-        cluster.pass(NOTICE_MILLIS);
+    void hubsRefusedByTheStoreAreReplaced() {
+        List<String> followers = settledFollowers();
+        followers.forEach(name -> cluster.setStoreReachable(name, false));
+        cluster.advance(DETECTION_MILLIS);
         List<String> others = cluster.followers();
         assertTrue(!followers.containsAll(others), others + " follow, of " + followers);
         change();
-        cluster.pass(NOTICE_MILLIS);
+        cluster.advance(DETECTION_MILLIS);
         assertEquals(List.of(), cluster.behind(revision));
     }
 
     @Example
-    void aDataCentreThatIsCutOffFollowsTheStoreItself() {
-        calmFollowers();
+    void dataCentreThatIsCutOffFollowsTheStoreItself() {
+        settledFollowers();
         List<String> apart = cluster.namesOf("dc5");
         cluster.cut((one, other) -> apart.contains(one) && !apart.contains(other));
-        cluster.pass(CALM_MILLIS);
+        cluster.advance(SETTLE_MILLIS);
         assertTrue(cluster.followers().stream().anyMatch(apart::contains));
         change();
-        cluster.pass(NOTICE_MILLIS);
+        cluster.advance(DETECTION_MILLIS);
         assertEquals(List.of(), cluster.behind(revision));
         cluster.cut((one, other) -> false);
-        cluster.pass(2 * CALM_MILLIS);
-        assertEquals(MOST_FOLLOWERS, cluster.followers().size());
+        cluster.advance(2 * SETTLE_MILLIS);
+        assertEquals(MAX_FOLLOWERS, cluster.followers().size());
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreHistoryTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/StoreHistoryTest.java
@@ -32,7 +32,7 @@
     }
 
     @Example
-    void lateAnswerOfAnEarlierHistoryDoesNotCount() {
+    void lateAnswerOfAnEarlierHistoryIsIgnored() {
         assertTrue(history.isCurrent(8));
         assertFalse(history.isCurrent(7));
         assertEquals(8, history.epoch());
@@ -41,7 +41,7 @@
 
     // Guards against a spoiled field that makes all answers count for nothing.
     @Example
-    void answerWithASpoiledEpochCountsAsOneWithout() {
+    void answerWithAnInvalidEpochCountsAsOneWithout() {
         assertTrue(history.isCurrent(-1));
         assertTrue(history.isCurrent(Long.MAX_VALUE));
         assertTrue(history.isCurrent(0));
@@ -50,9 +50,9 @@
     }
 
     @Example
-    void peerOnAnotherHistoryIsNotHeard() {
-        assertTrue(history.mayBeOf(7));
-        assertTrue(history.mayBeOf(0), "older builds name none");
-        assertFalse(history.mayBeOf(6));
+    void peerOnAnotherHistoryIsIgnored() {
+        assertTrue(history.mayMatch(7));
+        assertTrue(history.mayMatch(0), "older builds name none");
+        assertFalse(history.mayMatch(6));
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/TimePartTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/TimePartTest.java
@@ -41,7 +41,7 @@
     }
 
     @Example
-    void aSteppedProcessFollowsTheOthers() throws IOException {
+    void processWithASteppedClockFollowsTheOthers() throws IOException {
         TimePart stepped = part(-3_000);
         stepped.received("a", own(part(0)), 0);
         stepped.received("b", own(part(1)), 0);
@@ -49,7 +49,7 @@
     }
 
     @Example
-    void aHubTellsTheMedianOfItsLeavesWithTheirNumber() throws IOException {
+    void hubReportsTheMedianOfItsLeavesWithTheirNumber() throws IOException {
         TimePart hub = part(2_400);
         hub.received("a", own(part(0)), 0);
         hub.received("b", own(part(0)), 0);
@@ -59,7 +59,7 @@
     }
 
     @Example
-    void whatASilentPeerToldIsForgotten() throws IOException {
+    void reportsOfAForgottenPeerAreDropped() throws IOException {
         TimePart part = part(3_000);
         part.received("a", own(part(0)), 0);
         part.received("b", own(part(0)), 0);
@@ -69,7 +69,7 @@
     }
 
     @Example
-    void bodiesThatCannotBeReadAreRefused() {
+    void malformedBodiesAreRefused() {
         TimePart part = part(0);
         DigestSection shorter = new DigestSection("time", 1, 0, new byte[3]);
         assertThrows(IOException.class, () -> part.received("a", shorter, 0));
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/UpstreamLimitNewsTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/UpstreamLimitUpdatesTest.java
@@ -27,29 +27,29 @@
 import net.jqwik.api.Example;
 
 /** How soon limits that one process each has heard of are known to all, over hubs. */
-class UpstreamLimitNewsTest {
+class UpstreamLimitUpdatesTest {
     private static final int DATA_CENTRES = 3;
-    private static final int OF_EACH = 10;
+    private static final int PROCESSES_PER_DATA_CENTRE = 10;
     private static final int LIMITED = 100;
 
     /** How long the others may not know of a limit, or of its end, in milliseconds. */
-    private static final long KNOWN_MILLIS = 2_000;
+    private static final long PROPAGATION_MILLIS = 2_000;
 
     /** What control may tell a second and process, in bytes. */
-    private static final double MOST_BYTES = 4_000;
+    private static final double MAX_BYTES_PER_SECOND = 4_000;
 
-    private final SimulatedCluster cluster = new SimulatedCluster(DATA_CENTRES, OF_EACH, 10_000);
+    private final SimulatedCluster cluster = new SimulatedCluster(DATA_CENTRES, PROCESSES_PER_DATA_CENTRE, 10_000);
 
     private static Upstream upstream(int number) {
         return new Upstream("i-" + number, "s", "dc0", "h:1", 8, false, false, 0, "", 0, 5);
     }
 
-    private void say(LimitNotice limit, int upstreams) {
+    private void announceLimit(LimitNotice limit, int upstreams) {
         List<String> names = cluster.names();
         for (int i = 0; i < upstreams; i++) {
             SimulatedProcess process = cluster.process(names.get(i % names.size()));
             process.limits().answerReceived(upstream(i), limit, cluster.now() - 1, cluster.now());
-            process.tellSoon();
+            process.sendRequestedDigest();
         }
     }
 
@@ -67,61 +67,61 @@
     private void assertAllKnow(boolean limited, long withinMillis) {
         long begun = cluster.now();
         while (differing(limited) > 0 && cluster.now() - begun < withinMillis) {
-            cluster.pass(100);
+            cluster.advance(100);
         }
         long took = cluster.now() - begun;
         assertEquals(0, differing(limited), "pairs of process and upstream after " + took + " ms");
     }
 
     private void assertLearned(long withinMillis, Consumer<SimulatedCluster> trouble) {
-        cluster.pass(5_000);
-        say(LimitNotice.of(4), LIMITED);
+        cluster.advance(5_000);
+        announceLimit(LimitNotice.of(4), LIMITED);
         trouble.accept(cluster);
         assertAllKnow(true, withinMillis);
-        cluster.pass(2_000);
-        say(LimitNotice.ABSENT, LIMITED);
+        cluster.advance(2_000);
+        announceLimit(LimitNotice.ABSENT, LIMITED);
         trouble.accept(cluster);
         assertAllKnow(false, withinMillis);
     }
 
     @Example
-    void limitsAndTheirEndsAreKnownToAllSoon() {
-        assertLearned(KNOWN_MILLIS, all -> {});
+    void limitsAndTheirEndsAreKnownToAllInTime() {
+        assertLearned(PROPAGATION_MILLIS, all -> {});
     }
 
     @Example
-    void dataCentreThatWasCutOffLearnsThemAfterwards() {
+    void dataCentreThatWasCutOffLearnsTheLimitsAfterwards() {
         Set<String> cutOff = new HashSet<>(cluster.namesOf("dc1"));
         assertLearned(
                 15_000,
                 all -> {
                     all.cut((one, other) -> cutOff.contains(one) != cutOff.contains(other));
-                    all.pass(5_500);
+                    all.advance(5_500);
                     all.cut((one, other) -> false);
                 });
     }
 
     @Example
-    void processThatStartsLaterIsTold() {
-        cluster.pass(5_000);
-        say(LimitNotice.of(4), LIMITED);
-        cluster.pass(10_000);
+    void processThatStartsLaterLearnsTheLimits() {
+        cluster.advance(5_000);
+        announceLimit(LimitNotice.of(4), LIMITED);
+        cluster.advance(10_000);
         String last = cluster.names().get(cluster.names().size() - 1);
         cluster.kill(last);
-        cluster.pass(3_000);
+        cluster.advance(3_000);
         cluster.restart(last);
         assertEquals(LIMITED, differing(true), "it knows nothing at first");
         assertAllKnow(true, 3_000);
     }
 
     @Example
-    void tellingThemCostsLittle() {
-        cluster.pass(5_000);
-        say(LimitNotice.of(4), LIMITED);
-        cluster.pass(5_000);
+    void limitReportsAddLittleTraffic() {
+        cluster.advance(5_000);
+        announceLimit(LimitNotice.of(4), LIMITED);
+        cluster.advance(5_000);
         long bytes = cluster.bytes();
-        cluster.pass(10_000);
+        cluster.advance(10_000);
         double each = (cluster.bytes() - bytes) / (10.0 * cluster.names().size());
-        assertTrue(each <= MOST_BYTES, each + " bytes a second and process");
+        assertTrue(each <= MAX_BYTES_PER_SECOND, each + " bytes a second and process");
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/UsageHistoriesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/UsageHistoriesTest.java
@@ -32,28 +32,28 @@
 class UsageHistoriesTest {
     private static final int DATA_CENTRES = 3;
     private static final int PROCESSES = 30;
-    private static final int EACH = 7;
+    private static final int REQUESTS_PER_PROCESS = 7;
     private static final int SURVIVORS = 6;
 
     /** Within this time, in milliseconds, counts have gone to a hub, to all hubs and to keepers. */
-    private static final long TOLD_MILLIS = 700;
+    private static final long PROPAGATION_MILLIS = 700;
 
     /** Until survivors have found each other: leases of the lost, a list of the store, links. */
-    private static final long FOUND_MILLIS = 12_000;
+    private static final long RECONNECTION_MILLIS = 12_000;
 
     private final SimulatedCluster cluster =
             new SimulatedCluster(DATA_CENTRES, PROCESSES / DATA_CENTRES, 10_000);
     private final long window;
 
     UsageHistoriesTest() {
-        cluster.pass(10_000);
+        cluster.advance(10_000);
         window = cluster.now() / SimulatedProcess.USAGE_WINDOW_MILLIS;
         for (String name : cluster.names()) {
-            for (int i = 0; i < EACH; i++) {
+            for (int i = 0; i < REQUESTS_PER_PROCESS; i++) {
                 cluster.process(name).usage().started("t", cluster.now());
             }
         }
-        cluster.pass(TOLD_MILLIS);
+        cluster.advance(PROPAGATION_MILLIS);
     }
 
     private Map<String, Integer> total(String name) {
@@ -64,29 +64,29 @@
         return cluster.process(name).isHub();
     }
 
-    private List<String> keepers(String dataCentre) {
+    private List<String> replicas(String dataCentre) {
         return cluster.namesOf(dataCentre).stream()
                 .filter(name -> !isHub(name))
-                .filter(name -> total(name).equals(Map.of("t", PROCESSES * EACH)))
+                .filter(name -> total(name).equals(Map.of("t", PROCESSES * REQUESTS_PER_PROCESS)))
                 .toList();
     }
 
     @Example
-    void leavesOfEachDataCentreKeepWhatAllHaveCounted() {
+    void leavesOfEachDataCentreStoreTheUsageOfAll() {
         for (int i = 0; i < DATA_CENTRES; i++) {
-            assertTrue(keepers("dc" + i).size() >= 2, "keepers in dc" + i);
+            assertTrue(replicas("dc" + i).size() >= 2, "keepers in dc" + i);
         }
     }
 
     /** All hubs and all but a few leaves lose power; one of the few keeps what all had counted. */
     @Property(tries = 10, seed = "20261203")
-    void fewLeavesThatAreLeftKnowWhatAllHadCounted(@ForAll @IntRange(max = 1_000) int seed) {
+    void fewSurvivingLeavesKnowTheUsageOfAll(@ForAll @IntRange(max = 1_000) int seed) {
         UsageHistoriesTest fresh = new UsageHistoriesTest();
         fresh.loseAllButAFew(new Random(seed));
     }
 
     private void loseAllButAFew(Random random) {
-        List<String> keepers = new ArrayList<>(keepers("dc" + random.nextInt(DATA_CENTRES)));
+        List<String> keepers = new ArrayList<>(replicas("dc" + random.nextInt(DATA_CENTRES)));
         assertTrue(!keepers.isEmpty(), "a leaf keeps what all had counted");
         String keeper = keepers.get(random.nextInt(keepers.size()));
         List<String> leaves =
@@ -96,11 +96,11 @@
         List<String> left = new ArrayList<>(leaves.subList(0, SURVIVORS - 1));
         left.add(keeper);
         cluster.names().stream().filter(name -> !left.contains(name)).forEach(cluster::losePower);
-        cluster.pass(FOUND_MILLIS);
+        cluster.advance(RECONNECTION_MILLIS);
         List<String> hubs = left.stream().filter(this::isHub).toList();
         assertTrue(!hubs.isEmpty(), "some are hubs now");
         for (String hub : hubs) {
-            assertEquals(Map.of("t", PROCESSES * EACH), total(hub), hub + " of " + left);
+            assertEquals(Map.of("t", PROCESSES * REQUESTS_PER_PROCESS), total(hub), hub + " of " + left);
         }
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/SoundFiguresTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/ValidFiguresTest.java
@@ -26,8 +26,8 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-class SoundFiguresTest {
-    private static final EngineEvidence SOUND = EngineEvidence.none("s");
+class ValidFiguresTest {
+    private static final EngineEvidence VALID = EngineEvidence.none("s");
 
     private static NodeDigest digest(List<ServiceDemand> demands, List<EngineEvidence> evidence) {
         return new NodeDigest(
@@ -48,13 +48,13 @@
     }
 
     @Example
-    void soundDigestIsTakenAsItIs() {
-        NodeDigest digest = digest(List.of(new ServiceDemand("s", 1, 2)), List.of(SOUND));
+    void validDigestIsReturnedUnchanged() {
+        NodeDigest digest = digest(List.of(new ServiceDemand("s", 1, 2)), List.of(VALID));
         assertSame(digest, ValidFigures.of("peer", digest));
     }
 
     @Example
-    void figuresThatCannotBeTrueAreLeftOutAndTheRestIsTaken() {
+    void invalidFiguresAreRemovedAndTheOthersKept() {
         FitSums absurd = new FitSums(1, Double.NaN, 1, 1, 1);
         List<ServiceDemand> demands =
                 List.of(
@@ -62,10 +62,10 @@
                         new ServiceDemand("infinite", Double.POSITIVE_INFINITY, 2),
                         new ServiceDemand("s", 1, 2));
         List<EngineEvidence> evidence =
-                List.of(SOUND, new EngineEvidence("bad", absurd, FitSums.NONE, 1, 1));
+                List.of(VALID, new EngineEvidence("bad", absurd, FitSums.NONE, 1, 1));
         NodeDigest sound = ValidFigures.of("peer", digest(demands, evidence));
         assertEquals(List.of(new ServiceDemand("s", 1, 2)), sound.demands());
-        assertEquals(List.of(SOUND), sound.evidence());
+        assertEquals(List.of(VALID), sound.evidence());
         assertEquals(List.of("left"), sound.leaving());
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpConnectorTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpConnectorTest.java
@@ -128,7 +128,7 @@
 
     /** A server that accepts few connections from many is not kept from accepting others. */
     @Example
-    void noMoreConnectionsRestThanMay() throws Exception {
+    void idleConnectionsStayWithinTheLimit() throws Exception {
         HostPort target = new HostPort("127.0.0.1", listener.getLocalPort());
         HeaderList headers = HeaderList.of("Host", target.toString());
         List<RawSocket> servers = new ArrayList<>();
@@ -154,7 +154,7 @@
 
     /** A request sent as the server closes may or may not have run. */
     @Example
-    void connectionIsNotUsedAgainLongerThanItsServerKeepsIt() throws Exception {
+    void connectionIsNotReusedAfterItsServersKeepAliveTime() throws Exception {
         call("/first");
         RawSocket first = accept("/first");
         first.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: timeout=0\r\n\r\n");
@@ -193,7 +193,7 @@
     }
 
     @Example
-    void answerWithoutLengthThatIsResetIsNotWhole() throws Exception {
+    void answerWithoutLengthThatIsResetIsIncomplete() throws Exception {
         call("/x");
         RawSocket server = accept("/x");
         server.send("HTTP/1.1 200 OK\r\nA: b\r\n\r\nabc");
@@ -202,7 +202,7 @@
     }
 
     @Example
-    void answerShorterThanItsLengthIsNotWhole() throws Exception {
+    void answerShorterThanItsLengthIsIncomplete() throws Exception {
         call("/x");
         try (RawSocket server = accept("/x")) {
             server.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc");
@@ -211,7 +211,7 @@
     }
 
     @Example
-    void chunksWithoutEndAreNotWhole() throws Exception {
+    void chunksWithoutEndAreIncomplete() throws Exception {
         call("/x");
         try (RawSocket server = accept("/x")) {
             server.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
@@ -220,7 +220,7 @@
     }
 
     @Example
-    void bytesThatAreNoAnswerFailTheCall() throws Exception {
+    void malformedAnswerFailsTheCall() throws Exception {
         call("/x");
         try (RawSocket server = accept("/x")) {
             server.send("garbage bytes\r\n\r\n");
@@ -238,7 +238,7 @@
     }
 
     @Example
-    void keptConnectionIsUsedAgain() throws Exception {
+    void idleConnectionIsReused() throws Exception {
         call("/1");
         try (RawSocket server = accept("/1")) {
             server.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
@@ -310,13 +310,13 @@
     }
 
     @Example
-    void restingConnectionsAreNotUsedAgainOnceTheyAreClosed() throws Exception {
+    void idleConnectionsAreNotReusedAfterTheyAreClosed() throws Exception {
         call("/1");
         RawSocket first = accept("/1");
         first.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
         assertEquals("200 a", result());
         HostPort target = new HostPort("127.0.0.1", listener.getLocalPort());
-        loop.execute(() -> connector.closeResting(target));
+        loop.execute(() -> connector.closeIdle(target));
         call("/2");
         try (RawSocket second = accept("/2")) {
             second.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nb");
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpServerTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpServerTest.java
@@ -34,7 +34,7 @@
 
 /** The server answers in order, refuses what can be read in two ways, and sees callers leave. */
 class HttpServerTest {
-    private static final long PATIENCE_SECONDS = 10;
+    private static final long TIMEOUT_SECONDS = 10;
     private static final long HEAD_MILLIS = 400;
 
     private final BlockingQueue<ServerExchange> requests = new LinkedBlockingQueue<>();
@@ -56,7 +56,7 @@
     }
 
     private ServerExchange next() throws InterruptedException {
-        ServerExchange exchange = requests.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        ServerExchange exchange = requests.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(exchange != null, "no request came");
         return exchange;
     }
@@ -104,14 +104,14 @@
     }
 
     @Example
-    void callerThatLeavesIsSeenWhileItsRequestIsWorkedOn() throws Exception {
+    void disconnectOfTheCallerIsNoticedWhileItsRequestIsProcessed() throws Exception {
         CountDownLatch gone = new CountDownLatch(1);
         try (RawSocket caller = RawSocket.to(server.port())) {
             caller.send(get("/1"));
             ServerExchange exchange = next();
-            loop.execute(() -> exchange.onGone(gone::countDown));
+            loop.execute(() -> exchange.onDisconnect(gone::countDown));
         }
-        assertTrue(gone.await(PATIENCE_SECONDS, TimeUnit.SECONDS));
+        assertTrue(gone.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     @Example
@@ -148,7 +148,7 @@
     }
 
     @Example
-    void oldestRestingConnectionsOfTheCallerThatKeepsMostGiveRoom() throws Exception {
+    void longestIdleConnectionsOfTheCallerWithMostAreClosedAtTheLimit() throws Exception {
         loop.execute(() -> server.maxConnections(4));
         try (RawSocket oldest = RawSocket.to(server.port());
                 RawSocket busy = RawSocket.to(server.port());
@@ -173,7 +173,7 @@
     // Guards against connections that begin to rest in the same millisecond being closed in any
     // order.
     @Property(tries = 30)
-    void connectionThatBeganToRestFirstGivesRoomWithinAMillisecond() throws Exception {
+    void longestIdleConnectionIsClosedAlsoWithinAMillisecond() throws Exception {
         loop.execute(() -> server.maxConnections(2));
         try (RawSocket first = RawSocket.to(server.port());
                 RawSocket second = RawSocket.to(server.port())) {
@@ -197,7 +197,7 @@
     }
 
     @Example
-    void connectionBesideBusyOnesOnlyIsClosedUnread() throws Exception {
+    void newConnectionIsClosedUnreadIfAllOthersAreBusy() throws Exception {
         loop.execute(() -> server.maxConnections(1));
         try (RawSocket busy = RawSocket.to(server.port())) {
             busy.send(get("/busy"));
@@ -217,7 +217,7 @@
     }
 
     @Example
-    void brokenOffAnswerDoesNotLookWhole() throws Exception {
+    void abortedAnswerDoesNotLookComplete() throws Exception {
         try (RawSocket caller = RawSocket.to(server.port())) {
             caller.send(get("/1"));
             ServerExchange exchange = next();
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/KeepAliveTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/KeepAliveTest.java
@@ -25,12 +25,12 @@
 
 /** How long connections are kept that a server says it keeps for some time. */
 class KeepAliveTest {
-    private static long rest(String value) {
-        return KeepAlive.restMillis(HeaderList.of("Keep-Alive", value));
+    private static long reuseMillis(String value) {
+        return KeepAlive.reuseMillis(HeaderList.of("Keep-Alive", value));
     }
 
     @Example
-    void halfOfTheTimeToldIsUsed() {
+    void halfOfTheAnnouncedTimeIsUsed() {
         for (String value :
                 List.of(
                         "4",
@@ -38,22 +38,22 @@
                         "timeout=4, max=100",
                         "max=9, timeout=4",
                         "timeout = 4")) {
-            assertEquals(2_000, rest(value), value);
+            assertEquals(2_000, reuseMillis(value), value);
         }
-        assertEquals(0, rest("timeout=0"), "not used again");
-        assertEquals(500, rest("1"));
+        assertEquals(0, reuseMillis("timeout=0"), "not used again");
+        assertEquals(500, reuseMillis("1"));
     }
 
     @Example
-    void whatIsNotUnderstoodTellsNothing() {
-        assertEquals(KeepAlive.NOT_TOLD, KeepAlive.restMillis(HeaderList.EMPTY));
+    void unknownFormCountsAsNotSpecified() {
+        assertEquals(KeepAlive.NOT_SPECIFIED, KeepAlive.reuseMillis(HeaderList.EMPTY));
         for (String value : List.of("", "max=100", "timeout=", "timeout=x", "-1", "1.5", "soon")) {
-            assertEquals(KeepAlive.NOT_TOLD, rest(value), value);
+            assertEquals(KeepAlive.NOT_SPECIFIED, reuseMillis(value), value);
         }
     }
 
     @Property(tries = 1_000, seed = "20261203")
     void noValueThrows(@ForAll String value) {
-        assertTrue(rest(value) >= 0);
+        assertTrue(reuseMillis(value) >= 0);
     }
 }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/RawSocket.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/RawSocket.java
@@ -23,13 +23,13 @@
 
 /** A caller or server that sends exactly the bytes a test wants, over the loopback interface. */
 final class RawSocket implements AutoCloseable {
-    private static final int PATIENCE_MILLIS = 10_000;
+    private static final int TIMEOUT_MILLIS = 10_000;
 
     private final Socket socket;
 
     RawSocket(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
     }
 
     static RawSocket to(int port) throws IOException {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowCallerTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowCallerTest.java
@@ -19,7 +19,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.trailladder.core.memory.HeldKind;
+import io.trailladder.core.memory.ReservationKind;
 import io.trailladder.core.memory.MemoryAccount;
 import io.trailladder.core.memory.MemoryBudget;
 import io.trailladder.entry.loop.EventLoop;
@@ -43,7 +43,7 @@
 
 /** What becomes of answers whose callers read late, slowly, or not at all. */
 class SlowCallerTest {
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
     private static final long LONG_MILLIS = 60_000;
     private static final int RECEIVE_BYTES = 4 * 1024;
 
@@ -75,11 +75,11 @@
     }
 
     @Example
-    void readyAnswerIsDeliveredWholeAlsoLate() throws Exception {
+    void readyAnswerIsDeliveredCompletelyAlsoLate() throws Exception {
         try (Socket caller = caller("Connection: close\r\n")) {
             ServerExchange exchange = next();
             onLoop(() -> respond(exchange, LARGE));
-            assertTrue(onLoop(() -> account.held(HeldKind.ANSWERS_WAITING)) > 0);
+            assertTrue(onLoop(() -> account.reserved(ReservationKind.ANSWERS_WAITING)) > 0);
             onLoop(this::closeResting);
             assertEquals(1, onLoop(server::open), "an answer not yet read is not at rest");
             assertTrue(caller.getInputStream().readAllBytes().length > LARGE);
@@ -88,7 +88,7 @@
     }
 
     @Example
-    void piecesThatWaitedArriveInOrderWithTheEnd() throws Exception {
+    void queuedPiecesArriveInOrderWithTheEnd() throws Exception {
         int pieces = 4_000;
         try (Socket caller = caller("Connection: close\r\n")) {
             ServerExchange exchange = next();
@@ -121,22 +121,22 @@
             CompletableFuture<String> answers = readAside(caller);
             ServerExchange second = next();
             onLoop(() -> respond(second, 1));
-            assertTrue(answers.get(PATIENCE_SECONDS, TimeUnit.SECONDS).length() > LARGE);
+            assertTrue(answers.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).length() > LARGE);
         }
     }
 
     @Example
-    void cutStreamEndsAtAWholeEventAndDoesNotLookWhole() throws Exception {
+    void cutStreamEndsAtACompleteEventAndDoesNotLookComplete() throws Exception {
         CountDownLatch gone = new CountDownLatch(1);
         try (Socket caller = caller("")) {
             ServerExchange exchange = next();
             onLoop(() -> begin(exchange, true));
-            onLoop(() -> onGone(exchange, gone));
+            onLoop(() -> onDisconnect(exchange, gone));
             for (int event = 0; event < 24; event++) {
                 onLoop(() -> write(exchange, EVENT.getBytes(ascii())));
             }
             onLoop(() -> cut(exchange));
-            assertTrue(gone.await(PATIENCE_SECONDS, TimeUnit.SECONDS), "the sender was not told");
+            assertTrue(gone.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the sender was not told");
             String answer = text(caller.getInputStream());
             assertFalse(answer.endsWith(END), "it looks whole");
             assertTrue(answer.endsWith("\n\n\r\n"), "it ends inside an event");
@@ -145,7 +145,7 @@
     }
 
     @Example
-    void cutAnswerThatCannotBeResumedDoesNotLookWhole() throws Exception {
+    void cutAnswerThatCannotBeResumedDoesNotLookComplete() throws Exception {
         try (Socket caller = caller("")) {
             ServerExchange exchange = next();
             onLoop(() -> respond(exchange, LARGE));
@@ -176,7 +176,7 @@
     }
 
     @Example
-    void answerThatBreaksOffStillBringsWhatWasWrittenBefore() throws Exception {
+    void abortedAnswerStillDeliversWhatWasWrittenBefore() throws Exception {
         try (Socket caller = caller("")) {
             ServerExchange exchange = next();
             onLoop(() -> begin(exchange, false));
@@ -192,7 +192,7 @@
     }
 
     @Example
-    void callerThatLeavesGivesBackWhatWasHeldForIt() throws Exception {
+    void disconnectOfTheCallerReleasesTheReservedMemory() throws Exception {
         try (Socket caller = caller("")) {
             ServerExchange exchange = next();
             onLoop(() -> respond(exchange, LARGE));
@@ -215,7 +215,7 @@
     }
 
     private void awaitEmptyAccount() throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (onLoop(account::total) != 0) {
             assertTrue(System.nanoTime() < end, () -> "still held: " + account.total());
             Thread.sleep(20);
@@ -230,14 +230,14 @@
     private Socket caller(String fields) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(RECEIVE_BYTES);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
         socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), server.port()));
         socket.getOutputStream().write(request(fields));
         return socket;
     }
 
     private ServerExchange next() throws InterruptedException {
-        ServerExchange exchange = requests.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        ServerExchange exchange = requests.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(exchange != null, "no request came");
         return exchange;
     }
@@ -245,7 +245,7 @@
     private <T> T onLoop(Supplier<T> task) throws Exception {
         CompletableFuture<T> result = new CompletableFuture<>();
         loop.execute(() -> result.complete(task.get()));
-        return result.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private static boolean respond(ServerExchange exchange, int bytes) {
@@ -279,8 +279,8 @@
         return true;
     }
 
-    private static boolean onGone(ServerExchange exchange, CountDownLatch gone) {
-        exchange.onGone(gone::countDown);
+    private static boolean onDisconnect(ServerExchange exchange, CountDownLatch gone) {
+        exchange.onDisconnect(gone::countDown);
         return true;
     }
 
@@ -290,7 +290,7 @@
     }
 
     private boolean closeResting() {
-        server.closeResting();
+        server.closeIdle();
         return true;
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowUpstreamTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowUpstreamTest.java
@@ -90,7 +90,7 @@
     }
 
     @Example
-    void bodyThatIsTakenLeavesNothingBehind() throws Exception {
+    void bodyThatIsWrittenIsNotCounted() throws Exception {
         onLoop(() -> post(100));
         try (RawSocket server = new RawSocket(listener.accept())) {
             server.readUntil("\r\n\r\n");
@@ -101,7 +101,7 @@
     }
 
     @Example
-    void bodyThatIsNotTakenCountsUntilTheCallIsCancelled() throws Exception {
+    void unwrittenBodyCountsUntilTheCallIsCancelled() throws Exception {
         ClientCall call = onLoop(() -> post(LARGE));
         try (RawSocket server = new RawSocket(listener.accept())) {
             server.readUntil("\r\n\r\n");
@@ -116,7 +116,7 @@
     }
 
     @Example
-    void answerBeforeTheBodyIsReadLetsTheRestOfItGo() throws Exception {
+    void answerBeforeTheBodyIsReadReleasesTheRestOfIt() throws Exception {
         onLoop(() -> post(LARGE));
         try (RawSocket server = new RawSocket(listener.accept())) {
             server.readUntil("\r\n\r\n");
@@ -128,7 +128,7 @@
     }
 
     @Example
-    void serverThatLeavesWhileItReadsFailsTheCall() throws Exception {
+    void disconnectOfTheServerWhileItReadsFailsTheCall() throws Exception {
         onLoop(() -> post(LARGE));
         try (RawSocket server = new RawSocket(listener.accept())) {
             server.readUntil("\r\n\r\n");
--- a/trailladder-entry/src/test/java/io/trailladder/entry/log/LineQueueTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/log/LineQueueTest.java
@@ -30,7 +30,7 @@
 import net.jqwik.api.constraints.LongRange;
 
 class LineQueueTest {
-    private static final int MOST = 4_096;
+    private static final int MAX_LINES = 4_096;
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final LineQueue queue = new LineQueue(out);
@@ -52,16 +52,16 @@
 
     @Example
     void linesBeyondTheBoundAreDroppedAndCounted() {
-        for (int i = 0; i < MOST + 3; i++) {
+        for (int i = 0; i < MAX_LINES + 3; i++) {
             queue.add(i);
         }
         queue.flush();
         assertEquals("{\"level\":\"WARN\",\"dropped_lines\":3}", written().get(0));
-        assertEquals(Integer.toString(MOST - 1), written().get(MOST));
-        assertEquals(MOST + 1, written().size());
+        assertEquals(Integer.toString(MAX_LINES - 1), written().get(MAX_LINES));
+        assertEquals(MAX_LINES + 1, written().size());
         queue.add("later");
         queue.flush();
-        assertEquals("later", written().get(MOST + 1));
+        assertEquals("later", written().get(MAX_LINES + 1));
     }
 
     @Property(tries = 300)
--- a/trailladder-entry/src/test/java/io/trailladder/entry/loop/SteadyClockTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/loop/SteadyClockTest.java
@@ -68,7 +68,7 @@
     void jumpThatDoesNotLastIsNotFollowed() {
         jump = -3_000;
         shows(0);
-        pass(SteadyClock.PATIENCE_MILLIS - 1_000);
+        pass(SteadyClock.JUMP_CONFIRMATION_MILLIS - 1_000);
         shows(0);
         jump = 0;
         shows(0);
@@ -80,25 +80,25 @@
     void jumpThatLastsIsFollowed() {
         jump = 3_000;
         shows(0);
-        pass(SteadyClock.PATIENCE_MILLIS + 100);
+        pass(SteadyClock.JUMP_CONFIRMATION_MILLIS + 100);
         shows(3_000);
     }
 
     @Example
     void twoShortJumpsAreNotTakenForOneThatLasts() {
         jump = 3_000;
-        pass(SteadyClock.PATIENCE_MILLIS - 1_000);
+        pass(SteadyClock.JUMP_CONFIRMATION_MILLIS - 1_000);
         jump = 0;
         pass(200);
         jump = 3_000;
-        pass(SteadyClock.PATIENCE_MILLIS - 1_000);
+        pass(SteadyClock.JUMP_CONFIRMATION_MILLIS - 1_000);
         shows(0);
     }
 
     @Example
     void adjustmentsAreFollowedAtOnce() {
-        jump = SteadyClock.MOST_ADJUSTMENT_MILLIS;
-        shows(SteadyClock.MOST_ADJUSTMENT_MILLIS);
+        jump = SteadyClock.MAX_ADJUSTMENT_MILLIS;
+        shows(SteadyClock.MAX_ADJUSTMENT_MILLIS);
         jump = 0;
         shows(0);
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/serve/HttpEngineApiTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/serve/HttpEngineApiTest.java
@@ -32,17 +32,17 @@
 /** Two entries that work on the same request at one engine do not stop each other's attempts. */
 class HttpEngineApiTest {
     private static final int TOKENS = 300;
-    private static final long PATIENCE_SECONDS = 20;
-    private static final long IDLE_MILLIS = 10_000;
+    private static final long TIMEOUT_SECONDS = 20;
+    private static final long IDLE_TIMEOUT_MILLIS = 10_000;
 
     /** Waits for the first token and for the end of one attempt. */
     private static final class Recorder implements EngineApi.Listener {
-        private final CountDownLatch first = new CountDownLatch(1);
+        private final CountDownLatch firstToken = new CountDownLatch(1);
         private final CompletableFuture<Integer> end = new CompletableFuture<>();
 
         @Override
         public void token(String requestId, int attempt, int position, String text) {
-            first.countDown();
+            firstToken.countDown();
         }
 
         @Override
@@ -55,13 +55,13 @@
             end.complete(-1);
         }
 
-        void awaitFirst() throws InterruptedException {
-            assertTrue(first.await(PATIENCE_SECONDS, TimeUnit.SECONDS), "no token came");
+        void awaitFirstToken() throws InterruptedException {
+            assertTrue(firstToken.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "no token came");
         }
     }
 
     @Example
-    void lateCancelOfAnEntryThatHandedOverDoesNotStopItsHeir() throws Exception {
+    void lateCancelAfterAHandOverDoesNotStopTheSuccessorsAttempt() throws Exception {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
         EngineStandIn.Settings settings = new EngineStandIn.Settings(2, 100_000, 8, 100);
         try (EngineStandIn engine = new EngineStandIn("127.0.0.1", 0, settings);
@@ -81,13 +81,13 @@
                             0);
             Recorder stopping = new Recorder();
             Recorder heir = new Recorder();
-            EngineApi.Running handedOver =
-                    new HttpEngineApi(client, IDLE_MILLIS).generate(upstream, attempt, stopping);
-            stopping.awaitFirst();
-            new HttpEngineApi(client, IDLE_MILLIS).generate(upstream, attempt, heir);
-            heir.awaitFirst();
+            EngineApi.RunningAttempt handedOver =
+                    new HttpEngineApi(client, IDLE_TIMEOUT_MILLIS).generate(upstream, attempt, stopping);
+            stopping.awaitFirstToken();
+            new HttpEngineApi(client, IDLE_TIMEOUT_MILLIS).generate(upstream, attempt, heir);
+            heir.awaitFirstToken();
             handedOver.cancel();
-            assertEquals(TOKENS, heir.end.get(PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertEquals(TOKENS, heir.end.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         } finally {
             timer.shutdownNow();
         }
--- a/trailladder-platform/src/main/java/io/trailladder/platform/CloudApi.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/CloudApi.java
@@ -34,7 +34,7 @@
  */
 public final class CloudApi {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long IDLE_MILLIS = 2_000;
+    private static final long IDLE_TIMEOUT_MILLIS = 2_000;
 
     private final HttpClient client;
     private final HostPort service;
@@ -91,7 +91,7 @@
      * @return the list
      */
     public CompletableFuture<InstanceList> instances() {
-        return client.call(HttpCall.get(service, "/instances", IDLE_MILLIS))
+        return client.call(HttpCall.get(service, "/instances", IDLE_TIMEOUT_MILLIS))
                 .thenApply(reply -> instances(json(reply)));
     }
 
@@ -104,7 +104,7 @@
      */
     public CompletableFuture<Notices> notices(long after, long timeoutMillis) {
         String path = "/notices?after=" + after + "&timeout=" + timeoutMillis;
-        return client.call(HttpCall.get(service, path, timeoutMillis + IDLE_MILLIS))
+        return client.call(HttpCall.get(service, path, timeoutMillis + IDLE_TIMEOUT_MILLIS))
                 .thenApply(reply -> notices(json(reply)));
     }
 
--- a/trailladder-platform/src/main/java/io/trailladder/platform/HttpKeyValueStore.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/HttpKeyValueStore.java
@@ -42,7 +42,7 @@
 public final class HttpKeyValueStore implements KeyValueStore {
     private static final ObjectMapper JSON =
             new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
-    private static final long IDLE_MILLIS = 2_000;
+    private static final long IDLE_TIMEOUT_MILLIS = 2_000;
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
     private static final int OK = 200;
@@ -63,7 +63,7 @@
 
     @Override
     public CompletableFuture<Optional<Item>> get(String key) {
-        return call("GET", "/kv/" + key, "", IDLE_MILLIS, false)
+        return call("GET", "/kv/" + key, "", IDLE_TIMEOUT_MILLIS, false)
                 .thenApply(
                         reply ->
                                 reply.status() == NOT_FOUND
@@ -74,7 +74,7 @@
     @Override
     public CompletableFuture<Optional<Long>> put(String key, String value, long expectedVersion) {
         String path = "/kv/" + key + "?version=" + expectedVersion;
-        return call("PUT", path, value, IDLE_MILLIS, true)
+        return call("PUT", path, value, IDLE_TIMEOUT_MILLIS, true)
                 .thenApply(
                         reply ->
                                 reply.status() == CONFLICT
@@ -85,23 +85,23 @@
     @Override
     public CompletableFuture<Void> putLeased(String key, String value, String lease) {
         String path = "/kv/" + key + "?version=-1&lease=" + lease;
-        return call("PUT", path, value, IDLE_MILLIS, true).thenApply(reply -> null);
+        return call("PUT", path, value, IDLE_TIMEOUT_MILLIS, true).thenApply(reply -> null);
     }
 
     @Override
     public CompletableFuture<Void> delete(String key) {
-        return call("DELETE", "/kv/" + key, "", IDLE_MILLIS, true).thenApply(reply -> null);
+        return call("DELETE", "/kv/" + key, "", IDLE_TIMEOUT_MILLIS, true).thenApply(reply -> null);
     }
 
     @Override
     public CompletableFuture<Void> renew(String lease, long ttlMillis) {
         String path = "/lease/" + lease + "?ttl=" + ttlMillis;
-        return call("POST", path, "", IDLE_MILLIS, true).thenApply(reply -> null);
+        return call("POST", path, "", IDLE_TIMEOUT_MILLIS, true).thenApply(reply -> null);
     }
 
     @Override
     public CompletableFuture<Batch> list(String prefix) {
-        return call("GET", "/list/" + prefix, "", IDLE_MILLIS, false)
+        return call("GET", "/list/" + prefix, "", IDLE_TIMEOUT_MILLIS, false)
                 .thenApply(reply -> batch(json(reply)));
     }
 
@@ -114,7 +114,7 @@
                         + afterRevision
                         + "&timeout="
                         + timeoutMillis;
-        return call("GET", path, "", timeoutMillis + IDLE_MILLIS, false)
+        return call("GET", path, "", timeoutMillis + IDLE_TIMEOUT_MILLIS, false)
                 .thenApply(reply -> batch(json(reply)));
     }
 
--- a/trailladder-platform/src/main/java/io/trailladder/platform/TableStore.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/TableStore.java
@@ -44,7 +44,7 @@
 
     private static final String SNAPSHOT_KEY = "table/snapshot";
     private static final int CHANGES_PER_SNAPSHOT = 32;
-    private static final int COMMIT_TRIES = 5;
+    private static final int MAX_COMMIT_ATTEMPTS = 5;
 
     private final KeyValueStore store;
 
@@ -158,7 +158,7 @@
                         base.revision() + 1, changeId, base.changeId(), author, puts, removals);
         return store.put(changeKey(change.revision(), changeId), json(change), KeyValueStore.ABSENT)
                 .thenCompose(version -> head())
-                .thenCompose(head -> commit(change, head, COMMIT_TRIES))
+                .thenCompose(head -> commit(change, head, MAX_COMMIT_ATTEMPTS))
                 .exceptionally(
                         failure ->
                                 Either.left(
@@ -187,7 +187,7 @@
             TableChange change, HeadItem expected, int tries) {
         boolean follows = expected.head().changeId().equals(change.previousChangeId());
         if (!follows) {
-            return decided(change);
+            return outcomeFromHistory(change);
         }
         Head next = new Head(change.revision(), change.changeId());
         return store.put(HEAD_KEY, json(next), expected.version())
@@ -204,7 +204,7 @@
         if (failure == null) {
             return version.isPresent()
                     ? CompletableFuture.completedFuture(Either.right(change))
-                    : decided(change);
+                    : outcomeFromHistory(change);
         }
         if (tries <= 1) {
             return CompletableFuture.completedFuture(
@@ -215,7 +215,7 @@
     }
 
     /** Looks in the history, which alone tells whether a swap whose answer was lost took effect. */
-    private CompletableFuture<Either<CommitFailure, TableChange>> decided(TableChange change) {
+    private CompletableFuture<Either<CommitFailure, TableChange>> outcomeFromHistory(TableChange change) {
         return changesSince(change.revision() - 1)
                 .<Either<CommitFailure, TableChange>>thenApply(
                         changes -> {
--- a/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpCall.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpCall.java
@@ -27,7 +27,7 @@
  * @param path path with query
  * @param headers HTTP headers
  * @param body the body; empty for none
- * @param idleMillis longest silence before the call fails, in milliseconds
+ * @param idleTimeoutMillis longest silence before the call fails, in milliseconds
  * @since 0.1
  */
 public record HttpCall(
@@ -36,7 +36,7 @@
         String path,
         Map<String, String> headers,
         byte[] body,
-        long idleMillis) {
+        long idleTimeoutMillis) {
     /**
      * Creates a call without body.
      *
--- a/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpClient.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpClient.java
@@ -55,7 +55,7 @@
     public static final int MAX_COLLECTED_BYTES = 4 * 1024 * 1024;
 
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
-    private static final long SWEEP_MILLIS = 50;
+    private static final long SWEEP_INTERVAL_MILLIS = 50;
 
     private final TCPNIOTransport transport;
     private final Set<HttpExchange> exchanges = ConcurrentHashMap.newKeySet();
@@ -84,7 +84,7 @@
             throw new UncheckedIOException(e);
         }
         timer.scheduleWithFixedDelay(
-                this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+                this::sweep, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -168,13 +168,13 @@
     private void sweep() {
         long now = System.nanoTime();
         exchanges.removeIf(HttpExchange::isOver);
-        exchanges.forEach(exchange -> failIfSilent(exchange, now));
+        exchanges.forEach(exchange -> failIfIdle(exchange, now));
     }
 
     /** One listener that throws must not end the check for all other calls. */
-    private static void failIfSilent(HttpExchange exchange, long now) {
+    private static void failIfIdle(HttpExchange exchange, long now) {
         try {
-            exchange.failIfSilent(now);
+            exchange.failIfIdle(now);
         } catch (RuntimeException e) {
             Thread thread = Thread.currentThread();
             thread.getUncaughtExceptionHandler().uncaughtException(thread, e);
--- a/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpExchange.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpExchange.java
@@ -30,7 +30,7 @@
     private final AtomicBoolean over = new AtomicBoolean();
     private volatile Connection<?> connection;
     private volatile boolean sent;
-    private volatile long activeNanos = System.nanoTime();
+    private volatile long lastActivityNanos = System.nanoTime();
     private boolean headSeen;
 
     HttpExchange(HttpCall call, HttpListener listener) {
@@ -68,7 +68,7 @@
     }
 
     void head(int status, String contentType) {
-        active();
+        recordActivity();
         if (!headSeen && !over.get()) {
             headSeen = true;
             listener.head(status, contentType);
@@ -76,7 +76,7 @@
     }
 
     void body(byte[] bytes) {
-        active();
+        recordActivity();
         if (!over.get()) {
             listener.body(bytes);
         }
@@ -96,14 +96,14 @@
         }
     }
 
-    void failIfSilent(long nowNanos) {
-        if (nowNanos - activeNanos > call.idleMillis() * 1_000_000) {
+    void failIfIdle(long nowNanos) {
+        if (nowNanos - lastActivityNanos > call.idleTimeoutMillis() * 1_000_000) {
             fail(Kind.SILENT);
         }
     }
 
-    private void active() {
-        activeNanos = System.nanoTime();
+    private void recordActivity() {
+        lastActivityNanos = System.nanoTime();
     }
 
     private void close() {
--- a/trailladder-wire/src/main/java/io/trailladder/wire/MessageType.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/MessageType.java
@@ -65,7 +65,7 @@
     /** {@link PeerMessage.RecordFound}. */
     RECORD_FOUND(20, PeerMessage.RecordFound.class),
     /** {@link PeerMessage.ClaimAsk}. */
-    CLAIM_ASK(21, PeerMessage.ClaimAsk.class),
+    CLAIM_ASK(21, PeerMessage.ClaimRequest.class),
     /** {@link PeerMessage.ClaimAnswer}. */
     CLAIM_ANSWER(22, PeerMessage.ClaimAnswer.class),
     /** {@link PeerMessage.ClaimCopy}. */
@@ -79,7 +79,7 @@
     /** {@link PeerMessage.ClaimRelease}. */
     CLAIM_RELEASE(27, PeerMessage.ClaimRelease.class),
     /** {@link PeerMessage.RangeMapNews}. */
-    RANGE_MAP_NEWS(28, PeerMessage.RangeMapNews.class),
+    RANGE_MAP_NEWS(28, PeerMessage.RangeMapUpdate.class),
     /** {@link NodeMessage.NodeHello}. */
     NODE_HELLO(29, NodeMessage.NodeHello.class),
     /** {@link NodeMessage.Snapshot}. */
@@ -89,9 +89,9 @@
     /** {@link NodeMessage.NodeDigest}; 30 was a digest without scope. */
     NODE_DIGEST(34, NodeMessage.NodeDigest.class),
     /** {@link NodeMessage.SnapshotAsk}; 31 asked for everything. */
-    SNAPSHOT_ASK(35, NodeMessage.SnapshotAsk.class),
+    SNAPSHOT_ASK(35, NodeMessage.SnapshotRequest.class),
     /** {@link NodeMessage.UpstreamNews}. */
-    UPSTREAM_NEWS(36, NodeMessage.UpstreamNews.class),
+    UPSTREAM_NEWS(36, NodeMessage.UpstreamUpdate.class),
     /** {@link NodeMessage.RolloutReport}. */
     ROLLOUT_REPORT(37, NodeMessage.RolloutReport.class),
     /** {@link NodeMessage.RegionDigest}. */
--- a/trailladder-wire/src/main/java/io/trailladder/wire/NodeMessage.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/NodeMessage.java
@@ -146,10 +146,10 @@
      */
     record DigestSection(String name, int version, long ageMillis, byte[] body) {
         /** Most bytes of a body: what 100 upstreams or organisations take at 40 bytes each. */
-        public static final int MOST_BYTES = 4_096;
+        public static final int MAX_BODY_BYTES = 4_096;
 
         /** Most sections of a digest: several times the parts that exist. */
-        public static final int MOST_SECTIONS = 16;
+        public static final int MAX_SECTIONS = 16;
     }
 
     /**
@@ -160,7 +160,7 @@
      * @param toldBefore the part of them that other processes have been told of already
      * @param level units left over all processes, as the sender sees it
      */
-    record OrganisationUse(String organisation, double used, double toldBefore, double level) {}
+    record OrganisationUse(String organisation, double used, double reportedBefore, double level) {}
 
     /**
      * What a region knows and does, told to other regions and passed on within them as it came.
@@ -170,7 +170,7 @@
      * @param origin the process that told it first
      * @param digest the sums of all processes of its region that the origin hears
      */
-    record RegionDigest(boolean speaks, String hears, NodeHello origin, NodeDigest digest)
+    record RegionDigest(boolean represents, String receivesFrom, NodeHello origin, NodeDigest digest)
             implements NodeMessage {}
 
     /**
@@ -179,7 +179,7 @@
      * @param life names the life of the process
      * @param usage its counts of recent windows
      */
-    record UsageHistory(String life, List<UsageCount> usage) implements NodeMessage {}
+    record UsageHistory(String incarnation, List<UsageCount> usage) implements NodeMessage {}
 
     /**
      * Asks for what the receiver knows of policy and upstreams, where that is newer.
@@ -187,7 +187,7 @@
      * @param policyVersion version of the policy that the sender has
      * @param directoryRevision revision of the sender's list of upstreams
      */
-    record SnapshotAsk(long policyVersion, long directoryRevision) implements NodeMessage {}
+    record SnapshotRequest(long policyVersion, long directoryRevision) implements NodeMessage {}
 
     /**
      * One change of the list of upstreams, told by a hub to its leaves.
@@ -196,7 +196,7 @@
      * @param revision revision of the list with it
      * @param upstream the entry; without bytes if it is gone
      */
-    record UpstreamNews(long after, long revision, UpstreamEntry upstream) implements NodeMessage {}
+    record UpstreamUpdate(long after, long revision, UpstreamEntry upstream) implements NodeMessage {}
 
     /**
      * What the sender knows and has seen of roll-outs; sent only while there are some.
--- a/trailladder-wire/src/main/java/io/trailladder/wire/NodePacker.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/NodePacker.java
@@ -31,9 +31,9 @@
 import io.trailladder.wire.NodeMessage.RegionDigest;
 import io.trailladder.wire.NodeMessage.RolloutReport;
 import io.trailladder.wire.NodeMessage.Snapshot;
-import io.trailladder.wire.NodeMessage.SnapshotAsk;
+import io.trailladder.wire.NodeMessage.SnapshotRequest;
 import io.trailladder.wire.NodeMessage.UpstreamEntry;
-import io.trailladder.wire.NodeMessage.UpstreamNews;
+import io.trailladder.wire.NodeMessage.UpstreamUpdate;
 import io.trailladder.wire.NodeMessage.UsageHistory;
 import java.io.IOException;
 import java.util.List;
@@ -75,16 +75,16 @@
             hello(hello);
         } else if (message instanceof UsageHistory history) {
             usageHistory(history);
-        } else if (message instanceof SnapshotAsk ask) {
+        } else if (message instanceof SnapshotRequest ask) {
             fields(2).number(ask.policyVersion()).number(ask.directoryRevision());
-        } else if (message instanceof UpstreamNews news) {
+        } else if (message instanceof UpstreamUpdate news) {
             fields(3).number(news.after()).number(news.revision()).upstreamEntry(news.upstream());
         } else if (message instanceof RolloutReport report) {
             fields(1).list(report.rollouts(), this::rollout);
         } else if (message instanceof Snapshot snapshot) {
             snapshot(snapshot);
         } else if (message instanceof RegionDigest region) {
-            fields(4).flag(region.speaks()).text(region.hears());
+            fields(4).flag(region.represents()).text(region.receivesFrom());
             hello(region.origin());
             digest(region.digest());
         }
@@ -133,7 +133,7 @@
     }
 
     private void usageHistory(UsageHistory history) throws IOException {
-        fields(2).text(history.life()).list(history.usage(), this::usageCount);
+        fields(2).text(history.incarnation()).list(history.usage(), this::usageCount);
     }
 
     private void usageCount(UsageCount count) throws IOException {
@@ -143,9 +143,9 @@
     private void organisationUse(OrganisationUse use) throws IOException {
         fields(4)
                 .text(use.organisation())
-                .fraction(use.used())
-                .fraction(use.toldBefore())
-                .fraction(use.level());
+                .decimal(use.used())
+                .decimal(use.reportedBefore())
+                .decimal(use.level());
     }
 
     private void upstreamUse(UpstreamUse use) throws IOException {
@@ -155,24 +155,24 @@
     private void demand(ServiceDemand demand) throws IOException {
         fields(3)
                 .text(demand.service())
-                .fraction(demand.tokensPerMilli())
-                .fraction(demand.squaredTokensPerMilli());
+                .decimal(demand.tokensPerMilli())
+                .decimal(demand.squaredTokensPerMilli());
     }
 
     private void evidence(EngineEvidence evidence) throws IOException {
         fields(5).text(evidence.service());
         fitSums(evidence.reading());
         fitSums(evidence.pacing());
-        fraction(evidence.runs()).fraction(evidence.runMillis());
+        decimal(evidence.runs()).decimal(evidence.runMillis());
     }
 
     private void fitSums(FitSums sums) throws IOException {
         fields(5)
-                .fraction(sums.weight())
-                .fraction(sums.x())
-                .fraction(sums.y())
-                .fraction(sums.xx())
-                .fraction(sums.xy());
+                .decimal(sums.weight())
+                .decimal(sums.x())
+                .decimal(sums.y())
+                .decimal(sums.xx())
+                .decimal(sums.xy());
     }
 
     private void rollout(RolloutUpdate news) throws IOException {
@@ -220,7 +220,7 @@
         return this;
     }
 
-    private NodePacker fraction(double value) throws IOException {
+    private NodePacker decimal(double value) throws IOException {
         packer.packDouble(value);
         return this;
     }
--- a/trailladder-wire/src/main/java/io/trailladder/wire/NodeUnpacker.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/NodeUnpacker.java
@@ -33,9 +33,9 @@
 import io.trailladder.wire.NodeMessage.RegionDigest;
 import io.trailladder.wire.NodeMessage.RolloutReport;
 import io.trailladder.wire.NodeMessage.Snapshot;
-import io.trailladder.wire.NodeMessage.SnapshotAsk;
+import io.trailladder.wire.NodeMessage.SnapshotRequest;
 import io.trailladder.wire.NodeMessage.UpstreamEntry;
-import io.trailladder.wire.NodeMessage.UpstreamNews;
+import io.trailladder.wire.NodeMessage.UpstreamUpdate;
 import io.trailladder.wire.NodeMessage.UsageHistory;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -67,7 +67,7 @@
      * @param type the type
      * @return true for messages between gateways
      */
-    static boolean reads(MessageType type) {
+    static boolean canRead(MessageType type) {
         return NodeMessage.class.isAssignableFrom(type.messageClass());
     }
 
@@ -96,8 +96,8 @@
             case NODE_HELLO -> hello();
             case NODE_DIGEST -> digest();
             case USAGE_HISTORY -> usageHistory();
-            case SNAPSHOT_ASK -> snapshotAsk();
-            case UPSTREAM_NEWS -> upstreamNews();
+            case SNAPSHOT_ASK -> snapshotRequest();
+            case UPSTREAM_NEWS -> upstreamUpdate();
             case SNAPSHOT -> snapshot();
             case ROLLOUT_REPORT -> rolloutReport();
             case REGION_DIGEST -> regionDigest();
@@ -116,7 +116,7 @@
     }
 
     private NodeDigest digest() throws IOException {
-        int further = fieldsFrom(14);
+        int further = fieldsAtLeast(14);
         NodeDigest digest = digestFields();
         unpacker.skipValue(further);
         return digest;
@@ -154,14 +154,14 @@
         }
     }
 
-    private SnapshotAsk snapshotAsk() throws IOException {
+    private SnapshotRequest snapshotRequest() throws IOException {
         fields(2);
-        return new SnapshotAsk(number(), number());
+        return new SnapshotRequest(number(), number());
     }
 
-    private UpstreamNews upstreamNews() throws IOException {
+    private UpstreamUpdate upstreamUpdate() throws IOException {
         fields(3);
-        return new UpstreamNews(number(), number(), upstreamEntry());
+        return new UpstreamUpdate(number(), number(), upstreamEntry());
     }
 
     private Snapshot snapshot() throws IOException {
@@ -181,7 +181,7 @@
 
     private OrganisationUse organisationUse() throws IOException {
         fields(4);
-        return new OrganisationUse(text(), fraction(), fraction(), fraction());
+        return new OrganisationUse(text(), decimal(), decimal(), decimal());
     }
 
     private UpstreamUse upstreamUse() throws IOException {
@@ -191,17 +191,17 @@
 
     private ServiceDemand demand() throws IOException {
         fields(3);
-        return new ServiceDemand(text(), fraction(), fraction());
+        return new ServiceDemand(text(), decimal(), decimal());
     }
 
     private EngineEvidence evidence() throws IOException {
         fields(5);
-        return new EngineEvidence(text(), fitSums(), fitSums(), fraction(), fraction());
+        return new EngineEvidence(text(), fitSums(), fitSums(), decimal(), decimal());
     }
 
     private FitSums fitSums() throws IOException {
         fields(5);
-        return new FitSums(fraction(), fraction(), fraction(), fraction(), fraction());
+        return new FitSums(decimal(), decimal(), decimal(), decimal(), decimal());
     }
 
     private RolloutReport rolloutReport() throws IOException {
@@ -239,12 +239,12 @@
     }
 
     /** Reads the head of fields to which a later version may have added some: how many it has. */
-    private int fieldsFrom(int expected) throws IOException {
+    private int fieldsAtLeast(int expected) throws IOException {
         int found = unpacker.unpackArrayHeader();
         if (found < expected) {
             throw new IOException(found + " fields, expected at least " + expected);
         }
-        return bounded(found - expected);
+        return checkedSize(found - expected);
     }
 
     private void fields(int expected) throws IOException {
@@ -255,7 +255,7 @@
     }
 
     private <T> List<T> list(PartReader<T> reader) throws IOException {
-        int size = bounded(unpacker.unpackArrayHeader());
+        int size = checkedSize(unpacker.unpackArrayHeader());
         List<T> parts = new ArrayList<>(size);
         for (int i = 0; i < size; i++) {
             parts.add(reader.read());
@@ -271,7 +271,7 @@
         return unpacker.unpackInt();
     }
 
-    private double fraction() throws IOException {
+    private double decimal() throws IOException {
         return unpacker.unpackDouble();
     }
 
@@ -284,11 +284,11 @@
     }
 
     private byte[] bytes() throws IOException {
-        return unpacker.readPayload(bounded(unpacker.unpackBinaryHeader()));
+        return unpacker.readPayload(checkedSize(unpacker.unpackBinaryHeader()));
     }
 
     /** Every part has at least one byte, so there cannot be more of them than bytes. */
-    private int bounded(int size) throws IOException {
+    private int checkedSize(int size) throws IOException {
         if (size > length) {
             throw new IOException(size + " parts or bytes announced in a message of " + length);
         }
--- a/trailladder-wire/src/main/java/io/trailladder/wire/PeerCodec.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/PeerCodec.java
@@ -109,7 +109,7 @@
         MessageType type = MessageType.of(Byte.toUnsignedInt(bytes[from + 1]));
         int start = from + HEADER_BYTES;
         try {
-            if (NodeUnpacker.reads(type)) {
+            if (NodeUnpacker.canRead(type)) {
                 return NodeUnpacker.unpack(type, bytes, start, to - start);
             }
             PeerMessage message =
--- a/trailladder-wire/src/main/java/io/trailladder/wire/PeerMessage.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/PeerMessage.java
@@ -264,10 +264,10 @@
      *
      * @param claim the claim
      */
-    record ClaimAsk(Claim claim) implements PeerMessage {}
+    record ClaimRequest(Claim claim) implements PeerMessage {}
 
     /**
-     * Answers a {@link ClaimAsk}.
+     * Answers a {@link ClaimRequest}.
      *
      * @param requestId the request's name
      * @param reply the answer
@@ -325,5 +325,5 @@
      *
      * @param map the map
      */
-    record RangeMapNews(RangeMap map) implements PeerMessage {}
+    record RangeMapUpdate(RangeMap map) implements PeerMessage {}
 }
--- a/trailladder-wire/src/test/java/io/trailladder/wire/NodeMessageProperties.java
+++ b/trailladder-wire/src/test/java/io/trailladder/wire/NodeMessageProperties.java
@@ -39,9 +39,9 @@
 import io.trailladder.wire.NodeMessage.RegionDigest;
 import io.trailladder.wire.NodeMessage.RolloutReport;
 import io.trailladder.wire.NodeMessage.Snapshot;
-import io.trailladder.wire.NodeMessage.SnapshotAsk;
+import io.trailladder.wire.NodeMessage.SnapshotRequest;
 import io.trailladder.wire.NodeMessage.UpstreamEntry;
-import io.trailladder.wire.NodeMessage.UpstreamNews;
+import io.trailladder.wire.NodeMessage.UpstreamUpdate;
 import io.trailladder.wire.NodeMessage.UsageHistory;
 import java.io.IOException;
 import java.util.Arrays;
@@ -135,12 +135,12 @@
     void otherMessagesComeBackUnchanged() {
         NodeHello hello = new NodeHello("n", "i", "z", "127.0.0.1:1");
         assertEquals(hello, roundTrip(hello));
-        SnapshotAsk ask = new SnapshotAsk(Long.MAX_VALUE, 0);
+        SnapshotRequest ask = new SnapshotRequest(Long.MAX_VALUE, 0);
         assertEquals(ask, roundTrip(ask));
         UsageHistory history = new UsageHistory("life", List.of());
         assertEquals(history, roundTrip(history));
-        UpstreamNews news = new UpstreamNews(1, 2, new UpstreamEntry("w", new byte[] {1, 2}));
-        UpstreamNews newsBack = (UpstreamNews) roundTrip(news);
+        UpstreamUpdate news = new UpstreamUpdate(1, 2, new UpstreamEntry("w", new byte[] {1, 2}));
+        UpstreamUpdate newsBack = (UpstreamUpdate) roundTrip(news);
         assertArrayEquals(news.upstream().value(), newsBack.upstream().value());
         Snapshot snapshot = new Snapshot(3, new byte[300], 4, List.of(news.upstream()));
         Snapshot snapshotBack = (Snapshot) roundTrip(snapshot);
@@ -154,8 +154,8 @@
         RegionDigest told = new RegionDigest(true, "m", origin, digest(77, 1.5, "w"));
         RegionDigest back = (RegionDigest) roundTrip(told);
         assertEquals(origin, back.origin());
-        assertEquals(told.speaks(), back.speaks());
-        assertEquals("m", back.hears());
+        assertEquals(told.represents(), back.represents());
+        assertEquals("m", back.receivesFrom());
         assertArrayEquals(PeerCodec.encode(told), PeerCodec.encode(back));
     }
 
--- a/trailladder-wire/src/test/java/io/trailladder/wire/PeerCodecProperties.java
+++ b/trailladder-wire/src/test/java/io/trailladder/wire/PeerCodecProperties.java
@@ -63,7 +63,7 @@
                                 List.of(new PeerMessage.RowDemand("a", "b", 1.5))),
                         new PeerMessage.TableDelta(List.of(change)),
                         new PeerMessage.ClaimCopy(4, 5, claim),
-                        new PeerMessage.RangeMapNews(RangeMap.fresh(4)),
+                        new PeerMessage.RangeMapUpdate(RangeMap.fresh(4)),
                         new PeerMessage.RecordFound("r1", PeerMessage.Standing.COPY));
         messages.forEach(message -> assertEquals(message, roundTrip(message)));
         PeerMessage.AnswerBody body = new PeerMessage.AnswerBody(1, 2, new byte[] {1, 2});
