--- a/trailladder-cli/src/main/java/io/trailladder/cli/ClassDataTraining.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/ClassDataTraining.java
@@ -44,9 +44,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Runs two linked gateways for a moment against a canned platform on the loopback interface, one of
- * them as the process that is deployed, so that the JVM can record the classes it needs. The record
- * shortens every later start.
+ * Runs two linked gateways briefly against a simulated platform on the loopback interface, so that
+ * the JVM archives the classes that a gateway loads. The archive shortens every later start.
  *
  * <p>Used by the build with {@code -XX:ArchiveClassesAtExit}.
  *
@@ -62,20 +61,23 @@
     private static final int REQUESTS = 40;
     private static final long PAUSE_MILLIS = 50;
 
-    /** Each so many requests one is turned away by its upstream, and the next one is cut. */
+    /** In each interval of this many requests, the upstream rejects one and cuts off the next. */
     private static final int FAULT_INTERVAL_REQUESTS = 8;
 
     private static final long TIMEOUT_MILLIS = 6_000;
     private static final int MAX_BODY_BYTES = 1 << 20;
     private static final byte[] NO_BYTES = {};
 
-    /** Links of the trained processes, and of one between them that ranks as a hub, in Mbit/s. */
+    /**
+     * Link speeds in Mbit/s: strong and weak of the two processes, medium of an unreachable process
+     * that ranks as a hub between them.
+     */
     private static final int STRONG_MBPS = 1_000;
 
     private static final int MEDIUM_MBPS = 700;
     private static final int WEAK_MBPS = 500;
 
-    /** A process's entry inside a write. */
+    /** Matches a process's membership entry inside a write to the store. */
     private static final Pattern MEMBER =
             Pattern.compile(
                     "\"private_key\":\"(" + Membership.PREFIX + "[^\"]*)\",\"value\":\"([^\"]*)\"");
@@ -91,7 +93,7 @@
     private ClassDataTraining() {}
 
     /**
-     * Runs the gateway and ends the process, with code 0 if the gateway stopped in order.
+     * Runs the gateways and exits the process, with code 0 if both stopped gracefully.
      *
      * @param args not used
      * @throws IOException if nothing can listen on the loopback interface
@@ -129,7 +131,7 @@
         return stopped.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) ? 0 : 1;
     }
 
-    /** One gateway that runs from a settings file, as it is deployed. */
+    /** One gateway that runs from a settings file, as in a deployment. */
     private final class TrainedProcess {
         private final HostPort callers = freePort();
         private final HostPort health = freePort();
@@ -165,7 +167,10 @@
             }
         }
 
-        /** Waits for a while only: an archive of a slow build lacks classes, and starts go on. */
+        /**
+         * Waits until the gateway is ready or the timeout is over. After the timeout the training
+         * continues: the archive then lacks classes, but gateways still start.
+         */
         private void awaitReady() throws InterruptedException {
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
             while (!ready.isSet() && System.nanoTime() - end < 0) {
@@ -204,7 +209,8 @@
                                 new HeaderField("Prefix-Hash", "a:5,b:5"),
                                 new HeaderField("Authorization", "Bearer key")));
         OutgoingCall call =
-                new OutgoingCall(target, "POST", path, headers, NO_BYTES, TIMEOUT_MILLIS, TIMEOUT_MILLIS);
+                new OutgoingCall(
+                        target, "POST", path, headers, NO_BYTES, TIMEOUT_MILLIS, TIMEOUT_MILLIS);
         connector.send(call, listener);
     }
 
@@ -230,7 +236,7 @@
         }
     }
 
-    /** Keeps the entry of a process, to be listed; others are not read. */
+    /** Stores the membership entry of a process for later listings; ignores other writes. */
     private void recordMember(byte[] body) {
         Matcher put = MEMBER.matcher(new String(body, StandardCharsets.UTF_8));
         if (put.find()) {
@@ -238,7 +244,7 @@
         }
     }
 
-    /** Lists processes that cannot be reached, so many that one trained process acts as a leaf. */
+    /** Adds unreachable members, enough that one of the two processes acts as a leaf. */
     private void addUnreachable() {
         for (int i = 0; i < HubTopology.FULL_MESH_MAX_PROCESSES; i++) {
             String name = "none-" + i;
@@ -249,7 +255,7 @@
         }
     }
 
-    /** Answers as an upstream, in pieces; some requests meet faults. */
+    /** Answers as an upstream does, in several parts; some requests fail. */
     private void answerAsUpstream(ServerExchange exchange) {
         answers++;
         if (answers % FAULT_INTERVAL_REQUESTS == 1) {
@@ -310,7 +316,7 @@
         }
     }
 
-    /** Remembers that a process was ready once. */
+    /** Records whether a process has answered that it is ready. */
     private static final class ReadyListener extends IgnoringListener {
         private volatile boolean set;
 
@@ -326,7 +332,7 @@
         }
     }
 
-    /** Takes no interest in an answer. */
+    /** Ignores an answer. */
     private static class IgnoringListener implements CallListener {
         @Override
         public void head(int status, HeaderList headers, long length) {}
--- a/trailladder-cli/src/main/java/io/trailladder/cli/CrashTable.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/CrashTable.java
@@ -25,14 +25,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Sums up under which requests upstreams ended, over all their tries and all processes. */
+/** Counts the upstreams that ended while running a request, over all tries and all processes. */
 final class CrashTable {
     private static final String KIND = "UpstreamEnded";
 
     private final Map<String, Sum> sums = new HashMap<>();
     private final Map<String, Set<String>> requestsAt = new HashMap<>();
 
-    /** What is known of one request. */
+    /** What the log lines state about one request. */
     private static final class Sum {
         final Set<String> upstreams = new HashSet<>();
         final Set<String> processes = new HashSet<>();
@@ -42,15 +42,15 @@
     }
 
     /**
-     * One row.
+     * One row: one request.
      *
-     * @param request the request, the same at all its tries
-     * @param upstreams how many upstreams ended under it
-     * @param alone at how many of them no other request was seen to break
-     * @param tries how many of its tries that took
-     * @param processes how many processes sent these
+     * @param request the request's fingerprint, the same for all its tries
+     * @param upstreams the number of upstreams that ended while running it
+     * @param alone the number of these upstreams at which no other request broke
+     * @param tries the number of its tries under which upstreams ended
+     * @param processes the number of processes that sent these tries
      * @param first when the first upstream ended
-     * @param lasted time from the first to the last of them
+     * @param lasted the time from the first to the last end
      */
     record Row(
             String request,
@@ -62,9 +62,9 @@
             Duration lasted) {}
 
     /**
-     * Takes a line over.
+     * Adds a log line.
      *
-     * @param line a decision; kinds other than {@code UpstreamEnded} are passed over
+     * @param line a decision; kinds other than {@code UpstreamEnded} are ignored
      */
     void add(DecisionLine line) {
         if (!line.kind().equals(KIND)) {
@@ -80,13 +80,13 @@
         requestsAt.computeIfAbsent(line.text("upstream"), name -> new HashSet<>()).add(request);
     }
 
-    /** A log's collector may write the time before the process's name. */
+    /** Returns the last word of the source, as log collectors may prefix the name with a time. */
     private static String processName(String source) {
         return source.substring(source.lastIndexOf(' ') + 1);
     }
 
     /**
-     * Returns the rows, those under which most upstreams ended first.
+     * Returns the rows, those with the most ended upstreams first.
      *
      * @return the rows
      */
--- a/trailladder-cli/src/main/java/io/trailladder/cli/DecisionLine.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/DecisionLine.java
@@ -24,24 +24,24 @@
 import java.util.Optional;
 
 /**
- * One decision as a gateway's log tells it.
+ * One decision read from a gateway's log.
  *
- * @param time when it was written
- * @param source what stands before the line's JSON, such as the process's name; often empty
+ * @param time when the line was written
+ * @param source the text before the line's JSON, such as the process's name; often empty
  * @param kind the kind of decision, such as {@code Intake}
  * @param fields the decision's fields
  */
 record DecisionLine(Instant time, String source, String kind, JsonNode fields) {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** Names of fields as the version before wrote them, by today's names. */
+    /** The field names of the previous version, by current field name. */
     private static final Map<String, String> FORMER_NAMES = Map.of("upstream", "worker");
 
     /**
-     * Reads a line.
+     * Parses a log line.
      *
-     * @param line the line; anything before the first brace is its source
-     * @return the decision; empty if the line tells none
+     * @param line the line; the text before the first brace is its source
+     * @return the decision; empty if the line is not a decision
      */
     static Optional<DecisionLine> parse(String line) {
         int brace = line.indexOf('{');
--- a/trailladder-cli/src/main/java/io/trailladder/cli/Durations.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/Durations.java
@@ -20,19 +20,25 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads durations such as {@code 250ms}, {@code 14s}, {@code 10m}, {@code 24h}.
+ * Parses durations such as {@code 250ms}, {@code 14s}, {@code 10m}, {@code 24h}.
  *
  * @since 0.1
  */
 final class Durations {
-    /** How a duration looks. */
+    /** The expected form of a duration, for error messages. */
     static final String EXPECTED_FORM = "a duration such as 250ms, 14s, 10m or 24h";
 
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9})(ms|s|m|h)");
 
     private Durations() {}
 
-    /** Reads a duration in milliseconds. */
+    /**
+     * Parses a duration.
+     *
+     * @param text the text; {@code null} is treated as empty
+     * @return the duration in milliseconds
+     * @throws BadDurationException if the text is not a duration
+     */
     static long parseMillis(String text) {
         Matcher matcher = DURATION.matcher(text == null ? "" : text);
         if (!matcher.matches()) {
@@ -47,7 +53,7 @@
         };
     }
 
-    /** Is thrown for text that is no duration. */
+    /** Thrown for text that is not a duration. */
     static final class BadDurationException extends TrailladderException {
         private static final long serialVersionUID = 1L;
 
--- a/trailladder-cli/src/main/java/io/trailladder/cli/EntryCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/EntryCommand.java
@@ -38,9 +38,10 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Runs one entry until it is told to stop.
+ * Runs one entry until it is stopped.
  *
- * <p>Every option can be given by an environment variable. All wrong settings are named at once.
+ * <p>Every option can be given by an environment variable. All invalid options are reported
+ * together.
  *
  * @since 0.1
  */
@@ -49,7 +50,7 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Run one entry: takes callers' requests and serves them where the table allows.",
+                "Run one entry: accepts callers' requests and serves them where the table allows.",
         footer = {
             "",
             "The key that all entries share comes from --peer-key-file or TRAILLADDER_PEER_KEY,",
@@ -141,7 +142,7 @@
     @Option(
             names = "--caller-idle",
             defaultValue = "${env:TRAILLADDER_CALLER_IDLE:-30s}",
-            description = "longest silence of a caller (TRAILLADDER_CALLER_IDLE; ${DEFAULT-VALUE})")
+            description = "idle timeout of callers (TRAILLADDER_CALLER_IDLE; ${DEFAULT-VALUE})")
     private String callerIdle;
 
     @Option(
@@ -156,15 +157,14 @@
             names = "--upstream-idle",
             defaultValue = "${env:TRAILLADDER_UPSTREAM_IDLE:-5s}",
             description =
-                    "longest silence of an upstream (TRAILLADDER_UPSTREAM_IDLE;"
-                            + " ${DEFAULT-VALUE})")
+                    "idle timeout of upstreams (TRAILLADDER_UPSTREAM_IDLE;" + " ${DEFAULT-VALUE})")
     private String upstreamIdle;
 
     @Option(
             names = "--reattach",
             defaultValue = "${env:TRAILLADDER_REATTACH:-2s}",
             description =
-                    "how long an answer goes on after its caller is gone (TRAILLADDER_REATTACH;"
+                    "how long an answer continues after its caller disconnects (TRAILLADDER_REATTACH;"
                             + " ${DEFAULT-VALUE})")
     private String reattach;
 
@@ -172,7 +172,7 @@
             names = "--claim-retention",
             defaultValue = "${env:TRAILLADDER_CLAIM_RETENTION:-24h}",
             description =
-                    "how long keys of at-most-once requests are remembered"
+                    "how long keys of at-most-once requests are kept"
                             + " (TRAILLADDER_CLAIM_RETENTION; ${DEFAULT-VALUE})")
     private String claimRetention;
 
@@ -299,7 +299,7 @@
                 return HostPort.parse(value);
             }
         } catch (TrailladderException e) {
-            // reported below like a missing address
+            // reported below, as a missing address is
         }
         fault(option, value, "HOST:PORT, for example 127.0.0.1:8080");
         return null;
--- a/trailladder-cli/src/main/java/io/trailladder/cli/ErrorMessageHandler.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/ErrorMessageHandler.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.IExecutionExceptionHandler;
 import picocli.CommandLine.ParseResult;
 
-/** Prints the message of an expected failure instead of its stack trace. */
+/** Prints the message of a {@link TrailladderException} instead of its stack trace. */
 final class ErrorMessageHandler implements IExecutionExceptionHandler {
     @Override
     public int handleExecutionException(
--- a/trailladder-cli/src/main/java/io/trailladder/cli/ExplainCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/ExplainCommand.java
@@ -26,7 +26,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Tells from gateways' logs what became of a request, and why.
+ * Reports from the logs of gateways how a request was handled and why it ended as it did.
  *
  * <pre>{@code
  * cat gateway-*.log | trailladder explain 9c41d07be2a35f68
@@ -38,7 +38,7 @@
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
-        description = "Tell from gateways' logs what became of a request, and why.")
+        description = "Explain from gateways' logs how a request ended, and why.")
 public final class ExplainCommand implements Callable<Integer> {
     private static final int EXIT_NOT_FOUND = 1;
 
@@ -50,7 +50,7 @@
     @Parameters(
             index = "1..*",
             paramLabel = "FILE",
-            description = "Logs; standard input if none is named.")
+            description = "Logs; standard input if not given.")
     private List<Path> files = List.of();
 
     @Override
@@ -63,7 +63,8 @@
     private int print(RequestTrace trace) {
         if (trace.isEmpty()) {
             PrintWriter err = spec.commandLine().getErr();
-            err.println("REQUEST-ID '" + id + "' is in no line, expected the logs of all gateways");
+            err.println(
+                    "REQUEST-ID '" + id + "' is in no log line, expected the logs of all gateways");
             err.flush();
             return EXIT_NOT_FOUND;
         }
--- a/trailladder-cli/src/main/java/io/trailladder/cli/GatewayCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/GatewayCommand.java
@@ -26,7 +26,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Runs one gateway process until it is told to stop.
+ * Runs one gateway process until it is stopped.
  *
  * @since 0.2
  */
@@ -34,11 +34,11 @@
         name = "gateway",
         mixinStandardHelpOptions = true,
         sortOptions = false,
-        description = "Run one gateway: takes callers' requests on the users' platform.",
+        description = "Run one gateway: accepts callers' requests on the users' platform.",
         footer = {
             "",
             "SIGTERM stops it without cutting off requests. SIGHUP, or a change of the settings",
-            "file, has the settings read again. Log lines go to standard output."
+            "file, reloads the settings. Log lines go to standard output."
         })
 public final class GatewayCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
@@ -48,7 +48,7 @@
             paramLabel = "FILE",
             required = true,
             defaultValue = "${env:TRAILLADDER_SETTINGS}",
-            description = "Settings file; default is what TRAILLADDER_SETTINGS names.")
+            description = "Settings file; default is the file that TRAILLADDER_SETTINGS names.")
     private Path settingsFile;
 
     @Override
--- a/trailladder-cli/src/main/java/io/trailladder/cli/GatewayProcess.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/GatewayProcess.java
@@ -42,26 +42,28 @@
 import java.util.logging.Logger;
 
 /**
- * One gateway with its settings file, its signals and the adapter of the users' platform.
+ * Runs one gateway with its settings file, its signal handlers and the adapter of the users'
+ * platform.
  *
- * <p>Its own {@link #main} starts it without a command line, which is parsed by a library whose
- * classes cannot be recorded for a quick start.
+ * <p>Deployments start it by its own {@link #main} rather than by the command line, because the
+ * classes of the command line library cannot be stored in the class data archive that shortens the
+ * start.
  *
  * @since 0.2
  */
 public final class GatewayProcess {
-    /** Names the settings file in the environment. */
+    /** The environment variable that names the settings file. */
     public static final String SETTINGS_VARIABLE = "TRAILLADDER_SETTINGS";
 
     private static final long SETTINGS_POLL_MILLIS = 1_000;
 
     /**
-     * How long after the start the log begins, in milliseconds: by then the requests of a restart
-     * are under way.
+     * Delay between the start and the first written log line, in milliseconds, so that logging does
+     * not slow the first requests after a restart.
      */
     private static final long LOG_DELAY_MILLIS = 2_000;
 
-    /** Grizzly tells of each broken connection, which callers and upstreams break all the time. */
+    /** Grizzly logs each broken connection, which is frequent with callers and upstreams. */
     private static final Logger GRIZZLY = Logger.getLogger("org.glassfish.grizzly");
 
     private static final int USAGE_ERROR = 2;
@@ -73,16 +75,16 @@
     private FileTime settingsTime;
 
     /**
-     * Creates a process that does not yet run.
+     * Creates a process that is not started yet.
      *
-     * @param settingsFile its settings
+     * @param settingsFile the settings file
      */
     public GatewayProcess(Path settingsFile) {
         this.settingsFile = settingsFile;
     }
 
     /**
-     * Runs a gateway with the settings file that the environment names.
+     * Runs a gateway with the settings file that {@link #SETTINGS_VARIABLE} names.
      *
      * @param args not used
      * @throws IOException if it cannot listen
@@ -104,11 +106,11 @@
     }
 
     /**
-     * Runs until the process is told to stop.
+     * Runs the gateway until it is stopped by a signal or by {@link #stop}.
      *
      * @throws IOException if it cannot listen
      * @throws InterruptedException if the calling thread is interrupted
-     * @throws SettingsException if the settings are wrong
+     * @throws SettingsException if the settings are invalid
      */
     public void run() throws IOException, InterruptedException {
         System.setProperty(LineQueue.STREAM_PROPERTY, "out");
@@ -127,14 +129,14 @@
         }
     }
 
-    /** Lets the first requests be served before lines are written. */
+    /** Waits for the log delay, then writes the lines held back since the start. */
     private void startLog() throws InterruptedException {
         stopped.await(LOG_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         LibraryLines.take();
         EarlyLines.release();
     }
 
-    /** Stops the gateway in order; {@link #run} returns once it has stopped. */
+    /** Stops the gateway gracefully; {@link #run} returns once it has stopped. */
     void stop() {
         gateway.stop();
     }
@@ -148,9 +150,9 @@
     }
 
     private void reloadIfChanged() {
-        FileTime now = settingsLastModified();
-        if (!now.equals(settingsTime)) {
-            settingsTime = now;
+        FileTime lastModified = settingsLastModified();
+        if (!lastModified.equals(settingsTime)) {
+            settingsTime = lastModified;
             reload();
         }
     }
--- a/trailladder-cli/src/main/java/io/trailladder/cli/LogFiles.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/LogFiles.java
@@ -28,18 +28,18 @@
 import picocli.CommandLine;
 import picocli.CommandLine.ParameterException;
 
-/** Reads the decisions that gateways' logs tell. */
+/** Reads decisions from the logs of gateways. */
 final class LogFiles {
     private LogFiles() {}
 
     /**
-     * Reads logs line by line; lines that tell no decision are passed over.
+     * Reads logs line by line and skips lines that are not decisions.
      *
-     * @param files the logs; standard input if none is named
-     * @param commandLine told of a file that is not there
-     * @param decisions takes the decisions
+     * @param files the log files; standard input is read if there are none
+     * @param commandLine the command line that a missing file is reported for
+     * @param decisions receives each decision
      * @throws IOException if a log cannot be read
-     * @throws ParameterException if a file is not there
+     * @throws ParameterException if a file does not exist
      */
     static void read(List<Path> files, CommandLine commandLine, Consumer<DecisionLine> decisions)
             throws IOException {
@@ -51,7 +51,7 @@
                 read(reader, decisions);
             } catch (NoSuchFileException e) {
                 throw new ParameterException(
-                        commandLine, "FILE '" + file + "' is not there, expected a log", e);
+                        commandLine, "FILE '" + file + "' does not exist, expected a log file", e);
             }
         }
     }
--- a/trailladder-cli/src/main/java/io/trailladder/cli/LossTable.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/LossTable.java
@@ -25,31 +25,32 @@
 import java.util.TreeMap;
 
 /**
- * Sums up which requests were not served, or were late, by what they have in common.
+ * Counts requests that were not served or were late, grouped by a common property.
  *
- * <p>A request counts once for each attempt that a caller made, as gateways know no others.
+ * <p>A request that its caller repeats counts once for each repetition, because gateways do not
+ * link the repetitions.
  */
 final class LossTable {
-    /** By what requests are summed up. */
+    /** The property by which requests are grouped. */
     enum Dimension {
-        /** How it ended for the caller, and for how long it was held. */
+        /** How the request ended for the caller: served, refused at once, held and refused, ... */
         OUTCOME,
-        /** What became of the request, and why. */
+        /** How the request ended, with the last failure. */
         CAUSE,
         /** The route. */
         ROUTE,
-        /** Whose it was. */
+        /** The organisation that sent the request. */
         ORGANISATION,
-        /** The last upstream it was sent to. */
+        /** The last upstream that the request was sent to. */
         UPSTREAM,
-        /** The second it was taken, from the first line of the logs. */
+        /** The second in which the request was received, counted from the earliest log line. */
         SECOND
     }
 
     private static final int FIRST_ERROR_STATUS = 400;
     private static final String NONE = "-";
 
-    /** A request that is refused within this time waited for nothing, in milliseconds. */
+    /** A request refused in less than this time counts as refused at once. */
     private static final long MAX_IMMEDIATE_MILLIS = 50;
 
     private static final String UNKNOWN_END = "no end in the logs";
@@ -58,7 +59,7 @@
     private final Map<String, Request> requests = new LinkedHashMap<>();
     private Instant firstLineTime;
 
-    /** What the lines tell of one request. */
+    /** What the log lines state about one request. */
     private static final class Request {
         private final Instant receivedTime;
         private String route = NONE;
@@ -78,13 +79,13 @@
     }
 
     /**
-     * One row: requests that have a value in common.
+     * One row: the requests that share a value.
      *
      * @param value the value
-     * @param requests how many there were
-     * @param unserved how many of them were not served
-     * @param late how many of them were served late
-     * @param heldMillis how long those were held in all that were not served, in milliseconds
+     * @param requests the number of requests
+     * @param unserved the number of requests that were not served
+     * @param late the number of requests that were served late
+     * @param heldMillis the total time that the unserved requests were held, in milliseconds
      */
     record Row(String value, int requests, int unserved, int late, long heldMillis) {
         private static Row of(String value, Request request) {
@@ -107,9 +108,9 @@
     }
 
     /**
-     * Takes a line over.
+     * Adds a log line.
      *
-     * @param line a decision; kinds that tell nothing of a request are passed over
+     * @param line a decision; kinds that do not concern a request are ignored
      */
     void add(DecisionLine line) {
         if (firstLineTime == null || line.time().isBefore(firstLineTime)) {
@@ -122,15 +123,15 @@
             case "TurnedAway" -> request(line).failure = line.text("reason");
             case "Ended" -> addEnd(line);
             default -> {
-                // says nothing of a request
+                // does not concern a request
             }
         }
     }
 
     /**
-     * Returns the rows of a table, those with the most losses first; seconds in order.
+     * Returns the rows of a table, those with the most losses first; seconds in ascending order.
      *
-     * @param dimension by what requests are summed up
+     * @param dimension the property by which requests are grouped
      * @return the rows
      */
     List<Row> rows(Dimension dimension) {
@@ -151,7 +152,7 @@
     /**
      * Returns the sum over all requests.
      *
-     * @return one row
+     * @return one row with the value {@code all}
      */
     Row total() {
         Row total = new Row("all", 0, 0, 0, 0);
@@ -183,12 +184,13 @@
     private void addEnd(DecisionLine line) {
         Request request = request(line);
         String outcome = line.text("outcome");
-        boolean whole = outcome.equals("whole") && line.number("status") < FIRST_ERROR_STATUS;
-        request.served = whole;
-        long first = line.number("firstMs");
-        request.late = whole && request.objectiveMillis > 0 && first > request.objectiveMillis;
+        boolean served = outcome.equals("whole") && line.number("status") < FIRST_ERROR_STATUS;
+        request.served = served;
+        long firstMillis = line.number("firstMs");
+        request.late =
+                served && request.objectiveMillis > 0 && firstMillis > request.objectiveMillis;
         request.heldMillis = line.number("tookMs");
-        if (whole) {
+        if (served) {
             request.cause = request.late ? "late" : "in time";
             request.outcome = request.cause;
         } else {
@@ -198,9 +200,10 @@
         }
     }
 
-    private static String unservedOutcome(String ending, long heldMillis) {
-        return switch (ending) {
-            case "NOT_RUN" -> heldMillis < MAX_IMMEDIATE_MILLIS ? REFUSED_AT_ONCE : "held, then refused";
+    private static String unservedOutcome(String outcome, long heldMillis) {
+        return switch (outcome) {
+            case "NOT_RUN" ->
+                    heldMillis < MAX_IMMEDIATE_MILLIS ? REFUSED_AT_ONCE : "held, then refused";
             case "BROKEN_OFF" -> "broken off";
             case "caller-gone" -> "caller left";
             default -> "failed";
@@ -214,7 +217,9 @@
             case ROUTE -> request.route;
             case ORGANISATION -> request.organisation;
             case UPSTREAM -> request.upstream;
-            case SECOND -> Long.toString(Duration.between(firstLineTime, request.receivedTime).toSeconds());
+            case SECOND ->
+                    Long.toString(
+                            Duration.between(firstLineTime, request.receivedTime).toSeconds());
         };
     }
 
--- a/trailladder-cli/src/main/java/io/trailladder/cli/LossesCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/LossesCommand.java
@@ -30,8 +30,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Tells from gateways' logs which requests were not served, or late, summed up by cause, route,
- * organisation, upstream or second.
+ * Reports from the logs of gateways which requests were not served or were late, grouped by
+ * outcome, cause, route, organisation, upstream or second.
  *
  * <pre>{@code
  * cat gateway-*.log | trailladder losses
@@ -43,7 +43,8 @@
 @Command(
         name = "losses",
         mixinStandardHelpOptions = true,
-        description = "Tell from gateways' logs which requests were not served, or late, and why.")
+        description =
+                "Report from gateways' logs which requests were not served, or late, and why.")
 public final class LossesCommand implements Callable<Integer> {
     private static final int EXIT_NOTHING_FOUND = 1;
     private static final int DEFAULT_MAX_ROWS = 20;
@@ -66,13 +67,13 @@
     @Option(
             names = "--most",
             paramLabel = "N",
-            description = "Most rows of a table; ${DEFAULT-VALUE} if not given.")
+            description = "Maximum rows of a table; ${DEFAULT-VALUE} if not given.")
     private int maxRows = DEFAULT_MAX_ROWS;
 
     @Parameters(
             index = "0..*",
             paramLabel = "FILE",
-            description = "Logs; standard input if none is named.")
+            description = "Logs; standard input if not given.")
     private List<Path> files = List.of();
 
     @Override
@@ -92,7 +93,7 @@
         Row total = table.total();
         if (total.requests() == 0) {
             PrintWriter err = spec.commandLine().getErr();
-            err.println("no line tells of a request, expected the logs of all gateways");
+            err.println("no line describes a request, expected the logs of all gateways");
             err.flush();
             return EXIT_NOTHING_FOUND;
         }
--- a/trailladder-cli/src/main/java/io/trailladder/cli/MoveTrace.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/MoveTrace.java
@@ -21,7 +21,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** How a model request passed from one entry to another, and where its callers found it. */
+/** Traces how a model request moved between entries, and where its caller found it again. */
 final class MoveTrace {
     private static final Set<String> KINDS = Set.of("HandOver", "TakeUp", "AskedAgain");
     private static final String GOES_ON = "GOES_ON";
@@ -31,13 +31,13 @@
     private final List<DecisionLine> lines;
 
     /**
-     * Creates the trace.
+     * Creates the trace of one request.
      *
-     * @param own the request's lines, in any order
+     * @param requestLines the request's lines, in any order
      */
-    MoveTrace(List<DecisionLine> own) {
+    MoveTrace(List<DecisionLine> requestLines) {
         lines =
-                own.stream()
+                requestLines.stream()
                         .filter(line -> KINDS.contains(line.kind()))
                         .sorted(Comparator.comparing(DecisionLine::time))
                         .toList();
@@ -47,42 +47,51 @@
         return lines.isEmpty();
     }
 
-    /** Returns where the request went and why its answer ended early, in one sentence. */
+    /** Returns in one sentence where the request moved to and why its answer ended early. */
     String cause() {
-        Optional<DecisionLine> asked =
+        Optional<DecisionLine> failedSearch =
                 last("AskedAgain", Instant.MAX).filter(line -> line.text("found").equals(NOWHERE));
-        if (asked.isPresent()) {
-            return "its caller asked for event "
-                    + asked.get().number("fromEvent")
-                    + " and "
-                    + asked.get().number("tries")
-                    + " times no entry had it: "
-                    + reasonNotFound(asked.get().time());
+        if (failedSearch.isPresent()) {
+            return "its caller requested event "
+                    + failedSearch.get().number("fromEvent")
+                    + ", and no entry had the request in "
+                    + failedSearch.get().number("tries")
+                    + " tries: "
+                    + reasonNotFound(failedSearch.get().time());
         }
         return describeMove();
     }
 
-    /** Names the last thing before a vain question that kept the request from going on. */
+    /**
+     * Returns the last logged event before a failed search that explains why no entry had the
+     * request.
+     */
     private String reasonNotFound(Instant before) {
-        Optional<DecisionLine> taken = last("TakeUp", before);
-        if (taken.isPresent() && taken.get().text("result").equals(ALREADY_HERE)) {
-            return entryName(taken.get()) + " worked on it and was not asked, or was lost since";
+        Optional<DecisionLine> takeUp = last("TakeUp", before);
+        if (takeUp.isPresent() && takeUp.get().text("result").equals(ALREADY_HERE)) {
+            return entryName(takeUp.get())
+                    + " had the request and was not queried, or was lost since";
         }
-        if (taken.isPresent() && !taken.get().text("result").equals(GOES_ON)) {
-            return "it was not taken up at " + entryName(taken.get()) + ", " + describeResult(taken.get());
+        if (takeUp.isPresent() && !takeUp.get().text("result").equals(GOES_ON)) {
+            return "it was not resumed at "
+                    + entryName(takeUp.get())
+                    + ", "
+                    + describeResult(takeUp.get());
         }
-        if (taken.isPresent()) {
-            return "it was taken up at " + entryName(taken.get()) + ", which was lost or ended since";
+        if (takeUp.isPresent()) {
+            return "it was resumed at "
+                    + entryName(takeUp.get())
+                    + ", which was lost or ended since";
         }
         return last("HandOver", before)
                 .map(MoveTrace::describeHandOver)
                 .orElse(
                         "no hand-over and no copy is logged,"
-                                + " so its entry and its copy's were both lost");
+                                + " so its entry and the entry with its copy were both lost");
     }
 
     private String describeMove() {
-        String found =
+        String search =
                 last("AskedAgain", Instant.MAX)
                         .map(
                                 line ->
@@ -93,21 +102,21 @@
                                                 + " after "
                                                 + line.number("tookMs")
                                                 + " ms")
-                        .orElse("; its caller did not ask for the rest");
+                        .orElse("; its caller did not request the remainder");
         return last("TakeUp", Instant.MAX)
                 .map(
-                        taken ->
-                                "it passed from "
-                                        + taken.text("from")
+                        takeUp ->
+                                "it moved from "
+                                        + takeUp.text("from")
                                         + " to "
-                                        + entryName(taken)
+                                        + entryName(takeUp)
                                         + " with "
-                                        + taken.number("tokens")
+                                        + takeUp.number("tokens")
                                         + " tokens, "
-                                        + describeResult(taken))
+                                        + describeResult(takeUp))
                 .or(() -> last("HandOver", Instant.MAX).map(MoveTrace::describeHandOver))
-                .map(way -> way + found)
-                .orElse("no other entry took it up" + found);
+                .map(move -> move + search)
+                .orElse("no other entry resumed it" + search);
     }
 
     private static String describeHandOver(DecisionLine line) {
@@ -119,8 +128,8 @@
                 + line.text("answer");
     }
 
-    private static String describeResult(DecisionLine taken) {
-        return taken.text("cause") + ": " + taken.text("result");
+    private static String describeResult(DecisionLine takeUp) {
+        return takeUp.text("cause") + ": " + takeUp.text("result");
     }
 
     private static String entryName(DecisionLine line) {
--- a/trailladder-cli/src/main/java/io/trailladder/cli/PlatformOptions.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/PlatformOptions.java
@@ -34,7 +34,7 @@
 import picocli.CommandLine.Option;
 
 /**
- * Are the options of every command that asks the platform, and the connections made from them.
+ * The options shared by the commands that query the platform, and the connections made from them.
  *
  * @since 0.1
  */
@@ -54,42 +54,42 @@
 
     private final ScheduledExecutorService timer =
             Executors.newSingleThreadScheduledExecutor(
-                    work -> {
-                        Thread thread = new Thread(work, "timer");
+                    task -> {
+                        Thread thread = new Thread(task, "timer");
                         thread.setDaemon(true);
                         return thread;
                     });
     private HttpClient client;
 
-    /** Tells whether JSON is wanted. */
+    /** Whether the output is JSON. */
     boolean json() {
         return json;
     }
 
-    /** Connects to the key-value service. */
+    /** Returns a client of the key-value service. */
     KeyValueStore store() {
         return new HttpKeyValueStore(client(), HostPort.parse(keyValue));
     }
 
-    /** Connects to the table. */
+    /** Returns the store of the operators' table. */
     TableStore tables() {
         return new TableStore(store());
     }
 
-    /** Returns the entries that the platform lists. */
+    /** Returns the entries registered at the platform; malformed registrations are skipped. */
     List<EntryInfo> entries() {
         List<EntryInfo> entries = new ArrayList<>();
         for (KeyValueStore.Item item : store().list(EntrySync.PREFIX).join().items()) {
             try {
                 entries.add(JSON.readValue(item.value(), EntryInfo.class));
             } catch (IOException e) {
-                // a malformed registration is no entry
+                // malformed registration
             }
         }
         return entries;
     }
 
-    /** Asks an entry for its status. */
+    /** Returns the status of an entry, empty without a valid answer in time. */
     Optional<StatusReport> status(EntryInfo entry) {
         HostPort address = HostPort.parse(entry.operatorAddress());
         return client().call(HttpCall.get(address, "/status", STATUS_TIMEOUT_MILLIS))
--- a/trailladder-cli/src/main/java/io/trailladder/cli/ProcessSignals.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/ProcessSignals.java
@@ -20,8 +20,8 @@
 import org.tinylog.Logger;
 
 /**
- * Handles signals of the operating system. The JDK's class for it is not part of its supported
- * interface, so it is looked up by name; without it a signal does what the JVM does by default.
+ * Installs handlers for signals of the operating system. The JDK's signal class is not part of its
+ * supported API, so it is looked up by name; without it the JVM's default handling remains.
  */
 final class ProcessSignals {
     private static final String SIGNAL = "sun.misc.Signal";
@@ -30,9 +30,9 @@
     private ProcessSignals() {}
 
     /**
-     * Has a task run on a signal, in place of what the JVM does by default.
+     * Runs a task on a signal, in place of the JVM's default handling.
      *
-     * @param name the signal's name without SIG
+     * @param name the signal's name without the prefix SIG
      * @param task the task; must not block
      */
     static void on(String name, Runnable task) {
@@ -54,7 +54,7 @@
                 | InstantiationException
                 | IllegalAccessException
                 | InvocationTargetException e) {
-            Logger.warn(e, "signal {} cannot be handled", name);
+            Logger.warn(e, "cannot install a handler for signal {}", name);
         }
     }
 }
--- a/trailladder-cli/src/main/java/io/trailladder/cli/RefusedCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RefusedCommand.java
@@ -35,8 +35,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Lists the requests that gateways refuse because upstreams ended under them, or has one served
- * again.
+ * Lists the requests that gateways refuse because upstreams ended while running them, or lifts the
+ * refusal of one.
  *
  * <pre>{@code
  * trailladder refused --at 10.1.0.14:8225
@@ -49,8 +49,8 @@
         name = "refused",
         mixinStandardHelpOptions = true,
         description =
-                "List the requests that are refused because upstreams ended under them, or have one"
-                        + " served again.")
+                "List the requests that are refused because upstreams ended while running them,"
+                        + " or lift the refusal of one.")
 public final class RefusedCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String PATH = "/refused-requests";
@@ -64,13 +64,13 @@
             names = "--at",
             required = true,
             paramLabel = "HOST:PORT",
-            description = "Where any gateway tells its figures.")
+            description = "Metrics address of any gateway.")
     private String at;
 
     @Option(
             names = "--lift",
             paramLabel = "FINGERPRINT",
-            description = "The request that is served again, by all gateways.")
+            description = "The request whose refusal all gateways lift.")
     private String lift;
 
     @Override
@@ -96,7 +96,8 @@
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
         try (HttpClient client = new HttpClient(timer)) {
             HttpCall call =
-                    new HttpCall(target(), method, path, Map.of(), new byte[0], REQUEST_TIMEOUT_MILLIS);
+                    new HttpCall(
+                            target(), method, path, Map.of(), new byte[0], REQUEST_TIMEOUT_MILLIS);
             return client.call(call).join();
         } finally {
             timer.shutdownNow();
--- a/trailladder-cli/src/main/java/io/trailladder/cli/ReplayCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/ReplayCommand.java
@@ -27,14 +27,15 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Decides a recorded trace again and compares with its stated outcomes.
+ * Replays the routing decisions of a recorded trace and compares them with its expected outcomes.
  *
  * @since 0.1
  */
 @Command(
         name = "replay",
         mixinStandardHelpOptions = true,
-        description = "Decide a recorded trace again; exit 1 if a decision differs from the trace.",
+        description =
+                "Replay the decisions of a recorded trace; exit 1 if one differs from the trace.",
         footer = {
             "",
             "A trace is JSON lines. The first names data centre, seed and upstreams; every other line",
--- a/trailladder-cli/src/main/java/io/trailladder/cli/RequestTrace.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RequestTrace.java
@@ -23,7 +23,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The way of one request through the logs of gateways, and why it ended as it did. */
+/** Collects the log lines of one request and derives why the request ended as it did. */
 final class RequestTrace {
     private static final Duration CONTEXT_WINDOW = Duration.ofSeconds(5);
     private static final int FIRST_ERROR_STATUS = 400;
@@ -36,7 +36,7 @@
         this.id = id;
     }
 
-    /** Takes a line of a log, in any order. */
+    /** Adds a log line. Lines may be added in any order. */
     void add(DecisionLine line) {
         if (line.text("id").equals(id)) {
             ownLines.add(line);
@@ -50,7 +50,8 @@
     }
 
     /**
-     * Returns the request's own lines and what was learned of its upstreams near them, in order.
+     * Returns the request's own lines and, within the context window, the lines about its upstreams
+     * and its process, ordered by time.
      */
     List<DecisionLine> lines() {
         Set<String> upstreams = new HashSet<>();
@@ -66,7 +67,7 @@
         return lines;
     }
 
-    /** Returns why the request ended as it did, in one sentence. */
+    /** Returns in one sentence why the request ended as it did. */
     String cause() {
         MoveTrace moves = new MoveTrace(ownLines);
         if (!moves.isEmpty()) {
@@ -96,7 +97,7 @@
         return switch (ended.text("outcome")) {
             case "whole" ->
                     ended.number("status") < FIRST_ERROR_STATUS
-                            ? "served whole by " + ended.text("upstream")
+                            ? "served completely by " + ended.text("upstream")
                             : "the answer of "
                                     + ended.text("upstream")
                                     + " was passed on: "
@@ -104,16 +105,16 @@
             case "PASSED_ON" ->
                     "upstream "
                             + ended.text("upstream")
-                            + " failed itself with "
+                            + " failed with "
                             + ended.number("status")
                             + " after "
                             + attempts;
-            case "NOT_RUN" -> "not run, so the caller may ask again: " + lastTurnAway();
+            case "NOT_RUN" -> "not run, so the caller may send it again: " + lastTurnAway();
             case "MAY_HAVE_RUN" -> "may have run and may not be sent again: " + lastFailure();
-            case "TIMED_OUT" -> "its time was over: " + lastPrediction(ended);
-            case "BROKEN_OFF" -> "the answer had begun and could not go on: " + lastFailure();
+            case "TIMED_OUT" -> "its timeout expired: " + lastPrediction(ended);
+            case "BROKEN_OFF" -> "the answer had begun and could not continue: " + lastFailure();
             case "caller-gone" ->
-                    "the caller left after "
+                    "the caller disconnected after "
                             + ended.number("tookMs")
                             + " ms, "
                             + lastPrediction(ended);
@@ -124,12 +125,12 @@
     private String lastTurnAway() {
         return last("TurnedAway")
                 .map(
-                        turned ->
-                                turned.text("reason")
-                                        + ", a place was expected in "
-                                        + turned.number("placeMs")
+                        turnAway ->
+                                turnAway.text("reason")
+                                        + ", a slot was expected in "
+                                        + turnAway.number("placeMs")
                                         + " ms and "
-                                        + turned.number("leftMs")
+                                        + turnAway.number("leftMs")
                                         + " ms were left")
                 .orElseGet(this::lastFailure);
     }
@@ -149,8 +150,8 @@
                 .orElseGet(
                         () ->
                                 last("Dispatch").isPresent()
-                                        ? "the process stopped while it was under way"
-                                        : "no upstream of its service took new work");
+                                        ? "the process stopped while the request was in progress"
+                                        : "no upstream of its service accepted new requests");
     }
 
     private String lastPrediction(DecisionLine ended) {
@@ -165,7 +166,7 @@
                                         + sent.number("running")
                                         + " requests there, first byte "
                                         + (ended.number("firstMs") < 0
-                                                ? "never came"
+                                                ? "never arrived"
                                                 : "after " + ended.number("firstMs") + " ms"))
                 .orElse("it was never sent to an upstream");
     }
@@ -176,17 +177,19 @@
                 .max(Comparator.comparing(DecisionLine::time));
     }
 
-    /** Lost and regained dependencies matter where they come from the request's own process. */
+    /** Whether the line is a lifecycle event of a process that handled the request. */
     private boolean isFromOwnProcess(DecisionLine line) {
         return line.kind().equals("Lifecycle")
-                && ownLines.stream().anyMatch(mine -> mine.source().equals(line.source()));
+                && ownLines.stream().anyMatch(ownLine -> ownLine.source().equals(line.source()));
     }
 
     private boolean isNear(DecisionLine line) {
         return ownLines.stream()
                 .anyMatch(
-                        mine ->
-                                Duration.between(mine.time(), line.time()).abs().compareTo(CONTEXT_WINDOW)
+                        ownLine ->
+                                Duration.between(ownLine.time(), line.time())
+                                                .abs()
+                                                .compareTo(CONTEXT_WINDOW)
                                         <= 0);
     }
 }
--- a/trailladder-cli/src/main/java/io/trailladder/cli/RevisionWaiter.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RevisionWaiter.java
@@ -24,7 +24,7 @@
 import java.util.TreeMap;
 
 /**
- * Waits until a table revision is in force at every entry that can be reached.
+ * Waits until a table revision is in force at every registered entry.
  *
  * @since 0.1
  */
@@ -42,7 +42,10 @@
         this.err = err;
     }
 
-    /** Waits; returns the exit code, 1 if some reachable entry lags at the end. */
+    /**
+     * Waits until the revision is in force at all entries or the time is over, and returns the exit
+     * code: 0 if it is in force everywhere, 1 if not.
+     */
     int await(long revision, long waitMillis) {
         long deadline = System.nanoTime() + waitMillis * 1_000_000;
         Map<String, String> lagging = lagging(revision);
--- a/trailladder-cli/src/main/java/io/trailladder/cli/RolloutCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RolloutCommand.java
@@ -31,7 +31,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Tells from gateways' logs how roll-outs stand and what decided them.
+ * Reports the state of roll-outs and the reasons for it from the logs of gateways.
  *
  * <pre>{@code
  * trailladder rollout status chat --log gateway-1.log --log gateway-2.log
@@ -43,7 +43,7 @@
 @Command(
         name = "rollout",
         mixinStandardHelpOptions = true,
-        description = "Tell how roll-outs stand.")
+        description = "Report the state of roll-outs.")
 public final class RolloutCommand implements Runnable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int EXIT_NOTHING_FOUND = 1;
@@ -59,17 +59,17 @@
             name = "status",
             mixinStandardHelpOptions = true,
             description =
-                    "Tell how far roll-outs have come, what was seen, and what they wait for.")
+                    "Report the phase of each roll-out, its answers so far, and what it waits for.")
     int status(
             @Parameters(
                             arity = "0..1",
                             paramLabel = "SERVICE",
-                            description = "The service; all if none is named.")
+                            description = "The service; all services if not given.")
                     String service,
             @Option(
                             names = "--log",
                             paramLabel = "FILE",
-                            description = "Logs of all gateways; standard input if none is named.")
+                            description = "Logs of all gateways; standard input if not given.")
                     List<Path> logs,
             @Option(names = "--json", description = "print JSON") boolean json)
             throws IOException {
@@ -84,7 +84,7 @@
         if (lines.isEmpty()) {
             PrintWriter err = spec.commandLine().getErr();
             String of = service == null ? "" : " of '" + service + "'";
-            err.println("no line tells of a roll-out" + of + ", expected the logs of all gateways");
+            err.println("no line reports a roll-out" + of + ", expected the logs of all gateways");
             err.flush();
             return EXIT_NOTHING_FOUND;
         }
@@ -97,7 +97,7 @@
             latest.merge(
                     line.text("service"),
                     line,
-                    (old, next) -> next.time().isBefore(old.time()) ? old : next);
+                    (previous, next) -> next.time().isBefore(previous.time()) ? previous : next);
         }
     }
 
--- a/trailladder-cli/src/main/java/io/trailladder/cli/RolloutLine.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RolloutLine.java
@@ -22,10 +22,10 @@
 import java.util.Locale;
 
 /**
- * How one roll-out stood when its leader last told.
+ * The state of one roll-out as its leader last reported it.
  *
- * @param time when that was
- * @param step what it told
+ * @param time when the leader reported it
+ * @param step the fields of the reported {@code RolloutStep}
  */
 record RolloutLine(Instant time, JsonNode step) {
     private static final double MILLIS_PER_SECOND = 1000.0;
@@ -40,7 +40,9 @@
         return step.path("service").asText();
     }
 
-    /** Returns what was told, with the sums of both versions and their intervals. */
+    /**
+     * Returns the reported fields with the sums of both versions and their confidence intervals.
+     */
     ObjectNode json() {
         ObjectNode json = step.deepCopy();
         json.put("time", time.toString());
@@ -122,10 +124,10 @@
     }
 
     /**
-     * Where a rate lies with a probability of 0.95, by Wilson's score.
+     * A Wilson score interval of a rate at a confidence level of 95%.
      *
-     * @param from its lower end, from 0 to 1
-     * @param to its upper end
+     * @param from the lower end, from 0 to 1
+     * @param to the upper end, from 0 to 1
      */
     private record Interval(double from, double to) {
         private static final double Z_SCORE = 1.96;
--- a/trailladder-cli/src/main/java/io/trailladder/cli/RoutingTrace.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/RoutingTrace.java
@@ -32,7 +32,7 @@
 import java.util.Set;
 
 /**
- * Drives a router with the events of a recorded trace.
+ * Applies the events of a recorded trace to a router and compares its decisions.
  *
  * @since 0.1
  */
@@ -44,7 +44,13 @@
     private Router router;
     private int decisions;
 
-    /** Takes the next line. */
+    /**
+     * Applies the next line of the trace; the first line describes the set-up.
+     *
+     * @param line the line's number, from 1
+     * @param text the line
+     * @throws BadTraceException if the line is not valid
+     */
     void apply(int line, String text) {
         JsonNode event;
         try {
@@ -67,12 +73,12 @@
         }
     }
 
-    /** Returns a line for each decision that differs from the trace. */
+    /** Returns a message for each decision that differs from the trace. */
     List<String> differences() {
         return differences;
     }
 
-    /** Returns how many decisions were made. */
+    /** Returns the number of decisions made. */
     int decisions() {
         return decisions;
     }
@@ -105,8 +111,8 @@
         decision.chosen().ifPresent(id -> router.sent(query, id, now));
         decisions++;
         String expected = event.path("expected").asText();
-        Optional<String> wanted = Optional.of(expected).filter(id -> !id.isEmpty());
-        if (!decision.chosen().equals(wanted)) {
+        Optional<String> expectedId = Optional.of(expected).filter(id -> !id.isEmpty());
+        if (!decision.chosen().equals(expectedId)) {
             differences.add(
                     line
                             + ": expected '"
@@ -128,7 +134,7 @@
                 event.path("tokenMillis").asInt(25));
     }
 
-    /** Is thrown for a line that is no event. */
+    /** Thrown for a line that is not a valid event. */
     static final class BadTraceException extends TrailladderException {
         private static final long serialVersionUID = 1L;
 
--- a/trailladder-cli/src/main/java/io/trailladder/cli/StatusCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/StatusCommand.java
@@ -33,7 +33,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Shows the whole system on one screen.
+ * Shows the entries, upstreams and risks of all data centres.
  *
  * @since 0.1
  */
@@ -51,24 +51,25 @@
 
     @Override
     public Integer call() throws IOException {
-        try (PlatformOptions asked = platform) {
+        try (PlatformOptions connected = platform) {
             List<StatusReport> reports = new ArrayList<>();
-            List<EntryInfo> silent = new ArrayList<>();
-            for (EntryInfo entry : asked.entries()) {
-                platform.status(entry).ifPresentOrElse(reports::add, () -> silent.add(entry));
+            List<EntryInfo> unreachable = new ArrayList<>();
+            for (EntryInfo entry : connected.entries()) {
+                platform.status(entry).ifPresentOrElse(reports::add, () -> unreachable.add(entry));
             }
             PrintWriter out = spec.commandLine().getOut();
             if (platform.json()) {
                 out.println(JSON.writeValueAsString(reports));
             } else {
-                print(out, reports, silent);
+                print(out, reports, unreachable);
             }
             out.flush();
-            return silent.isEmpty() ? 0 : 1;
+            return unreachable.isEmpty() ? 0 : 1;
         }
     }
 
-    private static void print(PrintWriter out, List<StatusReport> reports, List<EntryInfo> silent) {
+    private static void print(
+            PrintWriter out, List<StatusReport> reports, List<EntryInfo> unreachable) {
         Map<String, List<StatusReport>> byDataCentre =
                 reports.stream()
                         .collect(
@@ -77,8 +78,8 @@
                                         TreeMap::new,
                                         Collectors.toList()));
         byDataCentre.forEach((dataCentre, entries) -> print(out, dataCentre, entries));
-        silent.forEach(entry -> out.println("not reachable: " + entry.id()));
-        risks(reports, silent).forEach(risk -> out.println("at risk: " + risk));
+        unreachable.forEach(entry -> out.println("not reachable: " + entry.id()));
+        risks(reports, unreachable).forEach(risk -> out.println("at risk: " + risk));
     }
 
     private static void print(PrintWriter out, String dataCentre, List<StatusReport> entries) {
@@ -110,10 +111,11 @@
                 : entry.platformAgeMillis() / 1000 + " s ago";
     }
 
-    private static List<String> risks(List<StatusReport> reports, List<EntryInfo> silent) {
+    private static List<String> risks(List<StatusReport> reports, List<EntryInfo> unreachable) {
         List<String> risks = new ArrayList<>();
-        if (!silent.isEmpty()) {
-            risks.add("entries are not reachable; their requests go on at the copies' keepers");
+        if (!unreachable.isEmpty()) {
+            risks.add(
+                    "entries are not reachable; their requests continue at the entries with copies");
         }
         long newest = reports.stream().mapToLong(StatusReport::tableRevision).max().orElse(0);
         for (StatusReport report : reports) {
@@ -121,7 +123,9 @@
                 risks.add(report.entry() + " lags behind table revision " + newest);
             }
             if (report.platformAgeMillis() > PLATFORM_STALE_MILLIS) {
-                risks.add(report.entry() + " does not reach the platform: no table change from it");
+                risks.add(
+                        report.entry()
+                                + " does not reach the platform: no table changes from there");
             }
             if (report.peers().isEmpty()) {
                 risks.add(report.entry() + " has no peer: requests have no copy");
--- a/trailladder-cli/src/main/java/io/trailladder/cli/StoreUseTable.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/StoreUseTable.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Sums up gateways' calls to the platform's store by what they were for and of which kind. */
+/** Counts the calls of gateways to the platform's store by purpose and kind. */
 final class StoreUseTable {
     private static final String KIND = "StoreUse";
     private static final String KIND_FIELD = "kind";
@@ -31,15 +31,15 @@
     /**
      * One row.
      *
-     * @param sort purpose and kind of the calls
-     * @param calls how many there were
+     * @param purposeAndKind the purpose and kind of the calls
+     * @param calls the number of calls
      */
     record Row(String purposeAndKind, long calls) {}
 
     /**
-     * Takes a line over.
+     * Adds a log line.
      *
-     * @param line a decision; kinds other than {@code StoreUse} are passed over
+     * @param line a decision; kinds other than {@code StoreUse} are ignored
      */
     void add(DecisionLine line) {
         if (!line.kind().equals(KIND)) {
@@ -62,7 +62,7 @@
      */
     List<Row> rows() {
         List<Row> rows = new ArrayList<>();
-        calls.forEach((sort, count) -> rows.add(new Row(sort, count)));
+        calls.forEach((purposeAndKind, count) -> rows.add(new Row(purposeAndKind, count)));
         rows.sort(Comparator.comparingLong(row -> -row.calls()));
         return rows;
     }
--- a/trailladder-cli/src/main/java/io/trailladder/cli/TableCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/TableCommand.java
@@ -69,10 +69,10 @@
     @Command(
             name = "validate",
             mixinStandardHelpOptions = true,
-            description = "Check a table file and name every fault.")
+            description = "Check a table file and report every fault.")
     int validate(@Parameters(paramLabel = "FILE", description = "CSV file") Path file) {
         Optional<Seq<Row>> rows = read(file);
-        rows.ifPresent(r -> out().println(r.size() + " rows are right"));
+        rows.ifPresent(r -> out().println(r.size() + " rows are valid"));
         return rows.isPresent() ? 0 : EXIT_FAILED;
     }
 
@@ -102,7 +102,7 @@
     @Command(
             name = "apply",
             mixinStandardHelpOptions = true,
-            description = "Make a file the table, and wait until it is in force everywhere.")
+            description = "Replace the table by a file, and wait until it is in force everywhere.")
     int apply(
             @Parameters(paramLabel = "FILE", description = "CSV file") Path file,
             @Option(
@@ -257,17 +257,17 @@
 
     private static String describe(CommitFailure failure) {
         if (failure instanceof CommitFailure.Lost lost) {
-            TableChange winner = lost.winner();
+            TableChange concurrent = lost.winner();
             return "not applied: "
-                    + winner.author()
+                    + concurrent.author()
                     + " committed revision "
-                    + winner.revision()
+                    + concurrent.revision()
                     + " first, changing "
-                    + names(winner)
+                    + names(concurrent)
                     + "; read the table again and repeat";
         }
         if (failure instanceof CommitFailure.Unknown unknown) {
-            return "the platform cannot be reached to find out whether the change was applied;"
+            return "the platform cannot be reached to check whether the change was applied;"
                     + " look for change "
                     + unknown.changeId()
                     + " in 'trailladder table history'";
--- a/trailladder-cli/src/main/java/io/trailladder/cli/TableFile.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/TableFile.java
@@ -35,7 +35,7 @@
 import org.apache.commons.csv.CSVRecord;
 
 /**
- * Reads and writes the table as a CSV file, as a spreadsheet saves it.
+ * Reads and writes the table as a CSV file in the form that spreadsheets save.
  *
  * @since 0.1
  */
@@ -51,7 +51,7 @@
 
     private TableFile() {}
 
-    /** Reads a file; either every row is right, or every fault is named. */
+    /** Reads a file and returns either all rows or all faults. */
     static Validation<Seq<RowFault>, Seq<Row>> read(Path file) {
         try (Reader reader = Files.newBufferedReader(file)) {
             return parse(reader);
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Reads CSV text; either every row is right, or every fault is named. */
+    /** Parses CSV text and returns either all rows or all faults. */
     static Validation<Seq<RowFault>, Seq<Row>> parse(Reader reader) {
         try (CSVParser parser = FORMAT.parse(reader)) {
             Seq<RowFault> faults = headerFaults(parser);
@@ -78,7 +78,7 @@
         return Validation.invalid(List.of(new RowFault(1, "", value, "a readable CSV file")));
     }
 
-    /** Writes rows with a header. */
+    /** Returns rows as CSV text with a header. */
     static String write(Collection<Row> rows) {
         StringWriter text = new StringWriter();
         String[] header = RowChecker.COLUMNS.toArray(String[]::new);
--- a/trailladder-cli/src/main/java/io/trailladder/cli/TrailladderCommand.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/TrailladderCommand.java
@@ -53,7 +53,7 @@
     @Spec private CommandSpec spec;
 
     /**
-     * Runs the command and ends the process with its exit code.
+     * Runs the command and exits the process with its exit code.
      *
      * @param args the command line
      */
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Creates the command line.
+     * Creates the command line with all subcommands and the error message handler.
      *
-     * @return the command line, with environment variables as defaults
+     * @return the command line, whose options default to environment variables
      */
     public static CommandLine commandLine() {
         CommandLine commandLine = new CommandLine(new TrailladderCommand());
--- a/trailladder-cli/src/main/java/io/trailladder/cli/package-info.java
+++ b/trailladder-cli/src/main/java/io/trailladder/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line: the entry daemon and the operators' commands.
+ * The command line: the entry and gateway processes and the operators' commands.
  *
  * @since 0.1
  */
--- a/trailladder-cli/src/test/java/io/trailladder/cli/CommandLineTest.java
+++ b/trailladder-cli/src/test/java/io/trailladder/cli/CommandLineTest.java
@@ -26,7 +26,7 @@
 import net.jqwik.api.Example;
 import picocli.CommandLine;
 
-/** Exit codes and messages of the command line. */
+/** Tests the exit codes and error messages of the command line. */
 class CommandLineTest {
     private final StringWriter err = new StringWriter();
     private final StringWriter out = new StringWriter();
--- a/trailladder-cli/src/test/java/io/trailladder/cli/ExplainCommandTest.java
+++ b/trailladder-cli/src/test/java/io/trailladder/cli/ExplainCommandTest.java
@@ -26,7 +26,7 @@
 import net.jqwik.api.Example;
 import picocli.CommandLine;
 
-/** From a request's id to the cause of its failure, by the lines that gateways write. */
+/** Tests that {@code explain} derives the cause of a request's end from the lines of gateways. */
 class ExplainCommandTest {
     private final StringWriter err = new StringWriter();
     private final StringWriter out = new StringWriter();
@@ -122,8 +122,8 @@
         assertTrue(
                 out.toString()
                         .contains(
-                                "caller asked for event 50 and 2 times no entry had it: it was not"
-                                        + " taken up at e-1, HANDED_OVER: STOPPING"),
+                                "caller requested event 50, and no entry had the request in 2 tries: it was not"
+                                        + " resumed at e-1, HANDED_OVER: STOPPING"),
                 out.toString());
     }
 
@@ -142,7 +142,7 @@
         assertTrue(
                 out.toString()
                         .contains(
-                                "it passed from a to e-1 with 50 tokens, HOLDER_LOST: GOES_ON;"
+                                "it moved from a to e-1 with 50 tokens, HOLDER_LOST: GOES_ON;"
                                         + " its caller found it AT_PEER b after 7 ms"),
                 out.toString());
     }
@@ -167,8 +167,8 @@
         assertEquals(0, explain("r1", ACCEPTED + SENT));
         assertTrue(out.toString().contains("its end is not logged"), out.toString());
         assertEquals(1, explain("r2", ACCEPTED));
-        assertTrue(err.toString().contains("REQUEST-ID 'r2' is in no line"), err.toString());
+        assertTrue(err.toString().contains("REQUEST-ID 'r2' is in no log line"), err.toString());
         assertEquals(2, run("explain", "r1", "no-such-file"));
-        assertTrue(err.toString().contains("FILE 'no-such-file' is not there"), err.toString());
+        assertTrue(err.toString().contains("FILE 'no-such-file' does not exist"), err.toString());
     }
 }
--- a/trailladder-cli/src/test/java/io/trailladder/cli/LossesCommandTest.java
+++ b/trailladder-cli/src/test/java/io/trailladder/cli/LossesCommandTest.java
@@ -26,7 +26,7 @@
 import net.jqwik.api.Example;
 import picocli.CommandLine;
 
-/** Sums of a day's losses from the lines that gateways write. */
+/** Tests that {@code losses} counts unserved and late requests from the lines of gateways. */
 class LossesCommandTest {
     private final StringWriter err = new StringWriter();
     private final StringWriter out = new StringWriter();
@@ -165,7 +165,7 @@
         assertEquals(1, losses("nothing\n"));
         assertTrue(err.toString().contains("expected the logs of all gateways"), err.toString());
         assertEquals(2, run("losses", "/no/such.log"));
-        assertTrue(err.toString().contains("'/no/such.log' is not there"), err.toString());
+        assertTrue(err.toString().contains("'/no/such.log' does not exist"), err.toString());
     }
 
     @Example
--- a/trailladder-cli/src/test/java/io/trailladder/cli/ResponseRulesTest.java
+++ b/trailladder-cli/src/test/java/io/trailladder/cli/ResponseRulesTest.java
@@ -22,10 +22,10 @@
 import net.jqwik.api.Example;
 import org.glassfish.grizzly.http.server.Response;
 
-/** How the product answers over HTTP. */
+/** Tests rules for the use of HTTP responses in the main sources. */
 class ResponseRulesTest {
-    // Guards against calls that are never answered: Grizzly recycles a request whose suspended
-    // response another thread resumes before its handler has returned.
+    // Guards against requests that are never answered: Grizzly recycles a request if another thread
+    // resumes its suspended response before the handler has returned.
     @Example
     void noProductClassSuspendsAResponse() {
         noClasses()
--- a/trailladder-cli/src/test/java/io/trailladder/cli/RolloutCommandTest.java
+++ b/trailladder-cli/src/test/java/io/trailladder/cli/RolloutCommandTest.java
@@ -26,7 +26,7 @@
 import net.jqwik.api.Example;
 import picocli.CommandLine;
 
-/** What is told of roll-outs from the lines that their leaders write. */
+/** Tests that {@code rollout status} reports roll-outs from the lines that their leaders write. */
 class RolloutCommandTest {
     private static final String TWO =
             step(1, "chat", "SAMPLING", 3_200, "suspect by chat")
@@ -68,28 +68,29 @@
     @Example
     void latestStepOfEachServiceIsPrinted() throws IOException {
         assertEquals(0, status(TWO));
-        String told = out.toString();
-        assertTrue(told.contains("chat to v2: HALTED, recorded IN_PROGRESS, 0.9 s left"), told);
-        assertTrue(told.contains("book to v2: SWITCHING"), told);
-        assertTrue(told.contains("0.091 of the answers, bound 0.100"), told);
-        assertTrue(told.contains("100 answers  bad 3 (1.0 to 8.5%)  slow 4 (1.6 to 9.8%)"), told);
-        assertTrue(told.contains("why: time is up: suspect by chat"), told);
+        String output = out.toString();
+        assertTrue(output.contains("chat to v2: HALTED, recorded IN_PROGRESS, 0.9 s left"), output);
+        assertTrue(output.contains("book to v2: SWITCHING"), output);
+        assertTrue(output.contains("0.091 of the answers, bound 0.100"), output);
+        assertTrue(
+                output.contains("100 answers  bad 3 (1.0 to 8.5%)  slow 4 (1.6 to 9.8%)"), output);
+        assertTrue(output.contains("why: time is up: suspect by chat"), output);
     }
 
     @Example
     void oneServiceIsPrintedAsJson() throws IOException {
         assertEquals(0, status(TWO, "chat", "--json"));
-        String told = out.toString();
-        assertTrue(told.startsWith("[{") && told.contains("\"phase\":\"HALTED\""), told);
-        assertTrue(told.contains("\"new\":{\"answers\":100,\"bad\":3,"), told);
-        assertTrue(!told.contains("book"), told);
+        String output = out.toString();
+        assertTrue(output.startsWith("[{") && output.contains("\"phase\":\"HALTED\""), output);
+        assertTrue(output.contains("\"new\":{\"answers\":100,\"bad\":3,"), output);
+        assertTrue(!output.contains("book"), output);
     }
 
     @Example
     void serviceWithoutRolloutIsReported() throws IOException {
         assertEquals(1, status(TWO, "other"));
         assertTrue(
-                err.toString().contains("no line tells of a roll-out of 'other'"), err.toString());
+                err.toString().contains("no line reports a roll-out of 'other'"), err.toString());
     }
 
     @Example
--- a/trailladder-cli/src/test/java/io/trailladder/cli/WordsTest.java
+++ b/trailladder-cli/src/test/java/io/trailladder/cli/WordsTest.java
@@ -29,7 +29,7 @@
 import java.util.TreeMap;
 import net.jqwik.api.Example;
 
-/** The product's own words stand in the names of its types, methods and fields. */
+/** Tests that types, methods and fields use the project's vocabulary in their names. */
 class WordsTest {
     private static final String ADAPTER = "io.trailladder.adapter";
     private static final Map<String, String> WORD_TO_USE =
@@ -74,7 +74,7 @@
                 faults);
     }
 
-    /** A clock has to bear the names that the library gives these two methods. */
+    /** Whether the method overrides one of {@link Clock} whose name contains a forbidden word. */
     private static boolean isClockMethod(JavaClass type, String method) {
         return type.isAssignableTo(Clock.class)
                 && (method.equals("getZone") || method.equals("withZone"));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/EntryDaemon.java
@@ -56,12 +56,12 @@
 import org.tinylog.Logger;
 
 /**
- * One entry: puts all its parts together, starts and stops them.
+ * The entry daemon. Creates the components of one entry, starts and stops them.
  *
  * <pre>{@code
  * EntryDaemon entry = new EntryDaemon(settings);
  * entry.start();
- * entry.stop(); // finishes requests in flight, hands the rest over
+ * entry.stop(); // finishes requests in flight, hands over those that remain
  * }</pre>
  *
  * @since 0.1
@@ -104,9 +104,9 @@
     private volatile boolean stopping;
 
     /**
-     * Puts an entry together.
+     * Creates an entry. Nothing is started before {@link #start()}.
      *
-     * @param settings its settings
+     * @param settings the settings of the entry
      */
     public EntryDaemon(EntrySettings settings) {
         this.settings = settings;
@@ -194,9 +194,9 @@
     }
 
     /**
-     * Starts everything.
+     * Starts all servers, peer links and periodic tasks.
      *
-     * @throws IOException if a port is taken
+     * @throws IOException if a port is in use
      */
     public void start() throws IOException {
         links.start(settings.peerAddress(), timer);
@@ -210,12 +210,15 @@
         Logger.info("entry {} in {} started", self.id(), self.dataCentre());
     }
 
-    /** Stops: refuses new requests, finishes those in flight, hands the rest to other entries. */
+    /**
+     * Stops the entry: refuses new requests, waits up to the drain time for those in flight, and
+     * hands those that remain over to other entries.
+     */
     public void stop() {
         stop(settings.drainMillis());
     }
 
-    /** Ends at once, without finishing or handing over anything, as a crash would. */
+    /** Ends at once without finishing or handing over any request, as in a crash. */
     public void kill() {
         timer.shutdownNow();
         closeCallers();
@@ -225,16 +228,16 @@
     }
 
     /**
-     * Returns how this entry presents itself.
+     * Returns the name, data centre and addresses of this entry, as sent to peers.
      *
-     * @return the presentation
+     * @return the description of this entry
      */
     public EntryInfo self() {
         return self;
     }
 
     /**
-     * Returns the links to peers, to be cut in failure tests.
+     * Returns the links to peers. Failure tests cut them.
      *
      * @return the links
      */
@@ -243,12 +246,12 @@
     }
 
     /**
-     * Returns what operators are told.
+     * Returns the status that operators read under {@code /status}.
      *
      * @return the status
      */
     public StatusReport status() {
-        long heard = tableSync.platformMillis();
+        long lastAnswerMillis = tableSync.platformMillis();
         List<StatusReport.Peer> peers =
                 links.live().stream()
                         .map(
@@ -279,7 +282,7 @@
                 book.copies(),
                 claims.size(),
                 claims.ownedRanges(),
-                heard == 0 ? -1 : System.currentTimeMillis() - heard,
+                lastAnswerMillis == 0 ? -1 : System.currentTimeMillis() - lastAnswerMillis,
                 peers,
                 upstreams);
     }
@@ -361,7 +364,7 @@
         callerLoop.start();
     }
 
-    /** Stops listening, and closes connections once their answers are sent. */
+    /** Stops listening, and closes connections after the time for sending the last answers. */
     private void endCallers() {
         callerLoop.execute(
                 () -> {
@@ -377,7 +380,7 @@
         try {
             callerLoop.close();
         } catch (IOException e) {
-            Logger.warn("connections of callers are not closed: {}", e.getMessage());
+            Logger.warn("closing the caller connections failed: {}", e.getMessage());
         }
     }
 
@@ -396,7 +399,7 @@
         return !dispatcher.draining() && policies.table().revision() > 0;
     }
 
-    /** Sends peers what they should know. */
+    /** Sends the state that a newly linked or outdated peer lacks. */
     private final class InitialStateSender implements PeerRouter.PeerSender {
         @Override
         public void sendInitialState(String peer) {
@@ -410,7 +413,10 @@
         }
     }
 
-    /** Breaks the circle between the links and the parts that use them. */
+    /**
+     * Forwards link events to the router. The links are created before the router, which in turn
+     * depends on them.
+     */
     private final class DelegatingPeerHandler implements PeerHandler {
         @Override
         public void linked(EntryInfo peer) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/EntryMetrics.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/EntryMetrics.java
@@ -22,8 +22,8 @@
 import java.util.Locale;
 
 /**
- * Holds the entry's metrics. Label values come from the table and from enums, so callers cannot add
- * series.
+ * The metrics of an entry. Label values come from the table and from enums, so requests cannot
+ * create new time series.
  *
  * @since 0.1
  */
@@ -65,9 +65,9 @@
                     .help("Requests in flight")
                     .register(registry);
 
-    /** What is counted inside the entry. */
+    /** An event that the entry counts. */
     public enum Event {
-        /** A frame of an older attempt, or a doubled one, was dropped. */
+        /** A duplicate frame, or a frame of an earlier attempt, was dropped. */
         LATE_FRAME,
         /** A frame of another request was dropped. */
         CROSSED_FRAME,
@@ -75,22 +75,22 @@
         RETRY,
         /** A request was moved because its upstream was leaving. */
         RECLAIM_MOVED,
-        /** A request was accepted without a copy elsewhere. */
+        /** A request was accepted without a copy at another entry. */
         UNCOPIED,
-        /** A request was taken over from another entry. */
+        /** A request of another entry was resumed here. */
         ADOPTED,
-        /** A request was handed over to another entry, which has taken it. */
+        /** A request was handed over to another entry, which has accepted it. */
         HANDED_OVER,
-        /** An heir refused a request, was lost, was silent, or there was none. */
+        /** A successor refused a request, was lost or did not respond, or there was none. */
         HAND_OVER_FAILED,
-        /** A request that was taken up went back to the entry that works on it still. */
+        /** A resumed request was returned to the entry that still works on it. */
         GIVEN_BACK,
         /** A caller did not read its answer in time. */
         SLOW_CALLER
     }
 
     /**
-     * Returns the registry, to be exposed.
+     * Returns the registry that is exposed under {@code /metrics}.
      *
      * @return the registry
      */
@@ -108,10 +108,10 @@
     }
 
     /**
-     * Records the wait for the first token.
+     * Records the time to the first token.
      *
      * @param organisation the organisation
-     * @param millis milliseconds
+     * @param millis the time, in milliseconds
      */
     public void firstToken(String organisation, long millis) {
         firstToken.labelValues(organisation, "model").observe(millis / 1000.0);
@@ -121,18 +121,18 @@
      * Records the time between two tokens.
      *
      * @param organisation the organisation
-     * @param millis milliseconds
+     * @param millis the time, in milliseconds
      */
     public void betweenTokens(String organisation, long millis) {
         betweenTokens.labelValues(organisation, "model").observe(millis / 1000.0);
     }
 
     /**
-     * Records the wait for an upstream.
+     * Records the time that a request waited for an upstream.
      *
      * @param organisation the organisation
      * @param kind model or service
-     * @param millis milliseconds
+     * @param millis the time, in milliseconds
      */
     public void queued(String organisation, String kind, long millis) {
         queue.labelValues(organisation, kind).observe(millis / 1000.0);
@@ -144,7 +144,7 @@
      * @param organisation the organisation
      * @param kind model or service
      * @param outcome {@code whole}, or the outcome of a failure
-     * @param millis how long it took, in milliseconds
+     * @param millis the duration of the request, in milliseconds
      */
     public void ended(String organisation, String kind, String outcome, long millis) {
         outcomes.labelValues(organisation, kind, outcome).inc();
@@ -152,28 +152,28 @@
     }
 
     /**
-     * Records tokens that a resumed request brings to its new upstream.
+     * Records the tokens that a resumed request had when it was sent to its new upstream.
      *
-     * @param imported true if their cache was exported, false if it must be computed anew
-     * @param tokens how many
+     * @param imported true if their cache was exported, false if it must be recomputed
+     * @param tokens the number of tokens
      */
     public void resumed(boolean imported, int tokens) {
         resumedTokens.labelValues(imported ? "imported" : "recomputed").inc(tokens);
     }
 
     /**
-     * Records the table in force.
+     * Records the revision of the table in force.
      *
-     * @param revision its revision
+     * @param revision the revision
      */
     public void tableRevision(long revision) {
         tableRevision.set((double) revision);
     }
 
     /**
-     * Records the requests in flight.
+     * Records the number of requests in flight.
      *
-     * @param count how many
+     * @param count the number of requests
      */
     public void openRequests(int count) {
         openRequests.set(count);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/EntrySettings.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/EntrySettings.java
@@ -19,22 +19,22 @@
 import java.util.List;
 
 /**
- * All that an entry is told when it starts. The command line checks it.
+ * The settings of an entry, fixed at its start. The command line validates them.
  *
  * @param dataCentre where the entry runs
- * @param instance the instance's name in the cloud's notices; empty if it has none
- * @param callerAddress where it takes callers' requests
- * @param peerAddress where it takes peer links
- * @param operatorAddress where it answers operators
- * @param keyValue the platform's key-value service
- * @param cloud the cloud's API
- * @param peers peer addresses of other entries, for a start while the platform is down
- * @param peerKey the key all entries share
- * @param limits bounds of what callers may do
+ * @param instance the name of the instance in the cloud's notices; empty if it has none
+ * @param callerAddress the address that accepts requests of callers
+ * @param peerAddress the address that accepts links of peers
+ * @param operatorAddress the address that serves operators
+ * @param keyValue the address of the platform's key-value service
+ * @param cloud the address of the cloud's API
+ * @param peers peer addresses of other entries, used to start while the platform is unreachable
+ * @param peerKey the key that all entries share
+ * @param limits the limits for callers
  * @param claimRetentionMillis how long keys of at-most-once requests are remembered, in
  *     milliseconds
  * @param drainMillis how long a stopping entry waits for requests in flight, in milliseconds
- * @param foreign what becomes of requests that may not be handled here
+ * @param foreign how requests are treated that may not be handled in this data centre
  * @since 0.1
  */
 public record EntrySettings(
@@ -51,21 +51,21 @@
         long claimRetentionMillis,
         long drainMillis,
         Foreign foreign) {
-    /** Copies the list. */
+    /** Copies the list of peers. */
     public EntrySettings {
         peers = List.copyOf(peers);
     }
 
     /**
-     * Bounds what callers may do.
+     * The limits for callers and for the requests they send.
      *
-     * @param maxBodyBytes largest request body
-     * @param maxHeaderBytes largest request head
-     * @param maxStreams requests in flight at once
-     * @param callerIdleMillis longest silence of a caller that sends or reads, in milliseconds
-     * @param patienceMillis how long a request may wait for an upstream, in milliseconds
-     * @param upstreamIdleMillis longest silence of an upstream, in milliseconds
-     * @param reattachMillis how long an answer is generated on after its caller is gone, in
+     * @param maxBodyBytes the maximum size of a request body, in bytes
+     * @param maxHeaderBytes the maximum size of a request head, in bytes
+     * @param maxStreams the maximum number of requests in flight
+     * @param callerIdleMillis the idle timeout of a caller that sends or reads, in milliseconds
+     * @param queueTimeoutMillis the maximum wait of a request for an upstream, in milliseconds
+     * @param upstreamIdleMillis the idle timeout of an upstream, in milliseconds
+     * @param reattachMillis how long an answer is still generated after its caller disconnected, in
      *     milliseconds
      */
     public record CallerLimits(
@@ -80,27 +80,28 @@
         private static final long MAX_QUEUED_TARGETS = 4;
 
         /**
-         * Returns how long a request that was not yet begun may wait. A wait of several latency
-         * targets helps nobody: the caller is told to come back instead.
+         * Returns how long a request that has not started may wait for an upstream. The wait is
+         * limited to a few latency targets, because an answer that late is of no use; the caller is
+         * then asked to retry later.
          *
-         * @param latencyTargetMillis the row's target, in milliseconds
-         * @return milliseconds
+         * @param latencyTargetMillis the latency target of the row, in milliseconds
+         * @return the maximum wait, in milliseconds
          */
         public long queueMillis(int latencyTargetMillis) {
             long wait = Math.max(MIN_QUEUE_MILLIS, MAX_QUEUED_TARGETS * latencyTargetMillis);
             return Math.min(queueTimeoutMillis, wait);
         }
 
-        /** The bounds unless settings say otherwise. */
+        /** The default limits. */
         public static final CallerLimits DEFAULTS =
                 new CallerLimits(1 << 20, 16 * 1024, 2_000, 30_000, 20_000, 5_000, 2_000);
     }
 
-    /** What becomes of a request whose data may not be handled in this entry's data centre. */
+    /** How a request is treated whose data may not be handled in this entry's data centre. */
     public enum Foreign {
-        /** Its bytes are passed unread to an entry where it may be handled. */
+        /** Its bytes are forwarded without parsing to an entry where it may be handled. */
         RELAY,
-        /** The caller is told to ask an entry there, before its body is read. */
+        /** The caller is redirected to such an entry before the body is read. */
         REDIRECT
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/HeartbeatSender.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/HeartbeatSender.java
@@ -37,8 +37,8 @@
 import java.util.function.Consumer;
 
 /**
- * Sends heartbeats, shares limits by what the peers' heartbeats say, and notices peers that fall
- * silent.
+ * Sends heartbeats, divides limits by the demand in the peers' heartbeats, and detects peers that
+ * no longer respond.
  *
  * @since 0.1
  */
@@ -75,14 +75,14 @@
         this.onLost = onLost;
     }
 
-    /** Sends a heartbeat with the demand of the last second, and takes stock of the peers. */
+    /** Sends a heartbeat with the demand since the last one, and evaluates those of the peers. */
     void sendHeartbeats() {
         links.sendAll(heartbeat(policies.measureDemand()));
         shareLimits();
         detectLostPeers();
     }
 
-    /** Makes a heartbeat. */
+    /** Creates a heartbeat. */
     Heartbeat heartbeat(List<RowDemand> demand) {
         List<TargetLoad> loads = new ArrayList<>();
         placements
@@ -112,14 +112,17 @@
         policies.updateShares(others, peers);
     }
 
-    /** A peer that is linked but silent, because frozen or cut off, counts as lost once. */
+    /**
+     * Reports each known entry that is not live as lost, once until it is live again. This includes
+     * peers that are linked but do not respond, because they are frozen or cut off.
+     */
     private void detectLostPeers() {
         Set<String> live = new HashSet<>();
         links.live().forEach(peer -> live.add(peer.id()));
         lostPeers.removeIf(live::contains);
         for (EntryInfo entry : members.known()) {
-            boolean silent = !live.contains(entry.id()) && !entry.id().equals(self.id());
-            if (silent && lostPeers.add(entry.id())) {
+            boolean lost = !live.contains(entry.id()) && !entry.id().equals(self.id());
+            if (lost && lostPeers.add(entry.id())) {
                 onLost.accept(entry);
             }
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/JsonFields.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/JsonFields.java
@@ -20,9 +20,9 @@
 import java.util.List;
 
 /**
- * Reads the fields of a JSON object that others wrote: each has to be there and of its type, or the
- * object as a whole is refused with a message that names the field, its value and the form that was
- * expected.
+ * Reads and validates the fields of a JSON object from another process. A field that is missing or
+ * has the wrong type is rejected with a message that names the field, its value and the expected
+ * form.
  *
  * <pre>{@code
  * JsonFields entry = JsonFields.of(JsonTree.read(bytes));
@@ -32,12 +32,12 @@
  * @since 0.5
  */
 public final class JsonFields {
-    /** Most characters of a value that are shown. */
+    /** Maximum length of a value in a message, in characters. */
     private static final int MAX_SHOWN_CHARS = 60;
 
     private final JsonNode node;
 
-    /** A field that is missing, or not of its type. */
+    /** Thrown for a field that is missing or has the wrong type. */
     public static final class FieldException extends TrailladderException {
         private static final long serialVersionUID = 1;
 
@@ -51,25 +51,25 @@
     }
 
     /**
-     * Reads the fields of an object.
+     * Returns a reader for the fields of an object.
      *
      * @param node the object
      * @return its fields
-     * @throws FieldException if it is no object
+     * @throws FieldException if the node is not an object
      */
     public static JsonFields of(JsonNode node) {
         if (!node.isObject()) {
-            throw new FieldException("value is no object, expected fields");
+            throw new FieldException("value is not an object, expected a JSON object");
         }
         return new JsonFields(node);
     }
 
     /**
-     * Reads a text.
+     * Reads a required text.
      *
-     * @param name the field's name
-     * @return its text, which is not empty
-     * @throws FieldException if it has none
+     * @param name the name of the field
+     * @return the text, which is not empty
+     * @throws FieldException if the field is missing, empty or not a text
      */
     public String text(String name) {
         JsonNode field = node.path(name);
@@ -80,12 +80,12 @@
     }
 
     /**
-     * Reads one of some texts.
+     * Reads a required text that must be one of the given values.
      *
-     * @param name the field's name
-     * @param known the texts that are known
+     * @param name the name of the field
+     * @param known the accepted values
      * @return one of them
-     * @throws FieldException if it is another
+     * @throws FieldException if the field is missing or has another value
      */
     public String oneOf(String name, List<String> known) {
         JsonNode field = node.path(name);
@@ -96,27 +96,27 @@
     }
 
     /**
-     * Reads a whole number.
+     * Reads a required whole number.
      *
-     * @param name the field's name
-     * @param least the least that is accepted
-     * @return its value
-     * @throws FieldException if it is none, or smaller
+     * @param name the name of the field
+     * @param min the minimum, inclusive
+     * @return the value
+     * @throws FieldException if the field is missing, not an {@code int}, or less than the minimum
      */
-    public int wholeFrom(String name, int least) {
+    public int wholeFrom(String name, int min) {
         JsonNode field = node.path(name);
-        if (!field.isInt() || field.intValue() < least) {
-            throw invalid(name, field, "a whole number from " + least);
+        if (!field.isInt() || field.intValue() < min) {
+            throw invalid(name, field, "a whole number from " + min);
         }
         return field.intValue();
     }
 
     /**
-     * Reads a number that may be left out; fractions are dropped.
+     * Reads an optional number and drops its fraction.
      *
-     * @param name the field's name
-     * @return its value; 0 if it is left out
-     * @throws FieldException if it is no number from 0 on
+     * @param name the name of the field
+     * @return the value; 0 if the field is missing
+     * @throws FieldException if it is not a number, negative, or too large for a {@code long}
      */
     public long numberIfAny(String name) {
         JsonNode field = node.path(name);
@@ -130,21 +130,21 @@
     }
 
     /**
-     * Reads a text that may be left out.
+     * Reads an optional text.
      *
-     * @param name the field's name
-     * @return its text; empty if it is left out
-     * @throws FieldException if it is no text
+     * @param name the name of the field
+     * @return the text; empty if the field is missing
+     * @throws FieldException if the field is present, but empty or not a text
      */
     public String textIfAny(String name) {
         return node.path(name).isMissingNode() ? "" : text(name);
     }
 
     /**
-     * Reads a mark that may be left out.
+     * Reads an optional boolean.
      *
-     * @param name the field's name
-     * @return false if it is left out
+     * @param name the name of the field
+     * @return the value; false if the field is missing
      * @throws FieldException if it is neither true nor false
      */
     public boolean flagIfAny(String name) {
@@ -160,7 +160,7 @@
         return new FieldException("field '" + name + "' is " + found + ", expected " + expected);
     }
 
-    /** Shows a value without its depth: what others wrote may be as large as the store takes. */
+    /** Formats a value without nested content: it may be as large as the store accepts. */
     private static String shown(JsonNode field) {
         if (!field.isValueNode()) {
             return field.isArray() ? "a list" : "an object";
--- a/trailladder-entry/src/main/java/io/trailladder/entry/JsonTree.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/JsonTree.java
@@ -31,8 +31,8 @@
 import java.util.Map;
 
 /**
- * Reads and writes JSON as a tree by Jackson's streams alone. Jackson's own object mapper, which
- * can map classes as well, takes a process that starts some 0.1 s of processor time.
+ * Reads and writes JSON trees with Jackson's streaming API only. Jackson's {@code ObjectMapper},
+ * which also maps classes, costs a starting process about 0.1 s of processor time.
  *
  * <pre>{@code
  * JsonNode node = JsonTree.read(bytes);
@@ -42,7 +42,7 @@
  * @since 0.4
  */
 public final class JsonTree {
-    /** Deepest nesting that is read; the platform's own values have fewer than ten levels. */
+    /** Maximum nesting depth; the platform's own values have fewer than ten levels. */
     private static final int MAX_DEPTH = 100;
 
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
@@ -55,7 +55,7 @@
     private JsonTree() {}
 
     /**
-     * Creates an object without fields.
+     * Creates an empty object.
      *
      * @return the object
      */
@@ -66,9 +66,9 @@
     /**
      * Reads a value.
      *
-     * @param bytes its text in UTF-8
-     * @return the value; a missing node if there is none
-     * @throws IOException if the text is no JSON
+     * @param bytes the JSON text, in UTF-8
+     * @return the value; a missing node if the text has none
+     * @throws IOException if the text is not valid JSON or nested too deeply
      */
     public static JsonNode read(byte[] bytes) throws IOException {
         try (JsonParser parser = JSON.createParser(bytes)) {
@@ -81,14 +81,14 @@
      * Writes a value.
      *
      * @param node the value
-     * @return its text in UTF-8
+     * @return the JSON text, in UTF-8
      */
     public static byte[] write(JsonNode node) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = JSON.createGenerator(bytes)) {
             write(node, json);
         } catch (IOException e) {
-            throw new UncheckedIOException("bytes in memory are always writable", e);
+            throw new UncheckedIOException("writing JSON to memory failed", e);
         }
         return bytes.toByteArray();
     }
@@ -144,8 +144,8 @@
             }
             case ARRAY -> {
                 json.writeStartArray();
-                for (JsonNode part : node) {
-                    write(part, json);
+                for (JsonNode element : node) {
+                    write(element, json);
                 }
                 json.writeEndArray();
             }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/MonotonicClock.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/MonotonicClock.java
@@ -16,7 +16,7 @@
 package io.trailladder.entry;
 
 /**
- * Reads a clock that never goes back.
+ * A monotonic clock.
  *
  * @since 0.1
  */
@@ -26,9 +26,9 @@
     private MonotonicClock() {}
 
     /**
-     * Returns the time since some moment of the past.
+     * Returns the time since an arbitrary origin, which is fixed for the process.
      *
-     * @return milliseconds
+     * @return the time, in milliseconds
      */
     public static long millis() {
         return System.nanoTime() / NANOS_PER_MILLI;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/PeerRouter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/PeerRouter.java
@@ -47,14 +47,14 @@
 import io.trailladder.wire.PeerMessage.UpstreamList;
 
 /**
- * Takes every message from a peer to the part it is for.
+ * Dispatches each message from a peer to the component that handles it.
  *
  * @since 0.1
  */
 final class PeerRouter implements PeerHandler {
     private final Parts parts;
 
-    /** The parts that take messages. */
+    /** The components that handle messages. */
     record Parts(
             Members members,
             DataCentreChooser chooser,
@@ -67,7 +67,7 @@
             ClaimService claims,
             PeerSender sender) {}
 
-    /** Sends what a new or lagging peer should know. */
+    /** Sends the state that a newly linked or outdated peer lacks. */
     interface PeerSender {
         void sendInitialState(String peer);
 
@@ -88,7 +88,7 @@
         lost(peer);
     }
 
-    /** Is also called for a peer that is linked but silent. */
+    /** Handles the loss of a peer, also of one that is linked but does not respond. */
     void lost(EntryInfo peer) {
         parts.chooser().lost(peer.id());
         parts.server().peerLost(peer.id());
@@ -98,13 +98,13 @@
 
     @Override
     public void received(EntryInfo from, PeerMessage message) {
-        boolean taken =
+        boolean handled =
                 control(from, message)
                         || answers(message)
                         || records(from, message)
                         || parts.claims().received(from, message);
-        if (!taken) {
-            throw new IllegalStateException("no part takes " + message.getClass());
+        if (!handled) {
+            throw new IllegalStateException("no handler for peer message " + message.getClass());
         }
     }
 
@@ -125,8 +125,8 @@
             parts.fleet().received(list);
         } else if (message instanceof LeavingNotice notice) {
             parts.fleet().received(notice);
-        } else if (message instanceof RangeMapUpdate news) {
-            parts.claims().mapReceived(news.map());
+        } else if (message instanceof RangeMapUpdate update) {
+            parts.claims().mapReceived(update.map());
         } else {
             return false;
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/PeriodicTasks.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/PeriodicTasks.java
@@ -22,8 +22,8 @@
 import org.tinylog.Logger;
 
 /**
- * Runs work again and again. A run that fails is logged and does not end the runs after it, as it
- * would with the JDK's executors alone.
+ * Runs tasks periodically. A run that fails is logged and does not cancel later runs, as it would
+ * with the JDK's executors alone.
  *
  * @since 0.1
  */
@@ -31,9 +31,9 @@
     private PeriodicTasks() {}
 
     /**
-     * Creates the timer of an entry. After its shutdown it drops what it is given.
+     * Creates the timer of an entry. Tasks submitted after its shutdown are discarded.
      *
-     * @param threads how many threads it has
+     * @param threads the number of threads
      * @return the timer
      */
     public static ScheduledExecutorService newTimer(int threads) {
@@ -42,24 +42,24 @@
     }
 
     /**
-     * Runs work again and again, with a pause after each run.
+     * Runs a task periodically, with a fixed delay before the first run and after each run.
      *
-     * @param timer runs it
-     * @param name names it in the log
-     * @param work the work
-     * @param pauseMillis the pause, in milliseconds
+     * @param timer the executor
+     * @param name the name of the task in the log
+     * @param task the task
+     * @param delayMillis the delay, in milliseconds
      */
     public static void repeat(
-            ScheduledExecutorService timer, String name, Runnable work, long pauseMillis) {
+            ScheduledExecutorService timer, String name, Runnable task, long delayMillis) {
         timer.scheduleWithFixedDelay(
-                () -> runLogged(name, work), pauseMillis, pauseMillis, TimeUnit.MILLISECONDS);
+                () -> runLogged(name, task), delayMillis, delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    private static void runLogged(String name, Runnable work) {
+    private static void runLogged(String name, Runnable task) {
         try {
-            work.run();
+            task.run();
         } catch (RuntimeException e) {
-            Logger.error(e, "periodic task {} failed and goes on", name);
+            Logger.error(e, "periodic task {} failed; it runs again after its delay", name);
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/caller/CallerHandler.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/caller/CallerHandler.java
@@ -41,8 +41,8 @@
 import java.util.Optional;
 
 /**
- * Takes callers' requests: finds the organisation by the key, decides whether the body may be read
- * here, reads it, and passes the request on.
+ * Handles requests of callers: looks up the organisation by its key, decides whether the body may
+ * be read in this data centre, and passes the request to the dispatcher.
  *
  * @since 0.1
  */
@@ -62,9 +62,9 @@
     /**
      * Creates the handler.
      *
-     * @param loop the loop whose thread reads and writes callers' connections
-     * @param context what serving code shares
-     * @param dispatcher serves requests
+     * @param loop the loop whose thread reads and writes the connections of callers
+     * @param context the shared serving context
+     * @param dispatcher serves the requests
      * @param chooser finds entries in other data centres
      */
     public CallerHandler(
@@ -90,10 +90,10 @@
 
     @Override
     public void refuse(ServerExchange exchange, int status) {
-        int most = context.settings().limits().maxBodyBytes();
+        int maxBytes = context.settings().limits().maxBodyBytes();
         String message =
                 switch (status) {
-                    case TOO_LARGE -> "body, expected at most " + most + " bytes";
+                    case TOO_LARGE -> "body, expected at most " + maxBytes + " bytes";
                     case REQUEST_TIMEOUT -> "the body did not come in time";
                     default -> "head, expected one Host and one length or chunks";
                 };
@@ -105,9 +105,9 @@
     }
 
     /**
-     * Serves a request whose body was read, or answers one that must not be read here.
+     * Serves a request whose body was read, or answers one whose body must not be read here.
      *
-     * @return false if the body is needed first
+     * @return false if the body must be read first
      */
     private boolean serve(ServerExchange request, CallerSink sink, boolean bodyRead) {
         Table table = context.policies().table();
@@ -200,7 +200,8 @@
     }
 
     /**
-     * A request with a key may have run when it was sent before, so it is never told not-run here.
+     * Returns the outcome of a refused request. One with an idempotency key may have run when it
+     * was sent before, so {@code NOT_RUN} would be wrong for it.
      */
     private static Outcome refusedOutcome(ServerExchange request) {
         boolean keyed = header(request, IncomingRequest.KEY_HEADER).isPresent();
@@ -217,7 +218,7 @@
         return request.headers().first(name).filter(value -> !value.isEmpty());
     }
 
-    /** The table holds hashes only, so looking one up compares no secret. */
+    /** Hashes a key. The table has only hashes, so a lookup compares no secrets. */
     private static String sha256(String key) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
--- a/trailladder-entry/src/main/java/io/trailladder/entry/caller/ExchangeSink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/caller/ExchangeSink.java
@@ -23,8 +23,8 @@
 import java.util.List;
 
 /**
- * Sends an answer over a caller's connection. What any thread asks for is done on the event loop's
- * thread, in the order in which it was asked.
+ * Sends an answer over the connection of a caller. Calls from any thread are carried out on the
+ * event loop's thread, in the order of the calls.
  *
  * @since 0.2
  */
@@ -34,7 +34,7 @@
     private final EventLoop loop;
     private final ServerExchange exchange;
 
-    /** Creates the sink of a request; to be called on the loop's thread. */
+    /** Creates the sink of a request. Must be called on the loop's thread. */
     ExchangeSink(EventLoop loop, ServerExchange exchange) {
         this.loop = loop;
         this.exchange = exchange;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/caller/package-info.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/caller/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The HTTP side towards callers.
+ * The HTTP interface for callers.
  *
  * @since 0.1
  */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/ClusterView.java
@@ -401,7 +401,8 @@
             return;
         }
         boolean leaf = peer.isLeaf();
-        digest.usage().forEach(history -> usage.merge(history.incarnation(), history.usage(), leaf));
+        digest.usage()
+                .forEach(history -> usage.merge(history.incarnation(), history.usage(), leaf));
         loads.setPeerUses(peer.name(), digest.uses());
         limits.received(peer, digest.quotas(), now);
         parts.received(peer.name(), digest, now);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/RegionExchange.java
@@ -269,7 +269,9 @@
         LeavingIncarnations.of(digest)
                 .forEach(upstream -> directory.leavingReportedBy(upstream, peer.name()));
         digest.usage()
-                .forEach(history -> usage.mergeFromOtherRegion(history.incarnation(), history.usage()));
+                .forEach(
+                        history ->
+                                usage.mergeFromOtherRegion(history.incarnation(), history.usage()));
         loads.setPeerUses(
                 peer.name(),
                 RegionUse.spread(digest.uses(), region, directory.all(), view::regionOf));
--- a/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SnapshotExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/gateway/SnapshotExchange.java
@@ -90,7 +90,9 @@
         boolean newerPolicy = digest.policyVersion() > policies.version();
         boolean newerList =
                 isNewer(from, digest)
-                        && (!store.isReachable() || mesh.receivesUpdatesFrom(peer) || isMissed(peer, now));
+                        && (!store.isReachable()
+                                || mesh.receivesUpdatesFrom(peer)
+                                || isMissed(peer, now));
         if ((newerPolicy || newerList) && now - requestedMillis >= REQUEST_INTERVAL_MILLIS) {
             requestedMillis = now;
             request(mesh, peer);
@@ -138,7 +140,8 @@
             metrics.count(GatewayMetrics.Event.POLICY_FROM_PEER);
         }
         boolean missed = newerSinceMillis.remove(peer.name()) != null;
-        boolean fed = !store.isReachable() || directory.revision() == 0 || mesh.receivesUpdatesFrom(peer);
+        boolean fed =
+                !store.isReachable() || directory.revision() == 0 || mesh.receivesUpdatesFrom(peer);
         boolean wanted = (fed || missed) && hasList(peer, snapshot);
         if (wanted && store.history().mayMatch(from.storeEpoch())) {
             boolean changed =
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/AnswerOwner.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/AnswerOwner.java
@@ -16,14 +16,14 @@
 package io.trailladder.entry.http;
 
 /**
- * Whose answer it is, for the choice among answers that stand unread.
+ * The owner of an answer, used to choose which of the unread answers to end.
  *
- * @param id the caller's name for the request
- * @param organisation the organisation; empty if nobody's
- * @param resumable true if the caller can go on after the last whole event it has
+ * @param id the request id given by the caller
+ * @param organisation the organisation; empty if there is none
+ * @param resumable true if the caller can resume after the last complete event it received
  * @since 0.2
  */
 public record AnswerOwner(String id, String organisation, boolean resumable) {
-    /** Of a request that nothing is known of. */
+    /** The owner of an answer about which nothing is known. */
     public static final AnswerOwner UNKNOWN = new AnswerOwner("", "", false);
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/AnswerWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/AnswerWriter.java
@@ -30,21 +30,24 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * Writes one answer to its caller. One write is under way at a time: what comes meanwhile waits
- * here, where it is counted and can still be dropped, and leaves in larger writes. A caller that
- * reads as fast as the answer comes costs no queue and nothing in the account.
+ * Writes one answer to its caller. One write is in progress at a time. Further pieces are queued
+ * here, where they are counted and can still be dropped, and are sent in larger writes. For a
+ * caller that reads as fast as the answer arrives, no queue is made and no memory is reserved.
  */
 final class AnswerWriter extends EmptyCompletionHandler<WriteResult<HttpContent, SocketAddress>> {
     /**
-     * Waiting pieces leave in writes of at least this many bytes, if there are as many: small
-     * enough that an answer which is cut ends soon, large against the head of a chunk.
+     * Target size of a write of queued pieces: small enough that an answer which is cut ends soon,
+     * and large compared with the head of a chunk.
      */
     private static final int WRITE_BYTES = 16 * 1024;
 
-    /** What a waiting piece takes beside its bytes: the array's head and its place in the queue. */
+    /**
+     * Memory that a queued piece uses in addition to its bytes: the array header and its place in
+     * the queue.
+     */
     private static final int PIECE_BYTES = 24;
 
-    /** Held bytes from which the producer of an answer that can wait is to wait. */
+    /** Number of unsent bytes from which a producer that can wait should wait. */
     private static final int WRITABLE_BYTES = 64 * 1024;
 
     private static final byte[] NO_BYTES = {};
@@ -87,7 +90,10 @@
         }
     }
 
-    /** Returns what is held of the answer, in bytes. May be called on any thread. */
+    /**
+     * Returns how much of the answer is not yet sent, in bytes, with the overhead of the queue. May
+     * be called on any thread.
+     */
     int unsentBytes() {
         return unsentBytes;
     }
@@ -107,7 +113,10 @@
         whenWritable.add(task);
     }
 
-    /** Returns since when nothing was read of what is held, in milliseconds; to be called often. */
+    /**
+     * Returns for how long the caller has read nothing of the unsent bytes, in milliseconds.
+     * Progress is noticed only between calls, so this must be called often.
+     */
     long idleMillis(long nowMillis) {
         int left = leftInSocketQueue();
         if (!writing || progressed || left != leftAtCheck) {
@@ -118,7 +127,10 @@
         return nowMillis - progressMillis;
     }
 
-    /** Drops what waits, and closes once the write under way is done; its end is not sent. */
+    /**
+     * Drops the queued pieces, and closes after the write in progress. The end of the answer is not
+     * sent.
+     */
     void cut() {
         cut = true;
         waiting = null;
@@ -130,7 +142,7 @@
         }
     }
 
-    /** Closes without an end once all that was written has left. */
+    /** Closes after all written bytes have been sent, without the end of the answer. */
     void abort() {
         aborted = true;
         if (!writing) {
@@ -138,7 +150,7 @@
         }
     }
 
-    /** Gives back what is held: the connection is closed, or all is written. */
+    /** Releases the reserved memory, after the connection was closed or everything was written. */
     void release() {
         waiting = null;
         waitingBytes = 0;
@@ -198,7 +210,7 @@
         send(bytes, ended && waiting.isEmpty());
     }
 
-    /** Joins whole pieces up to the size of a write. */
+    /** Joins complete pieces up to the size of a write. */
     private byte[] joined(byte[] first) {
         List<byte[]> pieces = new ArrayList<>();
         pieces.add(first);
@@ -235,29 +247,29 @@
         writingLast = last;
         writingBytes = bytes.length;
         connection.write(null, content, this);
-        // An end that needs no bytes is never told as written.
+        // Grizzly does not report the completion of an end that needs no bytes.
         if (mayBeEmpty && writing && leftInSocketQueue() == 0) {
             completed(null);
         }
     }
 
-    /** Returns what the socket has not yet taken, in bytes. */
+    /** Returns the bytes that the socket has not yet accepted. */
     private int leftInSocketQueue() {
         return ((NIOConnection) owner.connection()).getAsyncWriteQueue().spaceInBytes();
     }
 
-    /** Brings the account up to date; costs nothing while the caller keeps up. */
+    /** Updates the memory account. Costs nothing while the caller keeps up. */
     private void updateAccount() {
-        int held = writingBytes + waitingBytes;
-        if (held == unsentBytes) {
+        int bytes = writingBytes + waitingBytes;
+        if (bytes == unsentBytes) {
             return;
         }
         if (holding == null) {
             holding = owner.server().account().open(ReservationKind.ANSWERS_WAITING);
             progressMillis = owner.server().nowMillis();
         }
-        unsentBytes = held;
-        holding.set(held);
+        unsentBytes = bytes;
+        holding.set(bytes);
         if (whenWritable != null && isWritable()) {
             notifyWritable();
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/CallFailure.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/CallFailure.java
@@ -16,14 +16,14 @@
 package io.trailladder.entry.http;
 
 /**
- * How a call ended that got no whole answer.
+ * The reason why a call got no complete answer.
  *
  * @since 0.2
  */
 public enum CallFailure {
-    /** No connection came about; nothing was sent. */
+    /** No connection could be opened; nothing was sent. */
     UNREACHABLE,
-    /** A connection came about, but the call was no longer wanted; nothing was sent. */
+    /** A connection was available, but the call was no longer wanted; nothing was sent. */
     WITHHELD,
     /** The connection ended before the answer did. */
     BROKEN
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/CallListener.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/CallListener.java
@@ -16,15 +16,16 @@
 package io.trailladder.entry.http;
 
 /**
- * Told of an answer while it arrives. Either {@link #ended} or {@link #failed} comes last, once,
- * unless the call is cancelled.
+ * Receives an answer while it arrives. Either {@link #ended} or {@link #failed} is called last,
+ * once, unless the call is cancelled.
  *
  * @since 0.2
  */
 public interface CallListener {
     /**
-     * Asked once a connection is there, right before the first byte of the request would leave. The
-     * way to it may have taken so long that what the call was decided by has changed.
+     * Returns whether the call is still wanted. Called once a connection is available, right before
+     * the first byte of the request would be sent. Opening the connection may have taken so long
+     * that the facts behind the decision to make the call have changed.
      *
      * @return false to end the call with {@link CallFailure#WITHHELD}
      */
@@ -32,7 +33,7 @@
         return true;
     }
 
-    /** Called once before the first byte of the request may leave. */
+    /** Called once before the first byte of the request may be sent. */
     default void sending() {}
 
     /**
@@ -40,7 +41,7 @@
      *
      * @param status HTTP status
      * @param headers all header fields
-     * @param length length of the body; below 0 if not told
+     * @param length length of the body in bytes; below 0 if not given
      */
     void head(int status, HeaderList headers, long length);
 
@@ -51,11 +52,11 @@
      */
     void body(byte[] bytes);
 
-    /** Called when the answer is whole. */
+    /** Called when the answer is complete. */
     void ended();
 
     /**
-     * Called when the answer will never be whole.
+     * Called when the answer will never be complete.
      *
      * @param failure how it failed
      */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/ClientCall.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/ClientCall.java
@@ -18,7 +18,7 @@
 import org.glassfish.grizzly.Connection;
 
 /**
- * One call under way.
+ * A call in progress.
  *
  * @since 0.2
  */
@@ -39,7 +39,7 @@
         this.listener = listener;
     }
 
-    /** Breaks the call off: its connection is closed, and its listener is told nothing more. */
+    /** Cancels the call: closes its connection, and calls its listener no more. */
     public void cancel() {
         over();
         closeConnection();
@@ -53,7 +53,7 @@
         return over;
     }
 
-    /** Begins on a connection; returns false, with the call over, if it is no longer wanted. */
+    /** Begins on a connection. Returns false, with the call failed, if it is no longer wanted. */
     boolean begin(Connection<?> opened) {
         connection = opened;
         if (!listener.isWanted()) {
@@ -73,7 +73,9 @@
         return requestWritten;
     }
 
-    /** Sets what is done once the request has left, or never will; at most once. */
+    /**
+     * Sets the task that runs once the request has been sent, or never will be. Runs at most once.
+     */
     void onWritten(Runnable task) {
         onWritten = task;
     }
@@ -95,7 +97,7 @@
         return requestWritten && reusable && reuseMillis > 0;
     }
 
-    /** Returns how long the server lets the connection be used again, in milliseconds. */
+    /** Returns how long the connection may be idle and still be reused, in milliseconds. */
     long reuseMillis() {
         return reuseMillis;
     }
@@ -115,7 +117,7 @@
         listener.head(status, headers, length);
     }
 
-    /** Tells whether the answer has no length and ends together with its connection. */
+    /** Returns whether the answer has no length and ends with its connection. */
     boolean endsWithConnection() {
         return endsWithConnection;
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/HeaderField.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/HeaderField.java
@@ -16,7 +16,7 @@
 package io.trailladder.entry.http;
 
 /**
- * One line of an HTTP head.
+ * A header field of an HTTP request or answer.
  *
  * @param name the name as sent
  * @param value the value
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/HeaderList.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/HeaderList.java
@@ -112,9 +112,9 @@
     }
 
     /**
-     * Returns the fields that are passed on: all but those that concern one connection only.
+     * Returns the fields to forward: all except the hop-by-hop fields.
      *
-     * @return the rest
+     * @return the remaining fields
      */
     public HeaderList endToEnd() {
         Set<String> dropped = new HashSet<>(HOP_BY_HOP);
@@ -129,10 +129,10 @@
     }
 
     /**
-     * Returns the fields except some.
+     * Returns the fields without those of the given names.
      *
      * @param names names to leave out, in lower case
-     * @return the rest
+     * @return the remaining fields
      */
     public HeaderList without(Set<String> names) {
         return new HeaderList(
@@ -142,15 +142,15 @@
     }
 
     /**
-     * Returns the fields with one more.
+     * Returns the fields with one appended.
      *
      * @param name its name
      * @param value its value
-     * @return the longer list
+     * @return the extended list
      */
     public HeaderList with(String name, String value) {
-        List<HeaderField> longer = new ArrayList<>(fields);
-        longer.add(new HeaderField(name, value));
-        return new HeaderList(longer);
+        List<HeaderField> extended = new ArrayList<>(fields);
+        extended.add(new HeaderField(name, value));
+        return new HeaderList(extended);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/HttpConnector.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/HttpConnector.java
@@ -43,10 +43,10 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /**
- * Calls HTTP servers on the event loop, one call at a time on a connection, and keeps connections
- * for a short rest.
+ * An HTTP client on the event loop. It makes one call at a time on a connection, and keeps idle
+ * connections for a short time.
  *
- * <p>A connection that brings any byte beyond a whole answer is closed and never used again.
+ * <p>A connection that delivers any byte beyond a complete answer is closed and never reused.
  *
  * @since 0.2
  */
@@ -59,7 +59,7 @@
     private final FilterChain chain;
     private final Map<HostPort, Deque<IdleConnection>> idleConnections = new HashMap<>();
 
-    /** Bytes of requests that servers have not taken yet; none for those that keep up. */
+    /** Bytes of requests that are not yet written, by server; no entry for servers that keep up. */
     private final Map<HostPort, Long> unwritten = new HashMap<>();
 
     private long opened;
@@ -68,20 +68,21 @@
     /**
      * A connection between two calls.
      *
-     * @param sinceMillis when it began to rest
-     * @param keptMillis how long its server lets it be used again, in milliseconds
+     * @param idleSinceMillis when it became idle, in milliseconds
+     * @param reuseMillis how long it may be idle and still be reused, in milliseconds
      */
-    private record IdleConnection(Connection<?> connection, long idleSinceMillis, long reuseMillis) {
-        boolean isUsable(long mostMillis, long nowMillis) {
-            long rested = nowMillis - idleSinceMillis;
-            return connection.isOpen() && rested <= mostMillis && rested < reuseMillis;
+    private record IdleConnection(
+            Connection<?> connection, long idleSinceMillis, long reuseMillis) {
+        boolean isUsable(long maxMillis, long nowMillis) {
+            long idleMillis = nowMillis - idleSinceMillis;
+            return connection.isOpen() && idleMillis <= maxMillis && idleMillis < reuseMillis;
         }
     }
 
     /**
      * Creates a connector.
      *
-     * @param loop the loop whose thread calls it
+     * @param loop the loop on whose thread it is called
      */
     public HttpConnector(EventLoop loop) {
         this.loop = loop;
@@ -99,8 +100,8 @@
      * Sends a call.
      *
      * @param request the call
-     * @param listener told of the answer on the loop's thread, never before this method returns
-     *     unless a kept connection fails at once
+     * @param listener receives the answer on the loop's thread, never before this method returns
+     *     unless a reused connection fails at once
      * @return the call, to cancel it
      */
     public ClientCall send(OutgoingCall request, CallListener listener) {
@@ -115,15 +116,15 @@
     }
 
     /**
-     * Closes the connections to a server that rest between calls. To be called when one to it has
-     * fallen silent: the others may be dead as well, and each would cost a call its time-out.
+     * Closes the idle connections to a server. To be called when a connection to it does not
+     * respond: the others may be dead as well, and each would make a call run into its timeout.
      *
      * @param target the server
      */
     public void closeIdle(HostPort target) {
         Deque<IdleConnection> idle = idleConnections.remove(target);
         if (idle != null) {
-            idle.forEach(rested -> rested.connection().terminateSilently());
+            idle.forEach(unused -> unused.connection().terminateSilently());
         }
     }
 
@@ -137,7 +138,7 @@
     }
 
     /**
-     * Returns how many connections were closed because they brought bytes beyond an answer.
+     * Returns how many connections were closed because they delivered bytes beyond an answer.
      *
      * @return a count since the start
      */
@@ -146,19 +147,19 @@
     }
 
     /**
-     * Tells whether any server has yet to take a request sent to it.
+     * Returns whether any request is not yet completely written to its server.
      *
-     * @return false if all keep up
+     * @return false if all servers keep up
      */
     public boolean hasUnwritten() {
         return !unwritten.isEmpty();
     }
 
     /**
-     * Returns how much of the requests sent to a server it has not taken yet.
+     * Returns the total size of the requests to a server that are not yet completely written.
      *
      * @param target the server
-     * @return bytes of bodies of which some part still waits here
+     * @return size of their bodies in bytes, each counted in full until its request is written
      */
     public long unwrittenBytes(HostPort target) {
         return unwritten.getOrDefault(target, 0L);
@@ -169,7 +170,8 @@
         HostPort target = call.request().target();
         LoopTimer timeout =
                 loop.schedule(
-                        call.request().connectTimeoutMillis(), () -> call.fail(CallFailure.UNREACHABLE));
+                        call.request().connectTimeoutMillis(),
+                        () -> call.fail(CallFailure.UNREACHABLE));
         loop.connect(
                 new InetSocketAddress(target.host(), target.port()),
                 chain,
@@ -249,8 +251,11 @@
         return null;
     }
 
-    /** Keeps a connection, but only after all bytes that came with the answer were looked at. */
-    private void keep(OutgoingCall request, Connection<?> connection, long keptMillis) {
+    /**
+     * Keeps a connection for reuse, but only after all bytes received with the answer have been
+     * processed.
+     */
+    private void keep(OutgoingCall request, Connection<?> connection, long reuseMillis) {
         loop.execute(
                 () -> {
                     Deque<IdleConnection> idle =
@@ -262,11 +267,11 @@
                     while (idle.size() >= request.maxIdleConnections()) {
                         idle.removeFirst().connection().terminateSilently();
                     }
-                    idle.addLast(new IdleConnection(connection, loop.nowMillis(), keptMillis));
+                    idle.addLast(new IdleConnection(connection, loop.nowMillis(), reuseMillis));
                 });
     }
 
-    /** Passes what Grizzly reads to the call of the connection. */
+    /** Passes the content that Grizzly reads to the call of the connection. */
     private final class AnswerFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext context) {
@@ -311,7 +316,8 @@
             } else if (call.isWritten()) {
                 connection.closeSilently();
             } else {
-                // The rest of its body is not waited for: nobody needs it, and it takes memory.
+                // Does not wait until the request body is written: it is not needed and uses
+                // memory.
                 connection.terminateSilently();
             }
             call.end();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/HttpServer.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/HttpServer.java
@@ -36,8 +36,8 @@
 import org.glassfish.grizzly.http.KeepAlive;
 
 /**
- * An HTTP server on the event loop. It goes on reading while a request is worked on, so that it
- * sees at once when the caller leaves.
+ * An HTTP server on the event loop. It continues to read while a request is processed, so that it
+ * notices at once when the caller disconnects.
  *
  * @since 0.2
  */
@@ -63,21 +63,21 @@
     /**
      * Creates a server.
      *
-     * @param loop the loop whose thread runs it
-     * @param bounds bounds of what it reads
-     * @param handler takes its requests
+     * @param loop the loop on whose thread it runs
+     * @param bounds limits of what it reads
+     * @param handler handles its requests
      */
     public HttpServer(EventLoop loop, ServerBounds bounds, RequestHandler handler) {
         this(loop, MAX_HEAD_BYTES, bounds, handler);
     }
 
     /**
-     * Creates a server with a bound of request heads.
+     * Creates a server with a maximum size of request heads.
      *
-     * @param loop the loop whose thread runs it
-     * @param maxHeadBytes largest request head
-     * @param bounds bounds of what it reads
-     * @param handler takes its requests
+     * @param loop the loop on whose thread it runs
+     * @param maxHeadBytes maximum size of a request head, in bytes
+     * @param bounds limits of what it reads
+     * @param handler handles its requests
      */
     public HttpServer(
             EventLoop loop, int maxHeadBytes, ServerBounds bounds, RequestHandler handler) {
@@ -88,12 +88,12 @@
     }
 
     /**
-     * Begins to listen.
+     * Starts to listen.
      *
-     * @param address where
+     * @param address the address to listen at
      * @throws IOException if the port is taken
      */
-    @SuppressWarnings("deprecation") // the only constructors that take the bounds needed here
+    @SuppressWarnings("deprecation") // the only constructors that take the limits needed here
     public void start(HostPort address) throws IOException {
         KeepAlive keepAlive = new KeepAlive();
         keepAlive.setIdleTimeoutInSeconds(-1);
@@ -128,26 +128,26 @@
     }
 
     /**
-     * Changes the bounds for requests that begin from now on.
+     * Changes the limits. They apply from the next check, also to requests in progress.
      *
-     * @param changed the bounds
+     * @param changed the limits
      */
     public void bounds(ServerBounds changed) {
         bounds = changed;
     }
 
     /**
-     * Bounds the callers' connections. One above it has a connection closed that rests; if none
-     * does, it is closed itself, unread.
+     * Limits the number of callers' connections. A connection beyond the limit causes idle
+     * connections to be closed; if none is idle, the new connection is closed unread.
      *
-     * @param most largest number of connections
+     * @param limit maximum number of connections
      */
-    public void maxConnections(int most) {
-        connections.maxConnections(most);
+    public void maxConnections(int limit) {
+        connections.maxConnections(limit);
     }
 
     /**
-     * Returns how many connections were closed unread because there was no room for them.
+     * Returns how many connections were closed unread because the limit was reached.
      *
      * @return a count since the start
      */
@@ -156,34 +156,35 @@
     }
 
     /**
-     * Has requests and answers count in an account; to be called before it listens. Without it
-     * nothing bounds what is held but the time that callers may leave answers unread.
+     * Counts requests and answers in a memory account. Must be called before the server listens.
+     * Without an account, the memory in use is limited only by the time for which callers may leave
+     * answers unread.
      *
      * @param shared the account
-     * @param decides decides about answers that are not read
+     * @param policy decides about answers that are not read
      */
-    public void memory(MemoryAccount shared, UnreadAnswers decides) {
+    public void memory(MemoryAccount shared, UnreadAnswers policy) {
         account = shared;
-        unread = decides;
+        unread = policy;
     }
 
     /**
-     * Returns the requests whose answers are held because their callers do not read them.
+     * Returns the requests whose answers are partly unsent because their callers do not read them.
      *
      * @return a new list
      */
     public List<ServerExchange> unreadAnswers() {
-        List<ServerExchange> held = new ArrayList<>();
+        List<ServerExchange> unreadExchanges = new ArrayList<>();
         for (ServerConnection connection : connections.copy()) {
             ServerExchange current = connection.current();
             if (current != null && current.unreadBytes() > 0) {
-                held.add(current);
+                unreadExchanges.add(current);
             }
         }
-        return held;
+        return unreadExchanges;
     }
 
-    /** Has every further answer close its connection. */
+    /** Closes the connection after every further answer. */
     public void closing() {
         closing = true;
     }
@@ -203,7 +204,8 @@
     }
 
     /**
-     * Returns how many requests are being worked on, or have answers not yet all sent.
+     * Returns how many connections have a request in progress or an answer that is not completely
+     * sent.
      *
      * @return a count
      */
@@ -231,7 +233,7 @@
         return closing;
     }
 
-    /** Returns a number above those before: several things may happen within a millisecond. */
+    /** Returns the next sequence number, which orders events within the same millisecond. */
     long nextOrder() {
         return ++order;
     }
@@ -245,7 +247,7 @@
         connections.copy().forEach(connection -> connection.checkTime(now));
     }
 
-    /** Tells a connection of bytes before they make a request. */
+    /** Reports received bytes to their connection before they form a request. */
     private static final class ClockedSocketFilter extends SocketFilter {
         @Override
         protected void bytesRead(Connection<?> connection, int count) {
@@ -256,7 +258,7 @@
         }
     }
 
-    /** Passes requests and closes to their connection. */
+    /** Passes requests and close events to their connection. */
     private final class RequestFilter extends BaseFilter {
         @Override
         public NextAction handleAccept(FilterChainContext context) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/JsonCalls.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/JsonCalls.java
@@ -29,7 +29,7 @@
 import java.util.function.Consumer;
 
 /**
- * Calls with JSON bodies to one server; every call has a time-out.
+ * Makes calls with JSON bodies to one server. Every call has a timeout.
  *
  * @since 0.2
  */
@@ -45,19 +45,19 @@
     /**
      * An answer.
      *
-     * @param status its HTTP status; 0 if none came
-     * @param headers its headers; none if none came
-     * @param body its body; missing if none came
+     * @param status its HTTP status; 0 if there was no answer
+     * @param headers its headers; empty if there was no answer
+     * @param body its body; a missing node if there was no answer or it is not JSON
      */
     public record Reply(int status, HeaderList headers, JsonNode body) {
-        /** Stands for no answer. */
+        /** The reply that stands for no answer. */
         public static final Reply NONE = new Reply(0, HeaderList.EMPTY, MissingNode.getInstance());
     }
 
     /**
-     * Creates calls to a server.
+     * Creates a client for a server.
      *
-     * @param loop the loop whose thread makes them
+     * @param loop the loop on whose thread they are made
      * @param connector sends them
      * @param server the server
      */
@@ -77,25 +77,25 @@
     }
 
     /**
-     * Gets.
+     * Makes a GET request.
      *
      * @param uri path and query
-     * @param timeoutMillis how long an answer is waited for, in milliseconds
-     * @param result told of the answer, or of {@link Reply#NONE}
-     * @return breaks the call off; its result is then never told
+     * @param timeoutMillis timeout of the call, in milliseconds
+     * @param result receives the answer, or {@link Reply#NONE}
+     * @return cancels the call; {@code result} is then never called
      */
     public Runnable get(String uri, long timeoutMillis, Consumer<Reply> result) {
         return call("GET", uri, List.of(), NO_BYTES, timeoutMillis, result);
     }
 
     /**
-     * Posts a JSON body.
+     * Makes a POST request with a JSON body.
      *
      * @param uri path and query
      * @param fields further headers
      * @param body the body
-     * @param timeoutMillis how long an answer is waited for, in milliseconds
-     * @param result told of the answer, or of {@link Reply#NONE}
+     * @param timeoutMillis timeout of the call, in milliseconds
+     * @param result receives the answer, or {@link Reply#NONE}
      */
     public void post(
             String uri,
@@ -115,9 +115,9 @@
      * @param uri path and query
      * @param fields further headers
      * @param body the body
-     * @param timeoutMillis how long an answer is waited for, in milliseconds
-     * @param result told of the answer, or of {@link Reply#NONE}
-     * @return breaks the call off; its result is then never told
+     * @param timeoutMillis timeout of the call, in milliseconds
+     * @param result receives the answer, or {@link Reply#NONE}
+     * @return cancels the call; {@code result} is then never called
      */
     public Runnable call(
             String method,
@@ -135,7 +135,13 @@
         pending.call =
                 connector.send(
                         new OutgoingCall(
-                                server, method, uri, headers, body, MAX_IDLE_MILLIS, CONNECT_MILLIS),
+                                server,
+                                method,
+                                uri,
+                                headers,
+                                body,
+                                MAX_IDLE_MILLIS,
+                                CONNECT_MILLIS),
                         pending);
         return pending::cancel;
     }
@@ -183,7 +189,7 @@
             try {
                 tree = JsonTree.read(body.toByteArray());
             } catch (IOException e) {
-                // a refusal may carry any text
+                // an error answer may have a body of any format
             }
             finish(new Reply(status, headers, tree));
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/KeepAlive.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/KeepAlive.java
@@ -18,28 +18,29 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads how long a server keeps a connection that rests, from the head of its answer. */
+/** Reads from the head of an answer how long the server keeps an idle connection. */
 final class KeepAlive {
-    /** Told where an answer says nothing, in milliseconds. */
+    /** The value for an answer that does not specify a time, in milliseconds. */
     static final long NOT_SPECIFIED = Long.MAX_VALUE;
 
     /**
-     * Part of the time told in which a connection is used again. The server counts from when its
-     * answer left, in whole seconds, and a request that meets its close may or may not have run.
+     * Divisor of the server's time for the time in which a connection is reused. The server counts
+     * from when it sent its answer, in whole seconds, and a request sent while the server closes
+     * the connection may or may not have run.
      */
     private static final int SAFETY_DIVISOR = 2;
 
     private static final long MILLIS_PER_SECOND = 1_000;
 
-    /** Nine digits are 30 years, and fit. */
+    /** Up to nine digits (about 30 years), so that the milliseconds do not overflow. */
     private static final Pattern SECONDS =
             Pattern.compile("(?:^|.*[,;\\s])(?:timeout\\s*=\\s*)?\"?(\\d{1,9})\"?\\s*(?:[,;].*)?");
 
     private KeepAlive() {}
 
     /**
-     * Returns how long a connection may rest and be used again, in milliseconds: {@link #NOT_SPECIFIED}
-     * if the answer does not say so, or says it in no known form.
+     * Returns how long a connection may be idle and still be reused, in milliseconds, or {@link
+     * #NOT_SPECIFIED} if the answer gives no time in a known form.
      */
     static long reuseMillis(HeaderList headers) {
         String value = headers.first("Keep-Alive").orElse("").trim();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/OutgoingCall.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/OutgoingCall.java
@@ -22,13 +22,13 @@
  *
  * @param target the server
  * @param method HTTP method
- * @param uri path with query, sent as it is
- * @param headers header fields with the host, without those that concern the connection
+ * @param uri path with query, sent unchanged
+ * @param headers header fields with the host, without the hop-by-hop fields
  * @param body the body; empty for none
- * @param maxIdleMillis longest rest of a kept connection that may be used, in milliseconds; 0 for a
- *     new connection
- * @param connectTimeoutMillis longest time for a new connection, in milliseconds
- * @param maxIdleConnections how many connections to the server may rest between calls
+ * @param maxIdleMillis maximum idle time of a connection that may be reused, in milliseconds; 0 for
+ *     a new connection
+ * @param connectTimeoutMillis timeout for opening a connection, in milliseconds
+ * @param maxIdleConnections maximum number of idle connections to the server
  * @since 0.2
  */
 public record OutgoingCall(
@@ -40,19 +40,19 @@
         long maxIdleMillis,
         long connectTimeoutMillis,
         int maxIdleConnections) {
-    /** Connections to a server that may rest, where it does not share them out. */
+    /** Maximum number of idle connections to a server that does not limit its connections. */
     public static final int MAX_IDLE_CONNECTIONS = 64;
 
     /**
-     * Creates a call to a server that accepts as many connections as are opened.
+     * Creates a call to a server that does not limit its connections.
      *
      * @param target the server
      * @param method HTTP method
-     * @param uri path with query, sent as it is
-     * @param headers header fields with the host, without those that concern the connection
+     * @param uri path with query, sent unchanged
+     * @param headers header fields with the host, without the hop-by-hop fields
      * @param body the body; empty for none
-     * @param maxRestMillis longest rest of a kept connection that may be used, in milliseconds
-     * @param connectMillis longest time for a new connection, in milliseconds
+     * @param maxIdleMillis maximum idle time of a connection that may be reused, in milliseconds
+     * @param connectTimeoutMillis timeout for opening a connection, in milliseconds
      */
     public OutgoingCall(
             HostPort target,
@@ -60,8 +60,16 @@
             String uri,
             HeaderList headers,
             byte[] body,
-            long maxRestMillis,
-            long connectMillis) {
-        this(target, method, uri, headers, body, maxRestMillis, connectMillis, MAX_IDLE_CONNECTIONS);
+            long maxIdleMillis,
+            long connectTimeoutMillis) {
+        this(
+                target,
+                method,
+                uri,
+                headers,
+                body,
+                maxIdleMillis,
+                connectTimeoutMillis,
+                MAX_IDLE_CONNECTIONS);
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/RequestHandler.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/RequestHandler.java
@@ -16,21 +16,22 @@
 package io.trailladder.entry.http;
 
 /**
- * Takes the requests of an HTTP server.
+ * Handles the requests of an HTTP server.
  *
  * @since 0.2
  */
 @FunctionalInterface
 public interface RequestHandler {
     /**
-     * Takes a request that was read whole.
+     * Handles a request that was read completely.
      *
      * @param exchange the request, to be answered now or later
      */
     void handle(ServerExchange exchange);
 
     /**
-     * Answers a request of which only the head was read, if its body must not be read here.
+     * Answers a request of which only the head was read, if its body must not be read by this
+     * server.
      *
      * @param exchange the request without its body
      * @return true if it was answered; its body is then dropped and its connection closed
@@ -40,10 +41,10 @@
     }
 
     /**
-     * Answers a request that cannot be read whole.
+     * Answers a request that cannot be read completely.
      *
      * @param exchange the request without its body
-     * @param status HTTP status: 400, 408, 413, or 503 if there is no room for the rest of it
+     * @param status HTTP status: 400, 408, 413, or 503 if there is no memory for the rest of it
      */
     default void refuse(ServerExchange exchange, int status) {
         exchange.respond(status, HeaderList.EMPTY, new byte[0]);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerBounds.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerBounds.java
@@ -16,11 +16,12 @@
 package io.trailladder.entry.http;
 
 /**
- * Bounds of what an HTTP server reads.
+ * The limits of what an HTTP server reads.
  *
- * @param maxBodyBytes largest request body
- * @param headerTimeoutMillis longest time for a request head, in milliseconds
- * @param idleTimeoutMillis longest rest of a connection, in milliseconds
+ * @param maxBodyBytes maximum size of a request body, in bytes
+ * @param headerTimeoutMillis maximum time for receiving a request head, in milliseconds
+ * @param idleTimeoutMillis maximum idle time of a connection, also within a request body or an
+ *     answer, in milliseconds
  * @since 0.2
  */
 public record ServerBounds(int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {}
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnection.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnection.java
@@ -26,7 +26,7 @@
 import org.glassfish.grizzly.http.HttpContent;
 import org.glassfish.grizzly.http.HttpRequestPacket;
 
-/** One caller's connection: it is answered one request after the other, in order. */
+/** The connection of one caller. Answers its requests one at a time, in the order of arrival. */
 final class ServerConnection {
     private static final int MAX_PIPELINED_REQUESTS = 32;
     private static final long DROP_BODY_MILLIS = 1_000;
@@ -42,7 +42,7 @@
     private final Deque<ServerExchange> waiting = new ArrayDeque<>();
     private HttpRequestPacket reading;
 
-    /** Of the request that is read, or was read last. */
+    /** The header fields of the request that is being read, or that was read last. */
     private HeaderList headers = HeaderList.EMPTY;
 
     private ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -114,13 +114,13 @@
         }
         if (content.isLast()) {
             reading = null;
-            byte[] whole = takeBody();
-            accept(new ServerExchange(this, request, headers, whole));
+            byte[] bytes = takeBody();
+            accept(new ServerExchange(this, request, headers, bytes));
             updateAccount();
         }
     }
 
-    /** Called when the last byte of an answer has left. */
+    /** Starts the next request, or closes, after the last byte of an answer was written. */
     void written(ServerExchange exchange) {
         if (exchange != current) {
             return;
@@ -137,28 +137,28 @@
 
     void closed() {
         if (current != null) {
-            ServerExchange left = current;
+            ServerExchange open = current;
             current = null;
-            left.release();
-            left.disconnected();
+            open.release();
+            open.disconnected();
         }
         waiting.clear();
         holding.close();
     }
 
-    /** Closes once what was given to the socket has left. */
+    /** Closes after all bytes passed to the socket have been written. */
     void close() {
         connection.closeSilently();
     }
 
-    /** Closes at once and drops what has not left. */
+    /** Closes at once and drops the bytes that are not yet written. */
     void terminate() {
         connection.terminateSilently();
     }
 
     /**
-     * Closes after the last answer. While a body is still coming whose request was refused, closing
-     * would reset the connection, and the caller would not see the answer.
+     * Closes after the last answer. While the body of a refused request is still arriving, the
+     * close is delayed: it would reset the connection, and the caller would not see the answer.
      */
     void closeAfterAnswer() {
         if (refusing && !bodyEnded) {
@@ -177,7 +177,10 @@
         idleOrder = server.nextOrder();
     }
 
-    /** Returns a number that is lower the earlier it began to rest; of use while it rests. */
+    /**
+     * Returns a sequence number that orders idle connections by the start of their idle time, the
+     * longest idle first. Meaningful only while the connection is idle.
+     */
     long idleOrder() {
         return idleOrder;
     }
@@ -192,9 +195,9 @@
             return;
         }
         ServerBounds bounds = server.bounds();
-        long idle = current == null ? 0 : current.unreadMillis(nowMillis);
-        if (idle > bounds.idleTimeoutMillis()) {
-            server.unread().idle(current, idle);
+        long unreadMillis = current == null ? 0 : current.unreadMillis(nowMillis);
+        if (unreadMillis > bounds.idleTimeoutMillis()) {
+            server.unread().idle(current, unreadMillis);
             return;
         }
         boolean headLate =
@@ -214,21 +217,21 @@
         if (body.size() == 0) {
             return NO_BYTES;
         }
-        byte[] whole = body.toByteArray();
+        byte[] bytes = body.toByteArray();
         body = new ByteArrayOutputStream();
-        return whole;
+        return bytes;
     }
 
-    /** Tells what the requests of the connection hold. */
+    /** Updates the memory account with the bytes that the requests of this connection use. */
     private void updateAccount() {
-        long held = body.size();
+        long bytes = body.size();
         if (current != null) {
-            held += current.requestBytes();
+            bytes += current.requestBytes();
         }
         for (ServerExchange exchange : waiting) {
-            held += exchange.requestBytes();
+            bytes += exchange.requestBytes();
         }
-        holding.set(held);
+        holding.set(bytes);
     }
 
     private void accept(ServerExchange exchange) {
@@ -245,7 +248,7 @@
         return exchange == current;
     }
 
-    /** Returns the request whose answer is not yet all read; null if there is none. */
+    /** Returns the request whose answer is not yet completely written; null if there is none. */
     ServerExchange current() {
         return current;
     }
@@ -262,7 +265,7 @@
         server.handler().handle(exchange);
     }
 
-    /** Refuses requests whose end could be read in two ways, and bodies that are too large. */
+    /** Refuses requests whose length is ambiguous, and bodies that exceed the maximum size. */
     private boolean acceptable(HttpRequestPacket request) {
         String encoding = headers.first("Transfer-Encoding").orElse("");
         boolean hasLength = headers.first("Content-Length").isPresent();
@@ -294,7 +297,7 @@
         server.handler().refuse(exchange, status);
     }
 
-    /** Lets the handler answer a request whose body must not be read here. */
+    /** Lets the handler answer a request whose body must not be read by this server. */
     private boolean answeredWithoutBody(HttpRequestPacket request, HttpContent content) {
         if (current != null || content.isLast()) {
             return false;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnections.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerConnections.java
@@ -26,28 +26,28 @@
 import java.util.Set;
 
 /**
- * The callers' connections of a server, inside a bound, so that connections that callers keep do
- * not use up the descriptors that serving needs.
+ * The callers' connections of a server. Their number is limited, so that idle connections do not
+ * use up the file descriptors that are needed to serve requests.
  */
 final class ServerConnections {
     /**
-     * Part of the bound that is closed when it is reached, so that the search for whom to close is
-     * made once for many new connections.
+     * Divisor of the limit for the number of connections closed when the limit is reached, so that
+     * one search for connections to close makes capacity for many new ones.
      */
     private static final int CLOSED_DIVISOR = 32;
 
     private final Set<ServerConnection> all = new HashSet<>();
     private int maxConnections = Integer.MAX_VALUE;
 
-    void maxConnections(int most) {
-        maxConnections = most;
+    void maxConnections(int limit) {
+        maxConnections = limit;
     }
 
     /**
-     * Adds a connection. Above the bound, connections without a request are closed: of the caller
-     * that keeps most of them, those first that have rested longest.
+     * Adds a connection. At the limit, closes idle connections of the caller that has most of them,
+     * the longest idle first.
      *
-     * @return false if all others have requests, so that there is no room for it
+     * @return false if the limit is reached and all connections have requests
      */
     boolean add(ServerConnection connection) {
         if (all.size() >= maxConnections && !closeIdle()) {
@@ -66,30 +66,30 @@
     }
 
     private boolean closeIdle() {
-        List<ServerConnection> kept = idleOfLargestCaller();
-        kept.sort(Comparator.comparingLong(ServerConnection::idleOrder));
-        int count = Math.min(kept.size(), Math.max(1, maxConnections / CLOSED_DIVISOR));
-        for (ServerConnection connection : kept.subList(0, count)) {
+        List<ServerConnection> idle = idleOfLargestCaller();
+        idle.sort(Comparator.comparingLong(ServerConnection::idleOrder));
+        int count = Math.min(idle.size(), Math.max(1, maxConnections / CLOSED_DIVISOR));
+        for (ServerConnection connection : idle.subList(0, count)) {
             all.remove(connection);
             connection.close();
         }
         return count > 0;
     }
 
-    /** Returns the connections without a request of the caller that keeps most. */
+    /** Returns the idle connections of the caller that has most of them. */
     private List<ServerConnection> idleOfLargestCaller() {
         Map<InetAddress, List<ServerConnection>> byCaller = new HashMap<>();
-        List<ServerConnection> most = new ArrayList<>();
+        List<ServerConnection> largest = new ArrayList<>();
         for (ServerConnection connection : all) {
             if (connection.isIdle()) {
                 InetSocketAddress caller =
                         (InetSocketAddress) connection.connection().getPeerAddress();
-                List<ServerConnection> kept =
+                List<ServerConnection> idle =
                         byCaller.computeIfAbsent(caller.getAddress(), address -> new ArrayList<>());
-                kept.add(connection);
-                most = kept.size() > most.size() ? kept : most;
+                idle.add(connection);
+                largest = idle.size() > largest.size() ? idle : largest;
             }
         }
-        return most;
+        return largest;
     }
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerExchange.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/ServerExchange.java
@@ -19,15 +19,15 @@
 import org.glassfish.grizzly.http.HttpResponsePacket;
 
 /**
- * One request that was read whole, and its answer.
+ * A request that was read completely, and its answer.
  *
  * @since 0.2
  */
 public final class ServerExchange {
     /**
-     * What a request holds beside its body: its head, the connections to caller and upstream, and
-     * the objects that carry it through. The live heap of a gateway grew by 20 KB for each of 500
-     * requests that their upstream did not answer.
+     * Memory that a request uses in addition to its body, in bytes: its head, the connections to
+     * caller and upstream, and the objects that process it. With 500 requests that their upstream
+     * did not answer, the live heap of a gateway grew by 20 KB for each.
      */
     static final int REQUEST_BYTES = 20 * 1024;
 
@@ -92,25 +92,26 @@
     }
 
     /**
-     * Returns the body.
+     * Returns the request body.
      *
-     * @return the bytes; not to be changed
+     * @return the bytes, which must not be modified
      */
     public byte[] body() {
         return body;
     }
 
     /**
-     * Returns the length that the head announces.
+     * Returns the body length given in the request head.
      *
-     * @return bytes of the body; 0 if not told
+     * @return length in bytes; 0 if not given
      */
     public long announcedBytes() {
         return Math.max(0, request.getContentLength());
     }
 
     /**
-     * Sets what is done when the caller leaves before the answer is whole; at once if it has left.
+     * Sets the task that runs when the caller disconnects before the answer is complete. Runs it at
+     * once if the caller has already disconnected.
      *
      * @param task runs at most once
      */
@@ -123,7 +124,7 @@
     }
 
     /**
-     * Tells whether the answer is whole, or can no longer be.
+     * Returns whether the answer is complete, or can no longer be completed.
      *
      * @return true if nothing more can be sent
      */
@@ -131,13 +132,13 @@
         return over;
     }
 
-    /** Has the connection closed after this answer. */
+    /** Closes the connection after this answer. */
     public void closeAfter() {
         closeAfter = true;
     }
 
     /**
-     * Sends a whole answer.
+     * Sends a complete answer.
      *
      * @param status HTTP status
      * @param fields header fields without those that concern the connection
@@ -153,7 +154,7 @@
      *
      * @param status HTTP status
      * @param fields header fields without those that concern the connection
-     * @param length length of the body; below 0 if not known
+     * @param length length of the body in bytes; below 0 if not known
      */
     public void begin(int status, HeaderList fields, long length) {
         HttpResponsePacket.Builder head = HttpResponsePacket.builder(request).status(status);
@@ -172,7 +173,7 @@
     }
 
     /**
-     * Sends a part of the body at once.
+     * Sends a part of the body without waiting for more.
      *
      * @param bytes the part
      */
@@ -183,9 +184,10 @@
     }
 
     /**
-     * Tells whether more may be written without piling up. May be called on any thread.
+     * Returns whether more may be written without accumulating in memory. May be called on any
+     * thread.
      *
-     * @return false while the caller does not read
+     * @return false while too many written bytes are still unsent
      */
     public boolean isWritable() {
         AnswerWriter begun = writer;
@@ -193,8 +195,8 @@
     }
 
     /**
-     * Has a task run once more may be written, or nothing more can be. To be called on the loop's
-     * thread.
+     * Runs a task as soon as more may be written, or nothing more can be written. Must be called on
+     * the loop's thread.
      *
      * @param task the task
      */
@@ -207,25 +209,25 @@
     }
 
     /**
-     * Tells whose answer it is.
+     * Sets the owner of the answer.
      *
-     * @param told whose
+     * @param changed the owner
      */
-    public void answerOwner(AnswerOwner told) {
-        answerOwner = told;
+    public void answerOwner(AnswerOwner changed) {
+        answerOwner = changed;
     }
 
     /**
-     * Returns whose answer it is.
+     * Returns the owner of the answer.
      *
-     * @return whose, as far as was told
+     * @return the owner; {@link AnswerOwner#UNKNOWN} if none was set
      */
     public AnswerOwner answerOwner() {
         return answerOwner;
     }
 
     /**
-     * Returns what is held of the answer because the caller has not read it.
+     * Returns how much of the answer is kept in memory because the caller has not read it.
      *
      * @return bytes
      */
@@ -234,20 +236,21 @@
     }
 
     /**
-     * Returns how long the caller has taken nothing of what is held.
+     * Returns how long the caller has read nothing of the unsent part of the answer.
      *
      * @param nowMillis the time, in milliseconds
-     * @return milliseconds; 0 if nothing is held
+     * @return milliseconds; 0 if nothing is unsent
      */
     public long unreadMillis(long nowMillis) {
         return unreadBytes() == 0 ? 0 : writer.idleMillis(nowMillis);
     }
 
     /**
-     * Ends an answer that is not read. Its connection is closed, so that it does not look whole; of
-     * a stream that can be resumed the whole events that are under way still go first, unless it is
-     * cut again. Who sends the answer is told at once that the caller is gone. An answer that was
-     * read whole meanwhile is not touched, nor is the next one of its connection.
+     * Ends an answer that the caller does not read. Closes its connection, so that the answer does
+     * not look complete. If the stream can be resumed, the complete events of the write in progress
+     * are sent first, unless this method is called again. The disconnect task runs at once. Does
+     * nothing if the answer has been read completely in the meantime; the next answer on the
+     * connection is not affected.
      */
     public void cut() {
         if (!owner.isAnswering(this)) {
@@ -264,7 +267,7 @@
     }
 
     /**
-     * Tells whether the answer was cut.
+     * Returns whether the answer was cut.
      *
      * @return true if it was ended because it was not read
      */
@@ -272,12 +275,12 @@
         return cut;
     }
 
-    /** Ends the answer as whole. */
+    /** Ends the answer as complete. */
     public void end() {
         endWith(NO_BYTES);
     }
 
-    /** Sends the last part with the end, which saves a write. */
+    /** Sends the last part together with the end, which saves a write. */
     private void endWith(byte[] bytes) {
         if (over) {
             return;
@@ -286,7 +289,9 @@
         writer.write(bytes, true);
     }
 
-    /** Breaks the answer off so that it does not look whole; what was written still leaves. */
+    /**
+     * Aborts the answer so that it does not look complete. Bytes already written are still sent.
+     */
     public void abort() {
         if (over) {
             return;
@@ -303,12 +308,12 @@
         return closeAfter;
     }
 
-    /** Returns what its request holds, in bytes. */
+    /** Returns the memory that the request uses, in bytes. */
     int requestBytes() {
         return REQUEST_BYTES + body.length;
     }
 
-    /** Gives back what is held of the answer. */
+    /** Releases the memory reserved for the answer. */
     void release() {
         if (writer != null) {
             writer.release();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/SocketFilter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/SocketFilter.java
@@ -29,10 +29,10 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * Reads a socket and remembers whether its end was orderly. Grizzly's own filter reports a reset as
- * an orderly end, which would let a cut answer without a length look whole.
+ * Reads a socket and records whether it was closed in an orderly way. Grizzly's own filter reports
+ * a reset as an orderly end, so that a truncated answer without a length would look complete.
  *
- * <p>One filter belongs to one event loop.
+ * <p>An instance must be used by one event loop only, because its read buffer is shared.
  *
  * @since 0.2
  */
@@ -71,10 +71,10 @@
     }
 
     /**
-     * Told of bytes before they are understood.
+     * Called with the number of bytes received before they are parsed.
      *
-     * @param connection where they came from
-     * @param count how many
+     * @param connection the connection they were received on
+     * @param count number of bytes
      */
     protected void bytesRead(Connection<?> connection, int count) {}
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/UnreadAnswers.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/UnreadAnswers.java
@@ -16,12 +16,12 @@
 package io.trailladder.entry.http;
 
 /**
- * Told of answers that their callers do not read; decides whether they go on.
+ * Decides whether answers that their callers do not read are continued.
  *
  * @since 0.2
  */
 public interface UnreadAnswers {
-    /** Ends those that are not read at all, and none for their size. */
+    /** Ends answers of which nothing is read for the idle limit, and none because of their size. */
     UnreadAnswers IDLE_ONLY =
             new UnreadAnswers() {
                 @Override
@@ -34,17 +34,19 @@
             };
 
     /**
-     * More of an answer is held than its request's bound. Called after each further piece.
+     * Called when the unsent part of an answer exceeds the limit per request, again after each
+     * further piece.
      *
      * @param exchange the request
      */
     void overBound(ServerExchange exchange);
 
     /**
-     * Nothing of an answer was read for the idle limit. Called until it ends.
+     * Called when nothing of an answer was read for the idle limit, repeatedly until the answer
+     * ends.
      *
      * @param exchange the request
-     * @param idleMillis since when, in milliseconds
+     * @param idleMillis for how long nothing was read, in milliseconds
      */
     void idle(ServerExchange exchange, long idleMillis);
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/http/package-info.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/http/package-info.java
@@ -1,6 +1,6 @@
 /**
- * HTTP on the event loop, by Grizzly's codec: a server that sees callers leave, and a client that
- * tells whether any byte of a request may have left.
+ * HTTP on the event loop, based on Grizzly's codec: a server that notices when callers disconnect,
+ * and a client that reports whether any byte of a request may have been sent.
  *
  * @since 0.2
  */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/log/EarlyLines.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/log/EarlyLines.java
@@ -19,8 +19,8 @@
 import java.util.Deque;
 
 /**
- * Keeps the lines of a process that has just started until it has time to write them: on a third of
- * a core each millisecond that goes into lines has callers wait three more after a restart.
+ * Buffers the log lines of a process during startup and writes them later: on a third of a core,
+ * each millisecond spent on lines delays callers by three more after a restart.
  *
  * <pre>{@code
  * EarlyLines.hold();
@@ -31,7 +31,10 @@
  * @since 0.4
  */
 public final class EarlyLines {
-    /** Most lines that are kept: some seconds of a busy process. Later ones are written at once. */
+    /**
+     * Maximum number of buffered lines: some seconds of a busy process. Further lines are written
+     * at once.
+     */
     private static final int MAX_LINES = 4_096;
 
     private static volatile boolean holding;
@@ -39,16 +42,16 @@
 
     private EarlyLines() {}
 
-    /** Begins to keep lines. */
+    /** Starts to buffer lines. */
     public static void hold() {
         holding = true;
     }
 
     /**
-     * Keeps a line if lines are kept now.
+     * Buffers a line if buffering is on and the buffer is not full.
      *
-     * @param line the line; its text is asked for when it is written
-     * @return false if the caller is to write it
+     * @param line the line; its {@code toString()} is called when it is written
+     * @return false if the caller must write it
      */
     public static boolean keep(Object line) {
         if (!holding) {
@@ -59,7 +62,7 @@
         }
     }
 
-    /** Writes all kept lines, in their order, and keeps none any more. */
+    /** Writes all buffered lines in order, and stops buffering. */
     public static void release() {
         Deque<Object> lines = take();
         while (!lines.isEmpty()) {
@@ -68,7 +71,7 @@
         }
     }
 
-    /** Takes the lines kept so far; ends keeping if there are none. */
+    /** Takes the lines buffered so far; stops buffering if there are none. */
     private static synchronized Deque<Object> take() {
         Deque<Object> lines = kept;
         kept = new ArrayDeque<>();
--- a/trailladder-entry/src/main/java/io/trailladder/entry/log/JsonLinesWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/log/JsonLinesWriter.java
@@ -28,7 +28,7 @@
 
 /**
  * Writes every log entry as one JSON object on one line of a {@link LineQueue}. tinylog's own JSON
- * writer needs a file, and entries have no disks.
+ * writer needs a file, and entries have no disk.
  *
  * @since 0.1
  */
@@ -74,7 +74,7 @@
         queue.flush();
     }
 
-    /** Turns an entry into text when it is written. */
+    /** Formats an entry when it is written. */
     private record Line(LogEntry entry) {
         @Override
         public String toString() {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/log/LibraryLines.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/log/LibraryLines.java
@@ -22,15 +22,15 @@
 import org.tinylog.jul.JulTinylogBridge;
 
 /**
- * Takes what libraries log and loads the logging library with the first of it. Most processes never
- * need it, and it takes some 0.1 s of processor time.
+ * Receives the log records of libraries and loads the logging library at the first one. Most
+ * processes never need it, and loading it costs about 0.1 s of processor time.
  *
  * @since 0.5
  */
 public final class LibraryLines extends Handler {
     private LibraryLines() {}
 
-    /** Has the lines of libraries taken from now on. */
+    /** Installs the handler for log records of libraries. */
     public static void take() {
         LogManager.getLogManager().reset();
         Logger.getLogger("").addHandler(new LibraryLines());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/log/LineQueue.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/log/LineQueue.java
@@ -27,32 +27,37 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The lines of the log on their way to an output, written by a thread of their own.
+ * A queue of log lines for an output, written by a dedicated thread.
  *
- * <p>The thread that logs never waits and makes no text: lines beyond a bounded queue are dropped
- * and counted, and the next line that is written tells how many.
+ * <p>The logging thread never waits and formats no text. Lines that do not fit into the bounded
+ * queue are dropped and counted, and the count is written before the next batch.
  *
  * <pre>{@code
- * LineQueue.shared().add(line); // line.toString() is asked for by the writing thread
+ * LineQueue.shared().add(line); // line.toString() is called by the writing thread
  * }</pre>
  *
  * @since 0.5
  */
 public final class LineQueue {
-    /** Property that names the output: {@code out}, else the one for errors is meant. */
+    /**
+     * Property that names the output: {@code out} for standard output, any other value for standard
+     * error.
+     */
     public static final String STREAM_PROPERTY = "tinylog.writer.stream";
 
     private static final int MAX_WAITING = 4_096;
     private static final int MAX_BATCH = 512;
 
-    /** Pause between two batches, in milliseconds: a busy process writes ten times a second. */
+    /**
+     * Pause between two batches, in milliseconds, so that a busy process writes ten times a second.
+     */
     private static final long PAUSE_MILLIS = 100;
 
     private final OutputStream out;
     private final BlockingQueue<Object> waiting = new ArrayBlockingQueue<>(MAX_WAITING);
     private final AtomicLong dropped = new AtomicLong();
 
-    /** The queues of the two outputs, each made when it is first asked for. */
+    /** Holds the queue of standard output, created at its first use. */
     private static final class ToOutput {
         private static final LineQueue QUEUE = new LineQueue(FileDescriptor.out);
     }
@@ -69,13 +74,13 @@
         Runtime.getRuntime().addShutdownHook(new Thread(this::flush, "log-end"));
     }
 
-    /** Creates a queue that writes when it is flushed only. */
+    /** Creates a queue that writes only when it is flushed. */
     LineQueue(OutputStream out) {
         this.out = out;
     }
 
     /**
-     * Returns the queue of the output that the system property names.
+     * Returns the queue of the output named by the system property {@value #STREAM_PROPERTY}.
      *
      * @return the one queue of that output
      */
@@ -86,7 +91,7 @@
     /**
      * Returns the queue of an output.
      *
-     * @param toOutput true for the process's output, false for that of errors
+     * @param toOutput true for standard output, false for standard error
      * @return the one queue of that output
      */
     public static LineQueue of(boolean toOutput) {
@@ -94,9 +99,10 @@
     }
 
     /**
-     * Has a line written. Never waits. May be called on any thread.
+     * Adds a line to be written. Never waits. May be called on any thread.
      *
-     * @param line its text, without the end of the line, is asked for when it is written
+     * @param line the line; its {@code toString()}, without a line end, is called when it is
+     *     written
      */
     public void add(Object line) {
         if (!waiting.offer(line)) {
@@ -104,7 +110,7 @@
         }
     }
 
-    /** Writes all lines that wait. */
+    /** Writes all queued lines. */
     public void flush() {
         List<Object> batch = new ArrayList<>();
         while (waiting.drainTo(batch, MAX_BATCH) > 0) {
@@ -137,7 +143,7 @@
         try {
             out.write(lines.toString().getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
-            // the output is gone, and there is no other place to tell it
+            // the output is closed, and there is no other place to report it
             dropped.addAndGet(lost + batch.size());
         }
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/log/LineTime.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/log/LineTime.java
@@ -18,9 +18,9 @@
 import java.time.Instant;
 
 /**
- * Writes times as {@link Instant#toString} does, always with six digits below a second. All but
- * these digits is made once a second: the library's formatter runs some hundred methods, which a
- * process that has just started runs uncompiled.
+ * Formats times as {@link Instant#toString} does, always with six fraction digits. Everything
+ * except these digits is formatted once a second: the library's formatter runs about a hundred
+ * methods, which are not yet compiled in a process that has just started.
  *
  * @since 0.5
  */
@@ -32,7 +32,7 @@
 
     private LineTime() {}
 
-    /** A second and its text up to the point. */
+    /** A second and its text up to the decimal point. */
     private record Second(long number, String start) {}
 
     /**
--- a/trailladder-entry/src/main/java/io/trailladder/entry/loop/EventLoop.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/loop/EventLoop.java
@@ -39,8 +39,8 @@
 import org.tinylog.Logger;
 
 /**
- * One thread that runs all input, output and timers of a process. State that only its tasks touch
- * needs no locks.
+ * The single thread that runs all input, output and timers of a process. State that is accessed
+ * only by its tasks needs no locks.
  *
  * <p>The thread is the selector thread of a Grizzly transport.
  *
@@ -50,8 +50,8 @@
     private static final int BACKLOG = 512;
 
     /**
-     * Tasks that run again and again run at multiples of this, in milliseconds, so that several are
-     * done at one wake-up. All such periods of a process are multiples of it.
+     * Periodic tasks run at multiples of this time, in milliseconds, so that one wake-up serves
+     * several of them. The periods of a process are multiples of it.
      */
     private static final long TICK_MILLIS = 50;
 
@@ -61,7 +61,10 @@
     private volatile Selector selector;
     private volatile Thread thread;
 
-    /** When the beats are, so that processes of one machine do not all wake at once. */
+    /**
+     * The offset of the ticks, so that processes on one instance do not all wake up at the same
+     * time.
+     */
     private final long tickOffsetNanos = System.nanoTime();
 
     /** Creates a loop that is not yet running. */
@@ -83,8 +86,8 @@
     }
 
     /**
-     * Makes the loop's thread as Grizzly does, with a name that is not put together: Grizzly's way
-     * links a concatenation, which takes a start some 10 ms of processor time.
+     * Creates the loop's thread as Grizzly does, but with a constant name: Grizzly concatenates the
+     * name, and linking the concatenation costs about 10 ms of processor time at startup.
      */
     private Thread newThread(Runnable task) {
         MemoryManager<?> memory = transport.getMemoryManager();
@@ -124,12 +127,12 @@
     }
 
     /**
-     * Opens a connection. Exactly one of the callbacks runs, if any; there is no time-out.
+     * Opens a connection. Exactly one of the callbacks runs, if any; there is no timeout.
      *
      * @param address where to connect to
      * @param chain filters of the connection
-     * @param opened told of the connection
-     * @param failed told that there is none
+     * @param opened receives the connection
+     * @param failed receives the cause if no connection can be opened
      */
     public void connect(
             InetSocketAddress address,
@@ -165,9 +168,9 @@
     }
 
     /**
-     * Runs a task later. To be called on the loop's thread, or before it has started.
+     * Runs a task after a delay. Must be called on the loop's thread, or before it has started.
      *
-     * @param delayMillis how much later, in milliseconds
+     * @param delayMillis the delay, in milliseconds
      * @param task the task
      * @return the timer, to cancel it
      */
@@ -177,9 +180,9 @@
     }
 
     /**
-     * Runs a task again and again, the first time after at most a period. To be called on the
-     * loop's thread, or before it has started. A run that is late does not move those after it, and
-     * runs that were missed are left out.
+     * Runs a task periodically, the first time after at most one period. Must be called on the
+     * loop's thread, or before it has started. A late run does not shift the following ones, and
+     * missed runs are skipped.
      *
      * @param periodMillis time between two runs, in milliseconds
      * @param task the task
@@ -202,14 +205,15 @@
     }
 
     /**
-     * Runs a task on the loop's thread, after what it is doing now. May be called on any thread.
+     * Runs a task on the loop's thread, after the current one. May be called on any thread.
      *
      * @param task the task
      */
     public void execute(Runnable task) {
         posted.add(task);
         Selector open = selector;
-        // the loop itself looks for tasks before it sleeps; waking it would cost two system calls
+        // the loop checks for tasks before it sleeps; a wake-up from its own thread would cost two
+        // system calls
         if (open != null && Thread.currentThread() != thread) {
             open.wakeup();
         }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/loop/FrameWriter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/loop/FrameWriter.java
@@ -31,10 +31,10 @@
     private FrameWriter() {}
 
     /**
-     * Writes a whole frame without waiting for it.
+     * Writes a frame without waiting for its completion.
      *
      * @param connection the link's connection
-     * @param frame the frame; not to be changed afterwards
+     * @param frame the frame, which must not be modified afterwards
      * @param onFailed runs if the frame cannot be written
      */
     public static void write(
--- a/trailladder-entry/src/main/java/io/trailladder/entry/loop/LoopSelectorHandler.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/loop/LoopSelectorHandler.java
@@ -22,7 +22,10 @@
 import org.glassfish.grizzly.nio.DefaultSelectorHandler;
 import org.glassfish.grizzly.nio.SelectorRunner;
 
-/** Lets Grizzly's selector thread sleep no longer than until the next timer. */
+/**
+ * Runs the event loop's tasks on Grizzly's selector thread, and limits its sleep to the time until
+ * the next timer.
+ */
 final class LoopSelectorHandler extends DefaultSelectorHandler {
     private final EventLoop loop;
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/loop/LoopTimer.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/loop/LoopTimer.java
@@ -16,7 +16,7 @@
 package io.trailladder.entry.loop;
 
 /**
- * A task that the event loop runs at a set time unless it is cancelled before.
+ * A task that the event loop runs at a given time unless it is cancelled first.
  *
  * @since 0.2
  */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/loop/SteadyClock.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/loop/SteadyClock.java
@@ -22,11 +22,11 @@
 import org.tinylog.Logger;
 
 /**
- * A time of day that does not follow a jump of the machine's clock at once.
+ * A clock that does not follow a jump of the system clock at once.
  *
- * <p>It goes on from a steady clock, and takes the machine's time over while both agree. A jump is
- * believed only after it has lasted for {@link #JUMP_CONFIRMATION_MILLIS}: clocks that were set wrongly are
- * mostly set right again soon, and counts by time of day would go to the wrong window meanwhile.
+ * <p>It advances with a monotonic clock, and follows the system clock while both agree. A jump is
+ * accepted only after it has lasted for {@link #JUMP_CONFIRMATION_MILLIS}: a wrongly set clock is
+ * usually corrected soon, and until then counts by time of day would go to the wrong window.
  *
  * <pre>{@code
  * Clock clock = new SteadyClock(Clock.systemUTC(), loop::nowMillis);
@@ -35,10 +35,10 @@
  * @since 0.3
  */
 public final class SteadyClock extends Clock {
-    /** How long a jump must last to be believed, in milliseconds: some windows of usage. */
+    /** How long a jump must last to be accepted, in milliseconds: several usage windows. */
     public static final long JUMP_CONFIRMATION_MILLIS = 15_000;
 
-    /** Largest difference that is taken for an adjustment, in milliseconds. */
+    /** Maximum difference that counts as an adjustment and is followed at once, in milliseconds. */
     public static final long MAX_ADJUSTMENT_MILLIS = 200;
 
     private final Clock systemClock;
@@ -47,10 +47,10 @@
     private long jumpSinceMillis = -1;
 
     /**
-     * Creates a clock that begins with the machine's time.
+     * Creates a clock that starts with the system time.
      *
-     * @param machine the machine's time of day
-     * @param steadyMillis a clock that never jumps, in milliseconds
+     * @param machine the system clock
+     * @param steadyMillis a monotonic clock, in milliseconds
      */
     public SteadyClock(Clock machine, LongSupplier steadyMillis) {
         this.systemClock = machine;
--- a/trailladder-entry/src/main/java/io/trailladder/entry/loop/package-info.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/loop/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The one thread that runs all input, output, timers and decisions of a gateway process.
+ * The single thread that runs all input, output, timers and decisions of a gateway process.
  *
  * @since 0.2
  */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/mesh/Mesh.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/mesh/Mesh.java
@@ -23,7 +23,7 @@
 import java.util.Set;
 
 /**
- * The links of a process to its peers, as those see them who tell and are told.
+ * The links of a process to its peers, as used by the code that sends and receives messages.
  *
  * @since 0.3
  */
@@ -36,22 +36,22 @@
     int size();
 
     /**
-     * Tells whether this process acts as a hub, as all do where there are few, and while the
-     * processes are not known.
+     * Returns whether this process acts as a hub. All processes do where there are few, and while
+     * the processes are not known.
      *
      * @return false for a leaf
      */
     boolean isHub();
 
     /**
-     * Tells whether the processes are known.
+     * Returns whether the processes are known.
      *
      * @return false until the store has listed them once
      */
     boolean isPlanned();
 
     /**
-     * Tells whether this process relies on a peer to pass on what it tells.
+     * Returns whether this process relies on a peer to forward its messages.
      *
      * @param peer the peer
      * @return true for the hub of a leaf
@@ -59,16 +59,16 @@
     boolean isOwnHub(NodeHello peer);
 
     /**
-     * Tells where peers stand if there are several regions.
+     * Returns the location of peers if there are several regions.
      *
-     * @return the regions; empty if all is one
+     * @return the regions; empty if there is only one
      */
     default Optional<RegionView> regions() {
         return Optional.empty();
     }
 
     /**
-     * Tells whether a process is one of the hubs that follow the store for the other hubs.
+     * Returns whether a process is one of the hubs that follow the store for the other hubs.
      *
      * @param name the process's name
      * @return false where each process follows for itself
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Tells whether this process is one of the hubs that follow the store for the other hubs.
+     * Returns whether this process is one of the hubs that follow the store for the other hubs.
      *
      * @return false where each process follows for itself
      */
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Tells whether a peer passes on to this process what it hears of policy and upstreams.
+     * Returns whether a peer forwards to this process what it receives about policy and upstreams.
      *
      * @param peer the peer
      * @return true for the hub of a leaf, and for the store's followers to another hub
@@ -112,7 +112,7 @@
      *
      * @param peers the peers' names
      * @param message the message
-     * @return the names of those that there is a link to
+     * @return the names of the peers that have a link
      */
     Set<String> send(Collection<String> peers, NodeMessage message);
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/mesh/MeshListener.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/mesh/MeshListener.java
@@ -19,7 +19,7 @@
 import io.trailladder.wire.NodeMessage.NodeHello;
 
 /**
- * Told of peers and their messages, on the event loop's thread.
+ * Receives links and messages of peers, on the event loop's thread.
  *
  * @since 0.2
  */
@@ -40,9 +40,9 @@
     void received(NodeHello peer, NodeMessage message);
 
     /**
-     * Tells whether this process must act as a hub.
+     * Returns whether this process must act as a hub.
      *
-     * @return true if others rely on it, or it leads
+     * @return true if others rely on it, or it is the leader
      */
     boolean isNeeded();
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/mesh/NodeFrameFilter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/mesh/NodeFrameFilter.java
@@ -28,14 +28,14 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 import org.tinylog.Logger;
 
-/** Cuts what is read from a link into frames and passes their messages on. */
+/** Splits the bytes read from a link into frames and passes on their messages. */
 final class NodeFrameFilter extends BaseFilter {
     private static final Attribute<NodeLink> LINK =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("trailladder.node-link");
 
     private final Listener listener;
 
-    /** Told of links and messages. */
+    /** Receives links and messages. */
     interface Listener {
         NodeLink accepted(Connection<?> connection);
 
@@ -64,7 +64,7 @@
         NodeLink link = LINK.get(context.getConnection());
         try {
             while (link != null && readFrame(link, buffer)) {
-                // goes on while whole frames are there
+                // continues while complete frames are available
             }
         } catch (WireException e) {
             Logger.warn("peer link closed: {}", e.getMessage());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/mesh/NodeLink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/mesh/NodeLink.java
@@ -48,12 +48,12 @@
         return peer;
     }
 
-    /** Tells whether this process opened the link. */
+    /** Returns whether this process opened the link. */
     boolean isDialled() {
         return !dialledAddress.isEmpty();
     }
 
-    /** Returns where the peer takes links; empty if it is not known yet. */
+    /** Returns the address at which the peer accepts links; empty if it is not yet known. */
     String peerAddress() {
         return hasHello() ? peer.address() : dialledAddress;
     }
