--- a/trailladder-entry/src/main/java/io/trailladder/entry/mesh/PeerMesh.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/mesh/PeerMesh.java
@@ -45,13 +45,13 @@
 /**
  * Links to the other gateway processes.
  *
- * <p>{@link LinkPlanner} decides whom to link to. Addresses from the settings are tried by everyone
- * while a process has no link at all.
+ * <p>{@link LinkPlanner} decides which peers to link to. A process that has no link at all tries
+ * the addresses from the settings.
  *
  * @since 0.2
  */
 public final class PeerMesh implements Mesh {
-    /** How long a peer counts as heard after its last message, in milliseconds. */
+    /** How long a peer counts as reachable after its last message, in milliseconds. */
     public static final long PEER_REACHABLE_MILLIS = 1_200;
 
     private static final long MAINTENANCE_PERIOD_MILLIS = 400;
@@ -77,11 +77,11 @@
     /**
      * Creates a mesh.
      *
-     * @param loop the loop whose thread runs it
+     * @param loop the loop on whose thread it runs
      * @param self this process
-     * @param topology where it is
-     * @param incarnation names this life of this process
-     * @param listener told of peers and messages
+     * @param topology the location of this process and its peers
+     * @param incarnation identifies this incarnation of the process
+     * @param listener receives links and messages
      */
     public PeerMesh(
             EventLoop loop,
@@ -106,9 +106,9 @@
     }
 
     /**
-     * Listens for peers and dials those that are known.
+     * Listens for peers and dials the known ones.
      *
-     * @param address where to listen
+     * @param address the address to listen at
      * @throws IOException if the port is taken
      */
     public void start(HostPort address) throws IOException {
@@ -134,7 +134,7 @@
     /**
      * Returns the processes that the store lists.
      *
-     * @return all of them; none if it has told none yet
+     * @return all of them; empty if it has listed none yet
      */
     public List<GatewayMember> members() {
         return members;
@@ -157,7 +157,7 @@
     /**
      * Returns how many bytes of messages were sent to peers so far.
      *
-     * @param distance how far they are
+     * @param distance the distance of the peers
      * @return bytes
      */
     public long sentBytes(Distance distance) {
@@ -203,9 +203,9 @@
     }
 
     /**
-     * Tells whether this process looks for a hub that it can reach.
+     * Returns whether this process is looking for a hub that it can reach.
      *
-     * @return true for a leaf without link
+     * @return true for a leaf without a link to a hub
      */
     public boolean lacksHub() {
         return planned && !plan.hub() && plan.dial().stream().noneMatch(this::isLinked);
@@ -254,13 +254,16 @@
         }
     }
 
-    /** A leaf looks for another hub soon. */
+    /**
+     * Returns the timeout of a link; it is shorter for a leaf's hub, so that the leaf soon looks
+     * for another hub.
+     */
     private long linkTimeoutMillis(NodeLink link) {
         boolean ownHub = link.hasHello() && isOwnHub(link.peer());
         return ownHub ? PEER_REACHABLE_MILLIS : LINK_TIMEOUT_MILLIS;
     }
 
-    /** Links that were opened before the processes were known are not needed by a leaf or hub. */
+    /** Closes the links opened before the processes were known that a leaf or hub does not need. */
     private void closeUnwanted() {
         boolean all = planner.size() <= HubTopology.FULL_MESH_MAX_PROCESSES && regions.isEmpty();
         if (all || !planned) {
@@ -332,7 +335,7 @@
         }
     }
 
-    /** Takes what the frame filter reads. */
+    /** Handles the links and messages that the frame filter reads. */
     private final class Frames implements NodeFrameFilter.Listener {
         @Override
         public NodeLink accepted(Connection<?> connection) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/mesh/RegionView.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/mesh/RegionView.java
@@ -20,7 +20,7 @@
 import io.trailladder.wire.NodeMessage.NodeHello;
 
 /**
- * Where peers stand, as seen by one process of several regions.
+ * The regions of peers, as seen by one process where there are several regions.
  *
  * @since 0.4
  */
@@ -33,7 +33,7 @@
      * Creates a view.
      *
      * @param self this process
-     * @param topology tells the regions
+     * @param topology determines the regions
      * @param planner knows the hubs
      */
     public RegionView(NodeHello self, Topology topology, LinkPlanner planner) {
@@ -43,16 +43,16 @@
     }
 
     /**
-     * Returns this process as its peers know it.
+     * Returns this process as announced to its peers.
      *
-     * @return what it greets them with
+     * @return the hello message it sends to them
      */
     public NodeHello self() {
         return self;
     }
 
     /**
-     * Tells whether a peer stands in another region.
+     * Returns whether a peer is in another region.
      *
      * @param peer the peer
      * @return true if it does
@@ -82,20 +82,20 @@
     }
 
     /**
-     * Returns the place of a process in the order in which hubs carry the sums of their region.
+     * Returns the rank of a process in the order in which hubs become the bridge of their region.
      *
      * @param peer the process, which may be this one
-     * @return 0 for the first; more than any hub's for a process that is none
+     * @return 0 for the first; higher than any hub's for a process that is not a hub
      */
     public int rank(NodeHello peer) {
         return planner.bridgeRank(peer.name(), peer.dataCentre());
     }
 
     /**
-     * Tells where an upstream's data centre lies.
+     * Returns whether a data centre is in the region of this process.
      *
      * @param dataCentre the data centre
-     * @return true if it is of the own region
+     * @return true if it is
      */
     public boolean isOwnRegion(String dataCentre) {
         return topology.isOwnRegion(dataCentre);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/mesh/package-info.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/mesh/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Links between gateway processes, and what they tell one another.
+ * Links between gateway processes, and the messages sent over them.
  *
  * @since 0.2
  */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/operator/OperatorServer.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/operator/OperatorServer.java
@@ -31,8 +31,8 @@
 import org.glassfish.grizzly.http.server.Response;
 
 /**
- * Answers operators and probes: {@code /livez}, {@code /readyz}, {@code /metrics}, {@code /status},
- * {@code /decisions}.
+ * The HTTP server for operators and probes: {@code /livez}, {@code /readyz}, {@code /metrics},
+ * {@code /status}, {@code /decisions}.
  *
  * @since 0.1
  */
@@ -49,11 +49,11 @@
     /**
      * Creates the server.
      *
-     * @param address where to listen
-     * @param metrics what is exposed
-     * @param status makes the status report
-     * @param placements knows the last decisions
-     * @param ready tells whether the entry should get callers
+     * @param address the address to listen on
+     * @param metrics the metrics to expose
+     * @param status creates the status report
+     * @param placements provides the latest decisions
+     * @param ready whether the entry should receive requests of callers
      */
     public OperatorServer(
             HostPort address,
@@ -78,7 +78,7 @@
     /**
      * Starts listening.
      *
-     * @throws IOException if the port is taken
+     * @throws IOException if the port is in use
      */
     public void start() throws IOException {
         server.start();
@@ -89,7 +89,7 @@
         server.shutdownNow();
     }
 
-    /** Writes the pages. */
+    /** Serves the pages. */
     private final class Pages extends HttpHandler {
         @Override
         public void service(Request request, Response response) throws IOException {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/operator/StatusReport.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/operator/StatusReport.java
@@ -18,18 +18,18 @@
 import java.util.List;
 
 /**
- * What an entry tells operators of itself, as JSON under {@code /status}.
+ * The status of an entry, served to operators as JSON under {@code /status}.
  *
- * @param entry its name
- * @param dataCentre where it runs
- * @param tableRevision revision of the table in force
- * @param draining true if it is stopping
- * @param openRequests requests in flight
- * @param relayed requests passed to other entries
- * @param copies copies kept for other entries
- * @param claims claims kept
- * @param ownedRanges ranges of keys it owns
- * @param platformAgeMillis time since the platform last answered; -1 if never
+ * @param entry the name of the entry
+ * @param dataCentre the data centre of the entry
+ * @param tableRevision the revision of the table in force
+ * @param draining whether the entry is stopping
+ * @param openRequests the number of requests in flight
+ * @param relayed the number of requests forwarded to other entries
+ * @param copies the number of request copies stored for other entries
+ * @param claims the number of claims stored
+ * @param ownedRanges the number of key ranges that the entry owns
+ * @param platformAgeMillis the time since the platform last answered, in milliseconds; -1 if never
  * @param peers the live peers
  * @param upstreams the upstreams of its data centre
  * @since 0.1
@@ -50,18 +50,18 @@
     /**
      * One live peer.
      *
-     * @param entry its name
-     * @param dataCentre where it runs
-     * @param tableRevision its revision, by its last heartbeat
+     * @param entry the name of the peer
+     * @param dataCentre the data centre of the peer
+     * @param tableRevision the table revision in its last heartbeat; 0 before the first one
      */
     public record Peer(String entry, String dataCentre, long tableRevision) {}
 
     /**
      * One upstream.
      *
-     * @param id its name
-     * @param target model or service
-     * @param leaving true if it gets no new work
+     * @param id the name of the upstream
+     * @param target the model or service that it serves
+     * @param leaving whether it is leaving and gets no new requests
      */
     public record UpstreamLine(String id, String target, boolean leaving) {}
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/operator/package-info.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/operator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The HTTP side towards operators: health, metrics, status, decisions.
+ * The HTTP interface for operators: health, metrics, status and decisions.
  *
  * @since 0.1
  */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/package-info.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The entry daemon: everything that runs between callers and upstreams on one instance.
+ * The entry daemon, which serves requests between callers and upstreams on one instance.
  *
  * @since 0.1
  */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/peer/PeerAuth.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/peer/PeerAuth.java
@@ -24,7 +24,7 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Proves to a peer, and checks of it, that both have the shared key, without sending the key.
+ * Mutual authentication of peers: each proves that it has the shared key without sending it.
  *
  * @since 0.1
  */
@@ -45,7 +45,7 @@
         return nonce;
     }
 
-    /** Signs the checker's nonce, the prover's nonce and the prover's name. */
+    /** Returns the MAC of the checker's nonce, the prover's nonce and the prover's name. */
     byte[] proof(byte[] checkerNonce, byte[] proverNonce, String prover) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/peer/PeerFrameFilter.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/peer/PeerFrameFilter.java
@@ -27,14 +27,14 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
 
-/** Cuts what is read from a connection into frames and passes their messages on. */
+/** Splits the bytes read from a connection into frames and passes on the decoded messages. */
 final class PeerFrameFilter extends BaseFilter {
     private static final Attribute<PeerLink> LINK =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("trailladder.peer-link");
 
     private final Listener listener;
 
-    /** Is told of connections and messages. */
+    /** Receives connection events and messages. */
     interface Listener {
         PeerLink accepted(Connection<?> connection);
 
@@ -71,7 +71,7 @@
         }
         try {
             while (readFrame(link, buffer)) {
-                // goes on while whole frames are there
+                // reads until no complete frame is left
             }
         } catch (WireException e) {
             listener.refused(link, e);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/peer/PeerHandler.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/peer/PeerHandler.java
@@ -19,27 +19,27 @@
 import io.trailladder.wire.PeerMessage;
 
 /**
- * Is told what happens on peer links. Must not block.
+ * Receives the events of peer links. Implementations must not block.
  *
  * @since 0.1
  */
 public interface PeerHandler {
     /**
-     * A link to a peer is up.
+     * Called when the first link to a peer is up.
      *
      * @param peer the peer
      */
     void linked(EntryInfo peer);
 
     /**
-     * The last link to a peer is down.
+     * Called when the last link to a peer is down.
      *
      * @param peer the peer
      */
     void unlinked(EntryInfo peer);
 
     /**
-     * A message came.
+     * Called for each message from a peer.
      *
      * @param from the peer
      * @param message the message
--- a/trailladder-entry/src/main/java/io/trailladder/entry/peer/PeerLink.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/peer/PeerLink.java
@@ -25,12 +25,12 @@
 import org.glassfish.grizzly.Connection;
 
 /**
- * One connection to a peer, from its handshake on.
+ * One connection to a peer, including its handshake.
  *
  * @since 0.1
  */
 final class PeerLink {
-    /** Most bytes of a frame from a peer that has not proved itself. */
+    /** Maximum size of a frame from a peer that is not yet authenticated, in bytes. */
     static final int MAX_HANDSHAKE_BYTES = 4096;
 
     private static final int MIN_NONCE_BYTES = 16;
@@ -44,7 +44,7 @@
     private Hello peerHello;
     private volatile boolean up;
 
-    @SuppressWarnings("unchecked") // a TCP connection's address type
+    @SuppressWarnings("unchecked") // a TCP connection has socket addresses
     PeerLink(Connection<?> connection, boolean dialled, EntryInfo self, PeerAuth auth) {
         this.connection = (Connection<SocketAddress>) connection;
         this.dialled = dialled;
@@ -56,7 +56,7 @@
         send(new Hello(self, nonce));
     }
 
-    /** Takes a handshake message; returns true once the link is up. */
+    /** Processes a handshake message. Returns true once the link is up. */
     boolean handshake(PeerMessage message) {
         if (message instanceof Hello hello && peerHello == null && acceptable(hello)) {
             peerHello = hello;
@@ -88,7 +88,7 @@
         return peerHello.self();
     }
 
-    /** The entry that opened the connection; both ends agree on it. */
+    /** Returns the name of the entry that opened the connection, which is the same at both ends. */
     String dialler() {
         return dialled ? self.id() : peer().id();
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/peer/PeerLinks.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/peer/PeerLinks.java
@@ -40,10 +40,11 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps links to all known entries and sends messages over them.
+ * Maintains links to all known entries and sends messages over them.
  *
- * <p>Both ends prove that they have the shared key before any other message is taken. A peer that
- * is silent for {@link #LIVE_TIMEOUT_MILLIS} is no longer called live, which is a hint and no more.
+ * <p>Both ends prove that they have the shared key before any other message is accepted. A peer
+ * from which nothing was received for {@link #LIVE_TIMEOUT_MILLIS} no longer counts as live; this
+ * is only a hint, since it may still be running.
  *
  * @since 0.1
  */
@@ -69,9 +70,9 @@
     /**
      * Creates the links.
      *
-     * @param self how this entry presents itself
+     * @param self the description of this entry, sent to peers
      * @param sharedKey the key that all entries of an installation have
-     * @param handler told of links and messages
+     * @param handler receives link events and messages
      */
     public PeerLinks(EntryInfo self, byte[] sharedKey, PeerHandler handler) {
         this.self = self;
@@ -92,11 +93,11 @@
     }
 
     /**
-     * Listens for peers and dials those that are known.
+     * Starts listening for peers and dialling known addresses.
      *
-     * @param address where to listen
-     * @param timer runs the dialling
-     * @throws IOException if the port is taken
+     * @param address the address to listen on
+     * @param timer runs the dialling task
+     * @throws IOException if the port is in use
      */
     public void start(HostPort address, ScheduledExecutorService timer) throws IOException {
         transport.bind(new InetSocketAddress(address.host(), address.port()));
@@ -105,7 +106,7 @@
     }
 
     /**
-     * Makes an address known, to be dialled until a link to it is up.
+     * Adds an address, which is dialled whenever no link to it is up.
      *
      * @param address host and port
      */
@@ -116,9 +117,9 @@
     }
 
     /**
-     * Forgets addresses that are neither linked nor to be kept.
+     * Removes all addresses that are neither linked nor in the given collection.
      *
-     * @param keep addresses to go on dialling
+     * @param keep the addresses to retain
      */
     public void retainAddresses(Collection<String> keep) {
         Set<String> linked = ConcurrentHashMap.newKeySet();
@@ -158,9 +159,9 @@
     }
 
     /**
-     * Cuts this entry off from all peers, or ends the cut. For failure tests.
+     * Simulates a network partition between this entry and all peers. For failure tests.
      *
-     * @param off true to drop everything sent and received
+     * @param off true to drop all messages sent and received, false to end the partition
      */
     public void cut(boolean off) {
         cut = off;
@@ -210,7 +211,7 @@
                 new InetSocketAddress(target.host(), target.port()),
                 new EmptyCompletionHandler<>() {
                     @Override
-                    @SuppressWarnings("rawtypes") // Grizzly's own signature
+                    @SuppressWarnings("rawtypes") // the signature is Grizzly's
                     public void completed(Connection connection) {
                         dialling.remove(address);
                         PeerLink link = newLink(connection, true);
@@ -261,7 +262,7 @@
         }
     }
 
-    /** Takes what the frame filter reads. */
+    /** Handles the events of the frame filter. */
     private final class FrameListener implements PeerFrameFilter.Listener {
         @Override
         public PeerLink accepted(Connection<?> connection) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/peer/Peers.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/peer/Peers.java
@@ -20,7 +20,7 @@
 import java.util.List;
 
 /**
- * Reaches the other entries.
+ * Sends messages to the other entries.
  *
  * <pre>{@code
  * for (EntryInfo peer : peers.live()) {
@@ -32,18 +32,18 @@
  */
 public interface Peers {
     /**
-     * Sends a message. That it was sent says nothing of whether it arrives.
+     * Sends a message without confirmation that it arrives.
      *
-     * @param peer the peer's name
+     * @param peer the name of the peer
      * @param message the message
      * @return false if no link to the peer is up
      */
     boolean send(String peer, PeerMessage message);
 
     /**
-     * Returns the peers that were heard of lately.
+     * Returns the peers from which a message was received recently.
      *
-     * @return their presentations
+     * @return their descriptions
      */
     List<EntryInfo> live();
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/AttemptFields.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/AttemptFields.java
@@ -16,14 +16,18 @@
 package io.trailladder.entry.port;
 
 /**
- * What the gateway tells an upstream with an attempt.
+ * The fields that the gateway sends to an upstream with an attempt.
  *
- * @param upstream the upstream that is meant; any other refuses
- * @param organisation whose the request is; empty if nobody's
- * @param priority its rank; 0 is the most urgent
+ * @param upstream the intended upstream; any other refuses the request
+ * @param organisation the organisation of the request; empty if there is none
+ * @param priority its priority; 0 is the most urgent
  * @param remainingMillis how long the caller still waits, in milliseconds
- * @param lastEventId the last event the caller has; empty to begin
+ * @param lastEventId the last event the caller received; empty to start from the beginning
  * @since 0.2
  */
 public record AttemptFields(
-        String upstream, String organisation, int priority, long remainingMillis, String lastEventId) {}
+        String upstream,
+        String organisation,
+        int priority,
+        long remainingMillis,
+        String lastEventId) {}
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/CallerRequest.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/CallerRequest.java
@@ -18,15 +18,15 @@
 import io.trailladder.core.pipeline.Prompt;
 
 /**
- * What a caller's head says, in the product's terms.
+ * The contents of the head of a caller's request, in the product's terms.
  *
- * @param id the caller's name for the request; empty if it has none
+ * @param id the request id given by the caller; empty if there is none
  * @param host the host it is for
  * @param path the path without its query
  * @param key the caller's key; empty if it sent none
- * @param waitMillis how long the caller waits, in milliseconds; 0 if not told
- * @param lastEventId the last event the caller has; empty if it does not resume a stream
- * @param prompt what is told of its size
+ * @param waitMillis how long the caller waits, in milliseconds; 0 if not given
+ * @param lastEventId the last event the caller received; empty if it does not resume a stream
+ * @param prompt the size of the prompt, as far as given
  * @since 0.2
  */
 public record CallerRequest(
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/CoordinationStore.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/CoordinationStore.java
@@ -25,33 +25,35 @@
  * @since 0.2
  */
 public interface CoordinationStore {
-    /** How new the result of a read must be. */
+    /** How recent the result of a read must be. */
     enum Freshness {
-        /** With every write that was answered before. */
+        /** Includes every write that was answered before the read. */
         LATEST,
-        /** Perhaps seconds old, which costs less. */
+        /** May be seconds old, which is less expensive. */
         RECENT
     }
 
     /**
-     * Told of each answer's epoch: the number of the store's history, which rises when the store
-     * comes back without some of what it had acknowledged.
+     * Receives the epoch of each answer: the number of the store's history, which increases when
+     * the store returns without some of the writes it had acknowledged.
      */
     interface EpochListener {
         /**
-         * Called before an answer is handed out.
+         * Returns whether an answer is of the current epoch. Called before the answer is passed on.
          *
-         * @param epoch the epoch that the answer names; 0 if none, below 0 if it cannot be read
-         * @return false if the answer is of another history than the current one and does not count
+         * @param epoch the epoch given in the answer; 0 if there is none, below 0 if it cannot be
+         *     read
+         * @return false if the answer is of another history than the current one and must be
+         *     ignored
          */
         boolean isCurrent(long epoch);
     }
 
     /**
-     * Has a listener told of each answer's epoch; an answer that it refuses is handed out as {@link
-     * StoreFailure#HISTORY_LOST}.
+     * Sets the listener that receives the epoch of each answer. An answer that it rejects is passed
+     * on as {@link StoreFailure#HISTORY_LOST}.
      *
-     * @param listener the listener, in place of an earlier one
+     * @param listener the listener, which replaces an earlier one
      */
     void onEpoch(EpochListener listener);
 
@@ -60,8 +62,8 @@
      *
      * @param prefix the prefix
      * @param afterKey only keys after this one; empty for the first part
-     * @param freshness how new they must be
-     * @param result told of the keys
+     * @param freshness how recent the result must be
+     * @param result receives the items
      */
     void list(
             String prefix,
@@ -73,7 +75,7 @@
      * Reads one key.
      *
      * @param key the key
-     * @param result told of the item; gone if there is none
+     * @param result receives the item; marked as removed if there is none
      */
     void read(String key, Consumer<Either<StoreFailure, StoreItem>> result);
 
@@ -83,8 +85,8 @@
      * @param prefix the prefix
      * @param afterRevision only changes after this revision
      * @param waitMillis how long the store waits for one, in milliseconds
-     * @param result told of the changes; none if the wait is over
-     * @return breaks the wait off; its result is then never told
+     * @param result receives the changes; none if the wait timed out
+     * @return cancels the wait; {@code result} is then never called
      */
     Runnable watch(
             String prefix,
@@ -96,15 +98,15 @@
      * Writes a key if it has the expected revision.
      *
      * @param write the write
-     * @param result told of the new revision
+     * @param result receives the new revision
      */
     void write(StoreWrite write, Consumer<Either<StoreFailure, Long>> result);
 
     /**
-     * Grants a lease that runs from the call's arrival.
+     * Grants a lease that starts when the store receives the call.
      *
      * @param ttlMillis how long it lasts, in milliseconds
-     * @param result told of the lease's number
+     * @param result receives the lease's number
      */
     void grant(long ttlMillis, Consumer<Either<StoreFailure, Long>> result);
 
@@ -112,15 +114,15 @@
      * Renews a lease for its time to live.
      *
      * @param lease the lease's number
-     * @param result told of the lease's number
+     * @param result receives the lease's number
      */
     void renew(long lease, Consumer<Either<StoreFailure, Long>> result);
 
     /**
-     * Ends a lease; its keys vanish.
+     * Ends a lease and removes its keys.
      *
      * @param lease the lease's number
-     * @param result told of the lease's number
+     * @param result receives the lease's number
      */
     void end(long lease, Consumer<Either<StoreFailure, Long>> result);
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/DutyApi.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/DutyApi.java
@@ -20,19 +20,19 @@
 import java.util.function.Consumer;
 
 /**
- * Calls to the platform that one entry at a time may make. All calls return at once; results come
- * on the event loop's thread.
+ * Calls to the platform that only one entry at a time may make. All calls return at once; results
+ * come on the event loop's thread.
  *
  * @since 0.2
  */
 public interface DutyApi {
     /**
-     * Reports how many requests began to run in one window.
+     * Reports how many requests started to run in one window.
      *
-     * @param holder who reports
+     * @param holder the entry that reports
      * @param window the window's number
-     * @param counts requests by organisation
-     * @param result told of the answer
+     * @param counts number of requests by organisation
+     * @param result receives the answer
      */
     void reportUsage(
             DutyHolder holder,
@@ -43,9 +43,9 @@
     /**
      * Orders upstreams.
      *
-     * @param holder who orders
-     * @param order how many
-     * @param result told of the answer
+     * @param holder the entry that orders
+     * @param order the upstreams to order
+     * @param result receives the answer
      */
     void order(DutyHolder holder, UpstreamOrder order, Consumer<DutyResult> result);
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/DutyHolder.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/DutyHolder.java
@@ -16,7 +16,7 @@
 package io.trailladder.entry.port;
 
 /**
- * Who gives an order that one entry at a time may give.
+ * The entry that makes a call which only one entry at a time may make.
  *
  * @param name the entry's name
  * @param token its fencing token; later holders have higher ones
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/DutyResult.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/DutyResult.java
@@ -16,17 +16,17 @@
 package io.trailladder.entry.port;
 
 /**
- * How the platform answered an order.
+ * The platform's answer to a call of {@link DutyApi}.
  *
  * @since 0.2
  */
 public enum DutyResult {
-    /** It was taken. */
+    /** The call was accepted. */
     ACCEPTED,
-    /** It was turned down: a higher token was seen, or nothing can be had. */
+    /** The call was declined: a higher token was seen, or nothing is available. */
     DECLINED,
-    /** It was turned away and may be sent again. */
+    /** The call was refused and may be sent again. */
     REFUSED,
-    /** No answer came; it may have been taken, or may still be. */
+    /** No answer arrived; the call may have been accepted, or may still be. */
     UNANSWERED
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/PlatformFormat.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/PlatformFormat.java
@@ -22,7 +22,8 @@
 import io.vavr.control.Either;
 
 /**
- * Where the operators' policy and the list of upstreams lie in the store, and how they are written.
+ * The keys under which the operators' policy, the list of upstreams and the roll-outs are stored,
+ * and the format of their values.
  *
  * @since 0.2
  */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/RequestProtocol.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/RequestProtocol.java
@@ -21,30 +21,30 @@
 import io.vavr.control.Either;
 
 /**
- * How requests and answers are told in HTTP heads.
+ * The mapping of requests and answers to HTTP heads.
  *
  * @since 0.2
  */
 public interface RequestProtocol {
     /**
-     * Reads a caller's head.
+     * Reads the head of a caller's request.
      *
      * @param exchange the request
-     * @return what it says, or what is wrong with it
+     * @return its contents, or what is wrong with it
      */
     Either<String, CallerRequest> read(ServerExchange exchange);
 
     /**
-     * Makes the head of an attempt from the caller's.
+     * Creates the head of an attempt from the caller's head.
      *
      * @param callerHeaders the caller's header fields
-     * @param fields what the gateway tells
+     * @param fields the gateway's own fields
      * @return the fields to send
      */
     HeaderList attempt(HeaderList callerHeaders, AttemptFields fields);
 
     /**
-     * Tells whether an upstream says that it did not run a request.
+     * Returns whether an upstream reports that it did not run a request.
      *
      * @param status its status
      * @param headers its header fields
@@ -53,7 +53,7 @@
     boolean notExecuted(int status, HeaderList headers);
 
     /**
-     * Tells whether another upstream than the one meant has answered.
+     * Returns whether an upstream other than the intended one has answered.
      *
      * @param status its status
      * @return true if the request certainly did not run there
@@ -61,37 +61,38 @@
     boolean misdirected(int status);
 
     /**
-     * Tells whether an answer belongs to a request.
+     * Returns whether an answer belongs to a request.
      *
-     * @param requestId the caller's name for the request
+     * @param requestId the request id given by the caller
      * @param headers the answer's header fields
      * @return false if it belongs to another request or to none
      */
     boolean belongs(String requestId, HeaderList headers);
 
     /**
-     * Tells whether an answer names another request. Nothing that it says is about this one,
-     * neither that it has not run nor what its upstream says of itself.
+     * Returns whether an answer names another request. Nothing in such an answer applies to this
+     * request, neither that it has not run nor what the upstream reports about itself.
      *
-     * @param requestId the caller's name for the request
+     * @param requestId the request id given by the caller
      * @param headers the answer's header fields
      * @return false if it names this request or none
      */
     boolean belongsToAnother(String requestId, HeaderList headers);
 
     /**
-     * Reads what an answer says of its upstream.
+     * Reads what an answer reports about its upstream.
      *
      * @param status its status
      * @param headers its header fields
-     * @return what it says; {@link AnswerNotice#NONE} if nothing
+     * @return the notice; {@link AnswerNotice#NONE} if there is none
      */
     AnswerNotice notice(int status, HeaderList headers);
 
     /**
-     * Makes the fields of a refusal.
+     * Creates the header fields of a refusal.
      *
-     * @param retryAfterMillis when asking again may help, in milliseconds; 0 if it does not
+     * @param retryAfterMillis after how long a retry may succeed, in milliseconds; 0 if a retry
+     *     does not help
      * @return the fields
      */
     HeaderList refusal(long retryAfterMillis);
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/StoreBatch.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/StoreBatch.java
@@ -21,8 +21,8 @@
  * A part of a listing, or some changes.
  *
  * @param items the items in order
- * @param more true if a listing goes on after the last item
- * @param revision the store's revision, to watch on from
+ * @param more true if the listing continues after the last item
+ * @param revision the store's revision from which to continue watching
  * @since 0.2
  */
 public record StoreBatch(List<StoreItem> items, boolean more, long revision) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/StoreFailure.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/StoreFailure.java
@@ -16,22 +16,22 @@
 package io.trailladder.entry.port;
 
 /**
- * How a call to the coordination store failed.
+ * The reason why a call to the coordination store failed.
  *
  * @since 0.2
  */
 public enum StoreFailure {
-    /** The store turned the call away; nothing was done. */
+    /** The store refused the call; nothing was done. */
     REFUSED,
-    /** No answer came; the call may have been done, or may still be done. */
+    /** No answer arrived; the call may have been carried out, or may still be. */
     UNANSWERED,
     /**
-     * The changes asked for are no longer kept, or the answer is of another history than the
-     * current one; everything is to be read again. A write may have been done.
+     * The requested changes are no longer kept, or the answer is of another history than the
+     * current one. Everything must be read again. A write may have been carried out.
      */
     HISTORY_LOST,
     /** A key did not have the expected revision; nothing was done. */
     CONFLICT,
-    /** The lease is over; nothing was done. */
+    /** The lease has ended; nothing was done. */
     LEASE_GONE
 }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/StoreItem.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/StoreItem.java
@@ -19,10 +19,11 @@
  * A value in the coordination store.
  *
  * @param key the key
- * @param value the value; empty if the key is gone
+ * @param value the value; empty if the key was removed
  * @param revision the store's revision at its last change
  * @param createdRevision the store's revision at its creation
  * @param removed true if the key no longer exists
  * @since 0.2
  */
-public record StoreItem(String key, byte[] value, long revision, long createdRevision, boolean removed) {}
+public record StoreItem(
+        String key, byte[] value, long revision, long createdRevision, boolean removed) {}
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/StoreWrite.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/StoreWrite.java
@@ -21,7 +21,7 @@
  * @param key the key
  * @param value the new value
  * @param expectedRevision the revision the key must have; 0 if it must be absent
- * @param lease the lease it vanishes with; 0 for none
+ * @param lease the lease with whose end the key is removed; 0 for none
  * @since 0.2
  */
 public record StoreWrite(String key, byte[] value, long expectedRevision, long lease) {}
--- a/trailladder-entry/src/main/java/io/trailladder/entry/port/package-info.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/port/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What the gateway needs of the platform it runs on, in the product's own terms. An adapter
- * translates names, formats and calls, and decides nothing.
+ * The interfaces through which the gateway uses its platform, in the product's own terms. An
+ * adapter translates names, formats and calls, and makes no decisions.
  *
  * @since 0.2
  */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/ClaimSync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/ClaimSync.java
@@ -39,7 +39,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Keeps the range map fresh and carries the planner's proposals to the platform.
+ * Keeps the range map up to date and writes the planner's proposals to the platform.
  *
  * @since 0.1
  */
@@ -67,12 +67,12 @@
     /**
      * Creates the sync.
      *
-     * @param claims holds the claims
-     * @param store the map in the platform's service
-     * @param links reaches peers
-     * @param members knows this entry's rank
-     * @param heartbeats knows which peers are stopping
-     * @param timer runs the work
+     * @param claims the claims
+     * @param store the range map in the platform's key-value service
+     * @param links sends to peers
+     * @param members provides the rank of this entry
+     * @param heartbeats provides which peers are stopping
+     * @param timer runs the periodic task
      */
     public ClaimSync(
             ClaimService claims,
@@ -89,12 +89,12 @@
         this.timer = timer;
     }
 
-    /** Begins. */
+    /** Starts the periodic task. */
     public void start() {
         PeriodicTasks.repeat(timer, "claims", this::tick, TICK_MILLIS);
     }
 
-    /** Begins to give all ranges away. */
+    /** Starts handing all ranges over to other entries. */
     public void drain() {
         draining = true;
     }
@@ -119,7 +119,10 @@
         return CompletableFuture.completedFuture(null);
     }
 
-    /** Ranges are sealed only once the platform has just answered, so an outage seals nothing. */
+    /**
+     * Proposes changes to a map that was just read. Ranges are sealed only after the platform has
+     * answered, so that none are sealed during an outage.
+     */
     private CompletableFuture<Void> propose(RangeMap map) {
         applyMap(map);
         Optional<Propose> proposal = claims.plan(view(System.currentTimeMillis()));
@@ -144,11 +147,11 @@
         for (int i = 0; i < all.size(); i++) {
             String id = all.get(i).id();
             boolean self = i == 0;
-            boolean stops =
+            boolean stopping =
                     self
                             ? draining
                             : heartbeats.heartbeat(id).map(Heartbeat::draining).orElse(false);
-            if (!stops) {
+            if (!stopping) {
                 live.add(new Member(id, all.get(i).dataCentre()));
             }
         }
@@ -156,22 +159,22 @@
     }
 
     /**
-     * Returns the keepers of claims that are not surely gone. One counts as gone only after it was
-     * neither live nor in a fresh list of the platform for longer than a lease lasts, because at a
-     * start both are still incomplete.
+     * Returns the owners and backups of ranges that are not known to have ended. One counts as
+     * ended only after it was neither live nor in a recent list of the platform for longer than a
+     * lease lasts, because both are still incomplete after a start.
      */
     private Set<String> presentClaimHolders(long now, List<Member> live) {
-        Set<String> seen = members.registered(now, REGISTERED_MAX_AGE_MILLIS);
+        Set<String> registered = members.registered(now, REGISTERED_MAX_AGE_MILLIS);
         Set<String> present = new HashSet<>();
-        for (String keeper : claimHolders()) {
-            boolean isLive = live.stream().anyMatch(member -> member.id().equals(keeper));
-            if (seen == null || seen.contains(keeper) || isLive) {
-                missingSince.remove(keeper);
+        for (String holder : claimHolders()) {
+            boolean isLive = live.stream().anyMatch(member -> member.id().equals(holder));
+            if (registered == null || registered.contains(holder) || isLive) {
+                missingSince.remove(holder);
             } else {
-                missingSince.putIfAbsent(keeper, now);
+                missingSince.putIfAbsent(holder, now);
             }
-            if (now - missingSince.getOrDefault(keeper, now) < REMOVED_AFTER_MILLIS) {
-                present.add(keeper);
+            if (now - missingSince.getOrDefault(holder, now) < REMOVED_AFTER_MILLIS) {
+                present.add(holder);
             }
         }
         missingSince.keySet().retainAll(claimHolders());
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/EntrySync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/EntrySync.java
@@ -28,12 +28,12 @@
 import org.tinylog.Logger;
 
 /**
- * Registers this entry with the platform under a lease, and learns of the other entries.
+ * Registers this entry with the platform under a lease, and reads the list of the other entries.
  *
  * @since 0.1
  */
 public final class EntrySync {
-    /** Prefix of the entries' keys. */
+    /** The prefix of the keys of entries. */
     public static final String PREFIX = "entries/";
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -54,11 +54,11 @@
     /**
      * Creates the sync.
      *
-     * @param self this entry
-     * @param store the platform's service
-     * @param links reaches peers
-     * @param members told of the other entries
-     * @param timer runs the work
+     * @param self the description of this entry
+     * @param store the platform's key-value service
+     * @param links sends to peers
+     * @param members receives the other entries
+     * @param timer runs the delayed tasks
      */
     public EntrySync(
             EntryInfo self,
@@ -73,19 +73,20 @@
         this.timer = timer;
     }
 
-    /** Begins. */
+    /** Starts registering this entry and listing the others. */
     public void start() {
         register();
         list();
     }
 
-    /** Ends, and takes the registration away. */
+    /** Stops, and deletes the registration. */
     public void stop() {
         stopped = true;
         store.delete(PREFIX + self.id())
                 .exceptionally(
                         failure -> {
-                            Logger.debug("registration is left to its lease");
+                            Logger.debug(
+                                    "deleting the registration failed; it expires with its lease");
                             return null;
                         });
     }
@@ -100,20 +101,24 @@
                         (done, failure) ->
                                 schedule(
                                         failure == null ? this::renew : this::register,
-                                        failure == null ? RENEW_INTERVAL_MILLIS : RETRY_DELAY_MILLIS));
+                                        failure == null
+                                                ? RENEW_INTERVAL_MILLIS
+                                                : RETRY_DELAY_MILLIS));
     }
 
     private void renew() {
         if (stopped) {
             return;
         }
-        // the lease may have lapsed in an outage, so the key is written again after a failure
+        // the lease may have expired during an outage, so the key is written again after a failure
         store.renew(self.id(), LEASE_MILLIS)
                 .whenComplete(
                         (done, failure) ->
                                 schedule(
                                         failure == null ? this::renew : this::register,
-                                        failure == null ? RENEW_INTERVAL_MILLIS : RETRY_DELAY_MILLIS));
+                                        failure == null
+                                                ? RENEW_INTERVAL_MILLIS
+                                                : RETRY_DELAY_MILLIS));
     }
 
     private void list() {
@@ -127,7 +132,11 @@
                             if (failure == null) {
                                 listed(batch);
                             }
-                            schedule(this::list, reader ? READER_LIST_INTERVAL_MILLIS : OTHER_LIST_INTERVAL_MILLIS);
+                            schedule(
+                                    this::list,
+                                    reader
+                                            ? READER_LIST_INTERVAL_MILLIS
+                                            : OTHER_LIST_INTERVAL_MILLIS);
                         });
     }
 
@@ -137,7 +146,7 @@
             try {
                 entries.add(JSON.readValue(item.value(), EntryInfo.class));
             } catch (JsonProcessingException e) {
-                Logger.warn("registration {} is malformed", item.key());
+                Logger.warn("registration {} is malformed, expected an entry as JSON", item.key());
             }
         }
         if (members.listed(entries, System.currentTimeMillis())) {
@@ -145,8 +154,8 @@
         }
     }
 
-    private void schedule(Runnable work, long delayMillis) {
-        timer.schedule(work, delayMillis, TimeUnit.MILLISECONDS);
+    private void schedule(Runnable task, long delayMillis) {
+        timer.schedule(task, delayMillis, TimeUnit.MILLISECONDS);
     }
 
     private static String json(EntryInfo entry) {
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/FleetSync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/FleetSync.java
@@ -41,16 +41,16 @@
 import java.util.stream.Collectors;
 
 /**
- * Keeps this entry's knowledge of upstreams fresh: one entry of a data centre reads the instance
- * list for all, two wait for notices, and every entry asks some engines for their load.
+ * Keeps the upstreams known to this entry up to date. One entry of a data centre reads the instance
+ * list for all, two wait for notices, and every entry queries the load of some engines.
  *
- * <p>A notice goes to all entries of the data centre at once; the list, which lags, never undoes
- * it.
+ * <p>A notice is sent to all entries of the data centre at once. The list lags behind, so it never
+ * cancels a notice.
  *
  * @since 0.1
  */
 public final class FleetSync {
-    /** What remains of a notice that came only as a word in the instance list, in milliseconds. */
+    /** The remaining time assumed for an instance that only the list reports as leaving, in ms. */
     public static final long LISTED_NOTICE_MILLIS = 1_000;
 
     private static final long TICK_MILLIS = 500;
@@ -74,12 +74,12 @@
     private volatile boolean stopped;
     private long nextNotice;
 
-    /** Is told of upstreams, or this entry's own instance, that begin to leave. */
+    /** Receives the instances that begin to leave, including this entry's own. */
     public interface NoticeListener {
         /**
-         * An instance begins to leave.
+         * Called when an instance begins to leave.
          *
-         * @param instance its name
+         * @param instance the name of the instance
          * @param remainingMillis how long it will still run, in milliseconds
          */
         void leaving(String instance, long remainingMillis);
@@ -89,14 +89,14 @@
      * Creates the sync.
      *
      * @param cloud the cloud's API
-     * @param placements told of upstreams and loads
-     * @param engines asked for their load
-     * @param policies tells models from services
-     * @param links reaches peers
-     * @param members knows this entry's rank
-     * @param self this entry
-     * @param listener told of instances that begin to leave
-     * @param timer runs the work
+     * @param placements receives upstreams and loads
+     * @param engines queries the load of engines
+     * @param policies provides which targets are models
+     * @param links sends to peers
+     * @param members provides the rank of this entry
+     * @param self the description of this entry
+     * @param listener receives the instances that begin to leave
+     * @param timer runs the periodic tasks
      */
     public FleetSync(
             CloudApi cloud,
@@ -119,19 +119,19 @@
         this.timer = timer;
     }
 
-    /** Begins. */
+    /** Starts the periodic task and waiting for notices. */
     public void start() {
         PeriodicTasks.repeat(timer, "fleet", this::tick, TICK_MILLIS);
         waitForNotices();
     }
 
-    /** Ends. */
+    /** Stops waiting for notices. */
     public void stop() {
         stopped = true;
     }
 
     /**
-     * Takes the instance list from a peer of this data centre.
+     * Applies the instance list from a peer of this data centre.
      *
      * @param list the list
      */
@@ -140,7 +140,7 @@
     }
 
     /**
-     * Takes notices from a peer.
+     * Applies notices from a peer.
      *
      * @param notice the notices
      */
@@ -201,13 +201,13 @@
     }
 
     private void distribute(List<CloudApi.Notice> notices) {
-        List<Notice> news = new ArrayList<>();
+        List<Notice> updates = new ArrayList<>();
         for (CloudApi.Notice notice : notices) {
-            news.add(new Notice(notice.id(), notice.remainingMillis()));
+            updates.add(new Notice(notice.id(), notice.remainingMillis()));
         }
-        if (!news.isEmpty()) {
-            toDataCentre(new LeavingNotice(news));
-            news.forEach(this::noticed);
+        if (!updates.isEmpty()) {
+            toDataCentre(new LeavingNotice(updates));
+            updates.forEach(this::noticed);
         }
     }
 
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/Members.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/Members.java
@@ -27,7 +27,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Knows the entries of the installation, from the platform and from peers, and decides which of
+ * The known entries of the installation, as reported by the platform and by peers. Decides which of
  * them to link to.
  *
  * @since 0.1
@@ -41,10 +41,10 @@
     private volatile long registeredMillis;
 
     /**
-     * Creates the members.
+     * Creates the members, with this entry as the only known one.
      *
-     * @param self this entry
-     * @param links dials them
+     * @param self the description of this entry
+     * @param links dials the other entries
      * @param seeds peer addresses that are always dialled
      */
     public Members(EntryInfo self, PeerLinks links, List<String> seeds) {
@@ -56,11 +56,12 @@
     }
 
     /**
-     * Takes over the entries that the platform lists.
+     * Applies the list of entries from the platform. Removes entries that are neither listed nor
+     * live.
      *
      * @param entries the entries
-     * @param nowMillis the time
-     * @return true if any was not known
+     * @param nowMillis the current time, in milliseconds
+     * @return whether any of them was not known
      */
     public boolean listed(Collection<EntryInfo> entries, long nowMillis) {
         registered = Set.copyOf(entries.stream().map(EntryInfo::id).toList());
@@ -70,34 +71,34 @@
     }
 
     /**
-     * Takes over entries that a peer names.
+     * Adds entries that a peer reports.
      *
      * @param entries the entries
-     * @return true if any was not known
+     * @return whether any of them was not known
      */
     public boolean received(Collection<EntryInfo> entries) {
-        boolean news = false;
+        boolean added = false;
         for (EntryInfo entry : entries) {
-            news |= known.putIfAbsent(entry.id(), entry) == null;
+            added |= known.putIfAbsent(entry.id(), entry) == null;
         }
         dialNeighbours();
-        return news;
+        return added;
     }
 
     /**
      * Returns all known entries.
      *
-     * @return their presentations, with this one
+     * @return their descriptions, including this entry
      */
     public List<EntryInfo> known() {
         return List.copyOf(known.values());
     }
 
     /**
-     * Returns the names of the entries that the platform listed lately.
+     * Returns the names in the last list from the platform.
      *
-     * @param nowMillis the time
-     * @param maxAgeMillis how old the list may be, in milliseconds
+     * @param nowMillis the current time, in milliseconds
+     * @param maxAgeMillis the maximum age of the list, in milliseconds
      * @return the names, or null if the list is older
      */
     public Set<String> registered(long nowMillis, long maxAgeMillis) {
@@ -105,17 +106,17 @@
     }
 
     /**
-     * Ranks this entry among the live ones of its data centre.
+     * Returns the rank of this entry for a task among the live entries of its data centre.
      *
-     * @param task names the work
-     * @return 0 for the first
+     * @param task the name of the task
+     * @return the rank; 0 for the first
      */
     public int rank(String task) {
         return PeerTopology.rank(member(self), live(), task);
     }
 
     /**
-     * Returns the live entries, with this one.
+     * Returns the live entries, starting with this one.
      *
      * @return the entries
      */
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/TableSync.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/TableSync.java
@@ -35,11 +35,10 @@
 import org.tinylog.Logger;
 
 /**
- * Brings every accepted table change into force here, from the platform or from peers, whichever is
- * first.
+ * Applies every accepted table change, from the platform or from peers, whichever arrives first.
  *
- * <p>Two entries of a data centre watch the table's head; the others look at it now and then.
- * Whoever learns of a change sends it to every peer that, by its last heartbeat, lacks it.
+ * <p>Two entries of a data centre watch the head of the table; the others read it periodically. An
+ * entry that applies a change sends it to every peer whose last heartbeat has an older revision.
  *
  * @since 0.1
  */
@@ -65,12 +64,12 @@
     /**
      * Creates the sync.
      *
-     * @param keyValue the platform's service
-     * @param policies holds the table in force
-     * @param links reaches peers
-     * @param members knows this entry's rank
-     * @param heartbeats knows the peers' revisions
-     * @param timer runs retries
+     * @param keyValue the platform's key-value service
+     * @param policies the table in force
+     * @param links sends to peers
+     * @param members provides the rank of this entry
+     * @param heartbeats provides the table revisions of peers
+     * @param timer runs the delayed reads
      */
     public TableSync(
             KeyValueStore keyValue,
@@ -89,7 +88,7 @@
         policies.onChange(table -> sendChangesToPeers());
     }
 
-    /** Begins: reads the table, then watches. */
+    /** Starts reading the table, and then watching it. */
     public void start() {
         store.load()
                 .whenComplete(
@@ -102,7 +101,7 @@
                         });
     }
 
-    /** Ends. */
+    /** Stops watching the table. */
     public void stop() {
         stopped = true;
     }
@@ -117,10 +116,10 @@
     }
 
     /**
-     * Takes a peer's heartbeat: a peer that lacks changes is sent them.
+     * Processes a heartbeat of a peer. Sends the changes that the peer lacks.
      *
      * @param peer the peer
-     * @param heartbeat its heartbeat
+     * @param heartbeat the heartbeat
      */
     public void heartbeatReceived(EntryInfo peer, Heartbeat heartbeat) {
         if (heartbeat.tableRevision() < policies.table().revision()) {
@@ -129,18 +128,18 @@
     }
 
     /**
-     * Takes changes from a peer.
+     * Applies changes from a peer.
      *
      * @param delta the changes
      */
     public void received(TableDelta delta) {
         if (policies.offer(delta.changes()) == Offer.GAP) {
-            Logger.debug("table changes from a peer do not follow; waiting for the next heartbeat");
+            Logger.debug("gap before the table changes of a peer; waiting for its next heartbeat");
         }
     }
 
     /**
-     * Takes a whole table from a peer.
+     * Applies a complete table from a peer.
      *
      * @param snapshot the table
      */
@@ -216,11 +215,11 @@
         }
     }
 
-    /** Logs the first failure of an outage, not every one. */
+    /** Logs the first failure of an outage only. */
     private void logOutage(Throwable failure) {
         boolean down = failure != null;
         if (down && !outage) {
-            Logger.warn("table is not read: {}", TableStore.unwrapped(failure).getMessage());
+            Logger.warn("reading the table failed: {}", TableStore.unwrapped(failure).getMessage());
         }
         outage = down;
     }
--- a/trailladder-entry/src/main/java/io/trailladder/entry/sync/package-info.java
+++ b/trailladder-entry/src/main/java/io/trailladder/entry/sync/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Background work: table, instance list, notices, entries and claims.
+ * Background synchronisation of the table, the instance list, notices, entries and claims.
  *
  * @since 0.1
  */
--- a/trailladder-entry/src/test/java/io/trailladder/entry/AtMostOnceMovesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/AtMostOnceMovesTest.java
@@ -25,7 +25,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** A model request that must run at most once is not begun again by another entry. */
+/** A model request that must run at most once is not started again by another entry. */
 class AtMostOnceMovesTest {
     private static final int TOKENS = 400;
     private static final Header ONCE = new Header("Trailladder-Run", "at-most-once");
@@ -36,7 +36,7 @@
         assertEquals(1, system.engine.runs().size(), system.engine.runs().toString());
     }
 
-    // Guards against a second run at the copy's keeper of a request that its caller marked.
+    // Guards against a second run at the copy holder of a request marked as at-most-once.
     @Example
     void requestThatItsCallerMarkedRunsOnceAlthoughItsEntryIsLost() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -50,7 +50,7 @@
         assertTrue(rest.status() != 200, rest.toString());
     }
 
-    // Guards against a second run at the heir of a request that its caller marked.
+    // Guards against a second run at the successor of a request marked as at-most-once.
     @Example
     void requestThatItsCallerMarkedRunsOnceAlthoughItsEntryStops() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -62,7 +62,7 @@
         assertTrue(begun.bytes().contains("\"outcome\":\"unknown\""), begun.bytes());
     }
 
-    // Guards against a second run of a request whose row says that it is not repeatable.
+    // Guards against a second run of a request whose row is not repeatable.
     @Example
     void requestWhoseRowIsNotRepeatableRunsOnceAlthoughItsEntryIsLost() {
         SimulatedEntries system = new SimulatedEntries(3, SimulatedEntries.row(false));
--- a/trailladder-entry/src/test/java/io/trailladder/entry/CopiesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/CopiesTest.java
@@ -23,7 +23,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Copies of requests: who takes them up, who may not, and what ends two entries' work on one. */
+/** Copies of requests: which entry resumes from them, and how a request run by two ends at one. */
 class CopiesTest {
     private static final int TOKENS = 400;
 
@@ -36,7 +36,7 @@
         return begun.requestId();
     }
 
-    // Guards against a whole answer whose copy is sent to an engine once more.
+    // Guards against a complete answer whose request is sent to an engine again from its copy.
     @Example
     void wholeAnswerIsReadFromItsCopyAndNotGeneratedAgain() {
         SimulatedEntries system = new SimulatedEntries(2);
@@ -50,20 +50,21 @@
         assertEquals(1, system.engine.runs().size(), system.engine.runs().toString());
     }
 
-    // Guards against a request that its entry gave up and another takes up from its copy.
+    // Guards against a request that its entry abandoned and another one resumes from its copy.
     @Example
     void abandonedRequestIsNotResumedFromItsCopy() {
         SimulatedEntries system = new SimulatedEntries(2);
         begin(system, 4_000, 250);
         begun.leave();
         system.run(2_500);
-        assertEquals(List.of(), system.engine.activeEntries(), "its caller is gone");
+        assertEquals(List.of(), system.engine.activeEntries(), "its caller has disconnected");
         system.kill("a");
         system.run(2_000);
         assertEquals(1, system.engine.runs().size(), system.engine.runs().toString());
     }
 
-    // Guards against a request that was ended by the table and is begun again once its row is back.
+    // Guards against a request that the table ended and that is resumed from its copy at an entry
+    // whose table still has the row.
     @Example
     void requestEndedByTheTableIsNotResumedFromItsCopy() {
         SimulatedEntries system = new SimulatedEntries(2);
@@ -76,7 +77,7 @@
         assertEquals(1, system.engine.runs().size(), system.engine.runs().toString());
     }
 
-    // Guards against two entries that work on one request after a cut between them.
+    // Guards against two entries that both run one request after the link between them was cut.
     @Example
     void requestResumedDuringACutIsReturnedAfterIt() {
         SimulatedEntries system = new SimulatedEntries(2);
@@ -91,7 +92,7 @@
         assertTrue(begun.isWhole(), begun.toString());
     }
 
-    // Guards against two entries that work on one request after its entry was frozen for a while.
+    // Guards against two entries that both run one request after its entry was frozen for a while.
     @Example
     void requestResumedFromAFrozenEntryIsReturnedToIt() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -106,7 +107,7 @@
         assertEquals(1, system.engine.activeEntries().size(), system.engine.runs().toString());
     }
 
-    // Guards against a request that is lost since its copy's keeper no longer has the copy.
+    // Guards against a request that is lost because its copy holder no longer has the copy.
     @Example
     void returnedRequestHasACopyAgain() {
         SimulatedEntries system = new SimulatedEntries(2);
@@ -123,7 +124,7 @@
         assertEquals(SimulatedEngine.answer(TOKENS), begun.text() + rest.text());
     }
 
-    // Guards against two copies of one request, both of which are taken up once its entry is lost.
+    // Guards against two copies of one request that are both resumed once its entry is lost.
     @Example
     void formerCopyHolderDoesNotResumeWhatAnotherOneHolds() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -138,8 +139,9 @@
         assertEquals(1, system.engine.activeEntries().size(), system.engine.runs().toString());
     }
 
-    // Guards against a failure's text in the middle of an answer, which then ends as if it were
-    // whole.
+    // Guards against the text of a failure in the middle of an answer, which then ends as if it
+    // were
+    // complete.
     @Example
     void refusalOfAPeerIsNotPassedOnInTheMiddleOfAnAnswer() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -156,7 +158,7 @@
         assertTrue(!passed.bytes().contains("no request of this name"), passed.bytes());
     }
 
-    // Guards against two runs of one request when its caller sends it twice at the same moment.
+    // Guards against two runs of one request that its caller sends twice at the same time.
     @Example
     void requestThatIsSentTwiceWithOneKeyAtTheSameMomentRunsOnce() {
         SimulatedEntries system = new SimulatedEntries(2);
@@ -169,8 +171,8 @@
         assertEquals(1, system.engine.runs().size(), system.engine.runs().toString());
     }
 
-    // Guards against a stream that is silent for ever: its caller left, came back after the request
-    // was given up, and was attached to it.
+    // Guards against a stream that never gets another event: its caller disconnected, reconnected
+    // after the request was abandoned, and was attached to the abandoned request.
     @Example
     void callerThatReconnectsLateReceivesTheRemainder() {
         SimulatedEntries system = new SimulatedEntries(2);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/HandOverTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/HandOverTest.java
@@ -25,13 +25,13 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** A stream whose entry stops goes on at its heir, in every order of events that is forced here. */
+/** A stream whose entry stops is resumed at its successor, for each order of events tested here. */
 class HandOverTest {
     private static final int TOKENS = 400;
 
     private final RecordedAnswer begun = new RecordedAnswer();
 
-    /** Begins a stream at the first entry and has it run for a while. */
+    /** Starts a stream at the first entry and runs it for the given time. */
     private String begin(SimulatedEntries system, long millis) {
         system.entry("a").stream(TOKENS, begun);
         system.run(millis);
@@ -39,7 +39,7 @@
         return begun.requestId();
     }
 
-    /** Asks an entry for the rest, as the caller of a stream that moved does. */
+    /** Requests the remainder from an entry, as the caller of a moved stream does. */
     private void assertResumesAt(SimulatedEntries system, String entry, String id) {
         RecordedAnswer rest = system.entry(entry).ask(id, begun.tokens(), new RecordedAnswer());
         system.run(4_000);
@@ -51,7 +51,7 @@
         assertEquals(SimulatedEngine.answer(TOKENS), begun.text() + rest.text());
     }
 
-    // Guards against a caller that asks the heir before the hand-over is there and is told 404.
+    // Guards against a 404 for a caller that reaches the successor before the hand-over arrives.
     @Example
     void callerThatReachesTheSuccessorBeforeTheHandOverReceivesTheRemainder() {
         SimulatedEntries system = new SimulatedEntries(2);
@@ -63,8 +63,8 @@
         assertWhole(rest);
     }
 
-    // Guards against an answer that is passed on and ends early when its entry is lost, although
-    // the request goes on at the entry that passes it on.
+    // Guards against a relayed answer that ends early when its entry is lost, although the relaying
+    // entry itself resumes the request.
     @Example
     void relayingEntryContinuesTheAnswerItselfOnceItsPeerIsLost() {
         SimulatedEntries system = new SimulatedEntries(2);
@@ -79,7 +79,8 @@
         assertEquals(1, passed.heads(), "an answer has one head");
     }
 
-    // Guards against an entry that has handed over and takes the heir's copy up when asked for it.
+    // Guards against an entry that has handed over and resumes from the successor's copy on
+    // request.
     @Example
     void entryThatHasHandedOverDoesNotResumeFromTheSuccessorsCopyOnRequest() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -108,7 +109,7 @@
         assertTrue(rest.tokens() > 0, rest.toString());
     }
 
-    // Guards against an entry that has handed over and begins again when its heir is lost.
+    // Guards against an entry that has handed over and resumes when its successor is lost.
     @Example
     void entryThatHasHandedOverDoesNotResumeFromTheCopyOfALostSuccessor() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -124,7 +125,7 @@
         assertEquals(runs, system.engine.runsOf("a").size(), system.engine.runs().toString());
     }
 
-    // Guards against a request that is begun at an entry which is about to end, and lost with it.
+    // Guards against a request that is resumed at an entry about to end, and lost with that entry.
     @Example
     void successorThatHasHandedOverItselfIsSkipped() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -137,8 +138,8 @@
         assertEquals(2, system.engine.runs().size(), system.engine.runs().toString());
     }
 
-    // Guards against a request that nobody has, since the heir was told by an entry that expects
-    // no answer.
+    // Guards against a lost request: the successor, itself stopping, gets a hand-over from an entry
+    // that expects no answer.
     @Example
     void successorThatHasHandedOverItselfForwardsWhatAnEarlierBuildSends() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -152,7 +153,7 @@
         assertEquals(List.of("c"), system.engine.activeEntries(), system.engine.runs().toString());
     }
 
-    // Guards against a request that nobody has, since its hand-over was lost with the link.
+    // Guards against a request that is lost because its hand-over was lost with the link.
     @Example
     void handOverThatIsLostWithItsLinkIsSentToAnother() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -165,7 +166,7 @@
         assertResumesAt(system, "c", id);
     }
 
-    // Guards against a request that nobody has, since its copy's keeper was lost just before.
+    // Guards against a request that is lost because its copy holder was lost just before.
     @Example
     void requestWhoseCopyHolderIsLostJustBeforeIsHandedToAnother() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -176,7 +177,7 @@
         assertResumesAt(system, "c", id);
     }
 
-    // Guards against a request that nobody has, since the heir's table does not allow it.
+    // Guards against a request that is lost because the successor's table forbids it.
     @Example
     void successorWhoseTableForbidsTheRequestIsSkipped() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -187,8 +188,8 @@
         assertResumesAt(system, "c", id);
     }
 
-    // Guards against two entries that work on one request after a hand-over: a silent heir that
-    // wakes up, and the one that was asked in its place.
+    // Guards against two entries that run one request after a hand-over: a frozen successor that
+    // continues, and the one that was chosen in its place.
     @Example
     void frozenSuccessorEndsWhatAnotherOneHasAccepted() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -200,7 +201,7 @@
         assertResumesAt(system, "b", id);
     }
 
-    // Guards against a caller that is told its stream moved before anybody has it.
+    // Guards against a moved event that the caller gets before any successor has accepted.
     @Example
     void callerIsNotifiedOfTheMoveOnceASuccessorHasAccepted() {
         SimulatedEntries system = new SimulatedEntries(2);
@@ -213,7 +214,7 @@
         assertTrue(begun.isMoved(), begun.toString());
     }
 
-    // Guards against a copy that is taken up although its request went to another heir.
+    // Guards against a copy that is resumed although its request went to another successor.
     @Example
     void copyOfARequestThatWentToAnotherSuccessorIsNotResumed() {
         SimulatedEntries system = new SimulatedEntries(3);
@@ -225,7 +226,7 @@
         assertEquals(0, system.engine.runsOf("b").stream().filter(r -> !r.over).count());
     }
 
-    // Guards against a request that is begun by an entry which has handed over, and lost with it.
+    // Guards against a request that an entry starts after its hand-over, and that is lost with it.
     @Example
     void requestAcceptedDuringTheHandOverEndsAsNotRun() {
         SimulatedEntries system = new SimulatedEntries(2);
@@ -236,7 +237,7 @@
         assertEquals(0, system.engine.runs().size(), system.engine.runs().toString());
     }
 
-    // Guards against an entry without requests that takes some up while it ends.
+    // Guards against an entry without requests that resumes some while it ends.
     @Example
     void endingEntryWithoutRequestsResumesNone() {
         SimulatedEntries system = new SimulatedEntries(2);
@@ -247,8 +248,7 @@
         assertEquals(0, system.engine.runsOf("b").size(), system.engine.runs().toString());
     }
 
-    // Guards against a request that is lost with an entry which is killed in the middle of its
-    // hand-over.
+    // Guards against a request that is lost with an entry killed during its hand-over.
     @Example
     void requestOfAnEntryKilledDuringTheHandOverRunsAtOneEntry() {
         for (int millis = 0; millis <= 10; millis++) {
@@ -269,7 +269,7 @@
         }
     }
 
-    // Guards against a request that is lost with an heir which is killed just after it took it.
+    // Guards against a request that is lost with a successor killed just after it accepted it.
     @Example
     void requestOfASuccessorKilledAfterAcceptingRunsAtOneEntry() {
         for (int millis = 0; millis <= 10; millis++) {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/JsonTreeTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/JsonTreeTest.java
@@ -29,7 +29,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
 
-/** Trees are those of Jackson's object mapper, and bytes from a stranger only throw. */
+/** Trees equal those of Jackson's object mapper, and arbitrary bytes cause no other exception. */
 class JsonTreeTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/PeerRelayTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/PeerRelayTest.java
@@ -30,7 +30,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Answers that peers make and this entry passes on. */
+/** Answers of peers that this entry relays. */
 class PeerRelayTest {
     private static final Peers REACHES_ALL =
             new Peers() {
@@ -45,8 +45,9 @@
                 }
             };
 
-    // Guards against a peer's refusal in the middle of an answer, which then ends as if it were
-    // whole.
+    // Guards against the refusal of a peer in the middle of an answer, which then ends as if it
+    // were
+    // complete.
     @Example
     void refusalAfterTheAnswerHasBegunIsLookedForElsewhereAndNotPassedOn() {
         PeerRelay relay = new PeerRelay(REACHES_ALL);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/PersistentCaller.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/PersistentCaller.java
@@ -18,8 +18,8 @@
 import java.util.List;
 
 /**
- * A caller that goes on asking until it has its whole answer: after each end or break, and after a
- * second of silence, it asks the next entry that runs.
+ * A caller that retries until its answer is complete: after each end or break, and after one second
+ * without a token, it requests the remainder from the next running entry.
  */
 final class PersistentCaller {
     private static final long RETRY_DELAY_MILLIS = 20;
@@ -41,7 +41,7 @@
         this.system = system;
     }
 
-    /** Begins a stream at an entry. */
+    /** Starts a stream at an entry. */
     void begin(String entry, int maxTokens) {
         answer = new RecordedAnswer(this::over);
         system.entry(entry).stream(maxTokens, answer);
@@ -91,7 +91,7 @@
         running.get(next++ % running.size()).ask(requestId, tokens, answer);
     }
 
-    /** Leaves an answer that has been silent for too long. */
+    /** Disconnects from an answer without progress for the idle timeout. */
     private void checkIdle() {
         if (isWhole()) {
             return;
--- a/trailladder-entry/src/test/java/io/trailladder/entry/RecordedAnswer.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/RecordedAnswer.java
@@ -22,7 +22,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Takes one answer of a stream, as a caller's connection does. */
+/** Records one answer of a stream, in place of a caller's connection. */
 final class RecordedAnswer implements CallerSink {
     private static final Pattern TOKEN =
             Pattern.compile("id: (\\d+)\ndata: [^\n]*\"text\":\"([^\"]*)\"");
@@ -94,12 +94,12 @@
         }
     }
 
-    /** Breaks the connection, as the loss of the entry does. */
+    /** Breaks the connection, as when the entry is lost. */
     void cut() {
         finish();
     }
 
-    /** Leaves before the end. */
+    /** Disconnects the caller before the end. */
     void leave() {
         over = true;
         onGone.run();
--- a/trailladder-entry/src/test/java/io/trailladder/entry/RequestHistoriesProperties.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/RequestHistoriesProperties.java
@@ -28,16 +28,16 @@
 import net.jqwik.api.Provide;
 
 /**
- * Drawn histories of stops, losses, freezes, cuts and late messages among 2 to 4 entries: at most
- * one entry begins a request after each event, one entry works on it once all is calm, and a caller
- * who goes on asking has the whole answer.
+ * Random histories of stops, losses, freezes, cuts and delayed messages among 2 to 4 entries: the
+ * number of runs of a request is bounded by the events and retries, one entry runs it once the
+ * faults have ended, and a caller that retries receives the complete answer.
  */
 class RequestHistoriesProperties {
     private static final int TOKENS = 400;
     private static final long CALM_MILLIS = 5_000;
     private static final long GONE_MILLIS = 700;
 
-    /** What happens to an entry, or between two. */
+    /** The kind of a fault at one entry or between two. */
     private enum Kind {
         STOP,
         KILL,
@@ -49,11 +49,11 @@
     /**
      * An event.
      *
-     * @param kind what happens
-     * @param entry to which entry, by its number
-     * @param other between it and which other one, by its number
-     * @param afterMillis time since the event before
-     * @param millis how long it lasts, or drains
+     * @param kind the kind
+     * @param entry the number of the entry
+     * @param other the number of the other entry, for events between two
+     * @param afterMillis the time since the previous event, in milliseconds
+     * @param millis the duration, or the drain time, in milliseconds
      */
     private record Event(Kind kind, int entry, int other, int afterMillis, int millis) {}
 
@@ -71,7 +71,10 @@
                 .ofMaxSize(6);
     }
 
-    /** Plays events; the last entry stays, and one leaves only after the one before is gone. */
+    /**
+     * Applies events. The last entry never ends, and one ends only after the previous one has
+     * ended.
+     */
     private static final class Play {
         final SimulatedEntries system;
         final PersistentCaller caller;
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEngine.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEngine.java
@@ -24,14 +24,14 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** An engine that all simulated entries use: one token every few milliseconds. */
+/** An engine shared by all simulated entries; it generates one token every few milliseconds. */
 final class SimulatedEngine {
     static final int TOKEN_MILLIS = 5;
 
     private final VirtualClock clock;
     private final List<Run> runs = new ArrayList<>();
 
-    /** One generation, as an entry began it. */
+    /** One generation, started by an entry. */
     static final class Run {
         final String entry;
         final String requestId;
@@ -48,7 +48,12 @@
 
         @Override
         public String toString() {
-            return entry + " from " + resumedFrom + " at " + startedMillis + (over ? "" : " (runs)");
+            return entry
+                    + " from "
+                    + resumedFrom
+                    + " at "
+                    + startedMillis
+                    + (over ? "" : " (runs)");
         }
     }
 
@@ -66,7 +71,7 @@
                 .collect(Collectors.joining());
     }
 
-    /** Returns every generation that was begun, in order. */
+    /** Returns all generations in the order of their start. */
     List<Run> runs() {
         return runs;
     }
@@ -75,12 +80,12 @@
         return runs.stream().filter(run -> run.entry.equals(entry)).toList();
     }
 
-    /** Returns the entries that work on a request now. */
+    /** Returns the entries that have a generation running. */
     List<String> activeEntries() {
         return runs.stream().filter(run -> !run.over).map(run -> run.entry).distinct().toList();
     }
 
-    /** Ends what a lost entry had running. */
+    /** Ends all generations of a lost entry. */
     void lost(String entry) {
         runsOf(entry).forEach(run -> run.over = true);
     }
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntries.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntries.java
@@ -31,11 +31,11 @@
 import java.util.Map;
 
 /**
- * Some entries in virtual time, with links between them that deliver in order, hold messages back,
- * break and come back, and with entries that stop, freeze or are lost at chosen moments.
+ * A set of entries in virtual time. Links deliver in order, can delay messages, break and be
+ * restored; entries can stop, freeze or be lost at given times.
  */
 final class SimulatedEntries {
-    /** How long a stopping entry lives on after it began to hand over, in milliseconds. */
+    /** The time between the start of a hand-over and the end of the entry, in milliseconds. */
     static final long HAND_OVER_MILLIS = 300;
 
     private static final long LINK_MILLIS = 1;
@@ -45,7 +45,7 @@
     final Map<String, SimulatedEntry> entries = new LinkedHashMap<>();
     private final Map<EntryPair, Direction> directions = new HashMap<>();
 
-    /** From one entry to another. */
+    /** The sender and the receiver of one direction of a link. */
     private record EntryPair(String from, String to) {}
 
     /** One direction of a link. */
@@ -83,10 +83,11 @@
 
     private void add(String id) {
         EntryInfo info = new EntryInfo(id, "baires-a", id + ":1", id + ":2", id + ":3");
-        entries.put(id, new SimulatedEntry(info, new VirtualTimer(clock), new EntryLinks(id), engine));
+        entries.put(
+                id, new SimulatedEntry(info, new VirtualTimer(clock), new EntryLinks(id), engine));
     }
 
-    /** Has a table in force at every entry. */
+    /** Puts a table in force at every entry. */
     void table(Row... rows) {
         long revision = clock.millis() + 1;
         Table table = Table.of(revision, "change-" + revision, List.of(rows));
@@ -97,7 +98,7 @@
         return entries.get(id);
     }
 
-    /** Returns the entries that answer callers. */
+    /** Returns the entries that are neither lost nor frozen. */
     List<SimulatedEntry> running() {
         return entries.values().stream().filter(entry -> entry.timer.isRunning()).toList();
     }
@@ -111,12 +112,15 @@
         return direction(from, to).sent.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
-    /** Holds everything back that is sent from one entry to another, for a span from now. */
+    /**
+     * Delays all messages from one entry to another that are sent from now on, until a time span
+     * ends.
+     */
     void hold(String from, String to, long millis) {
         direction(from, to).heldUntilMillis = clock.millis() + millis;
     }
 
-    /** Breaks the link between two entries; what is on its way is lost. */
+    /** Breaks the link between two entries. Messages in transit are lost. */
     void cut(String one, String other) {
         if (!direction(one, other).cut) {
             down(one, other);
@@ -137,13 +141,13 @@
         clock.after(LINK_MILLIS, () -> entry.timer.run(() -> entry.lost(entries.get(peer).info)));
     }
 
-    /** Brings a link back. */
+    /** Restores a link. */
     void heal(String one, String other) {
         direction(one, other).cut = false;
         direction(other, one).cut = false;
     }
 
-    /** Ends an entry at once, as the loss of its instance does. */
+    /** Ends an entry at once, as when its instance is lost. */
     void kill(String id) {
         SimulatedEntry entry = entries.get(id);
         if (entry.timer.isLost()) {
@@ -154,7 +158,7 @@
         entries.keySet().stream().filter(peer -> !peer.equals(id)).forEach(p -> cut(id, p));
     }
 
-    /** Stops an entry: it drains for a while, hands over, and is gone. */
+    /** Stops an entry: it drains, hands its requests over, and ends. */
     void stop(String id, long drainMillis) {
         SimulatedEntry entry = entries.get(id);
         entry.timer.run(entry::drain);
@@ -165,7 +169,7 @@
         clock.after(drainMillis, () -> entry.timer.run(() -> handOver(id)));
     }
 
-    /** Has an entry hand its requests over at once; it is gone a little later. */
+    /** Hands the requests of an entry over at once, and ends it {@link #HAND_OVER_MILLIS} later. */
     void handOver(String id) {
         SimulatedEntry entry = entries.get(id);
         entry.drain();
@@ -180,7 +184,7 @@
                                 }));
     }
 
-    /** Freezes an entry, as SIGSTOP does, and wakes it after a span. */
+    /** Freezes an entry, as SIGSTOP does, and continues it after a time span. */
     void freeze(String id, long millis) {
         SimulatedEntry entry = entries.get(id);
         if (!entry.timer.isRunning()) {
@@ -200,10 +204,10 @@
     }
 
     private Direction direction(String from, String to) {
-        return directions.computeIfAbsent(new EntryPair(from, to), way -> new Direction());
+        return directions.computeIfAbsent(new EntryPair(from, to), pair -> new Direction());
     }
 
-    /** Sends a message; delivery is in order, and lost with the link. */
+    /** Sends a message. Messages are delivered in order, and lost if the link breaks. */
     boolean send(String from, String to, PeerMessage message) {
         Direction direction = direction(from, to);
         SimulatedEntry receiver = entries.get(to);
@@ -214,11 +218,11 @@
         byte[] frame = PeerCodec.encode(message);
         long due = Math.max(clock.millis() + LINK_MILLIS, direction.heldUntilMillis);
         direction.lastDelivery = Math.max(direction.lastDelivery, due);
-        int life = direction.incarnation;
+        int incarnation = direction.incarnation;
         clock.at(
                 direction.lastDelivery,
                 () -> {
-                    if (direction.incarnation == life) {
+                    if (direction.incarnation == incarnation) {
                         PeerMessage copy =
                                 PeerCodec.decode(frame, PeerCodec.LENGTH_BYTES, frame.length);
                         receiver.timer.run(() -> receiver.received(entries.get(from).info, copy));
--- a/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntry.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/SimulatedEntry.java
@@ -41,7 +41,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One entry: all its serving parts, without sockets, platform or other threads. */
+/** One entry with all its serving components, without sockets, platform or other threads. */
 final class SimulatedEntry {
     static final String ORGANISATION = "banco-sur";
     static final String MODEL = "modelo-hipo";
@@ -122,7 +122,7 @@
         policies.offer(table);
     }
 
-    /** Begins a stream as a caller does. */
+    /** Starts a stream as a caller does. */
     RecordedAnswer stream(int tokens, RecordedAnswer sink, Header... headers) {
         String body =
                 "{\"model\":\""
@@ -133,7 +133,7 @@
         return serve("POST", "/v1/completions", body, sink, List.of(headers));
     }
 
-    /** Asks for a request's events from one on, as a caller does whose stream ended. */
+    /** Requests the events of a request from an index on, as a caller does whose stream ended. */
     RecordedAnswer ask(String requestId, int fromEvent, RecordedAnswer sink) {
         List<Header> headers =
                 fromEvent > 0
@@ -164,12 +164,12 @@
         router.lost(peer);
     }
 
-    /** Takes no new requests from now on. */
+    /** Refuses new requests from now on. */
     void drain() {
         dispatcher.drain();
     }
 
-    /** Ends at once: its timer, and what it sends its callers. */
+    /** Ends at once: drops its timer tasks and breaks the connections of its callers. */
     void kill() {
         timer.shutdown();
         answers.forEach(RecordedAnswer::cut);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/VirtualClock.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/VirtualClock.java
@@ -17,13 +17,13 @@
 
 import java.util.PriorityQueue;
 
-/** Runs work in the order of its times, without waiting for any of them. */
+/** Runs tasks in the order of their scheduled times, without waiting. */
 final class VirtualClock {
     private final PriorityQueue<Work> queue = new PriorityQueue<>();
     private long nowMillis;
     private long count;
 
-    /** Work for a time; of two for the same time the earlier one asked for goes first. */
+    /** A scheduled task; tasks for the same time run in the order in which they were scheduled. */
     private record Work(long atMillis, long number, Runnable action) implements Comparable<Work> {
         @Override
         public int compareTo(Work other) {
@@ -36,7 +36,7 @@
         return nowMillis;
     }
 
-    /** Has work run at a time, or now if that is past. */
+    /** Schedules a task for a time, or for now if that is past. */
     void at(long atMillis, Runnable action) {
         queue.add(new Work(Math.max(atMillis, nowMillis), count++, action));
     }
@@ -45,7 +45,7 @@
         at(nowMillis + delayMillis, action);
     }
 
-    /** Runs everything that is due within a span. */
+    /** Advances the time by a span and runs all tasks that become due. */
     void run(long spanMillis) {
         long end = nowMillis + spanMillis;
         while (!queue.isEmpty() && queue.peek().atMillis() <= end) {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/VirtualTimer.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/VirtualTimer.java
@@ -27,7 +27,9 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** The timer of one simulated process: drops work once the process is lost, keeps it if frozen. */
+/**
+ * The timer of a simulated process: drops tasks once it is lost, defers them while it is frozen.
+ */
 final class VirtualTimer extends AbstractExecutorService implements ScheduledExecutorService {
     private final VirtualClock clock;
     private final Queue<Runnable> pending = new ArrayDeque<>();
@@ -38,7 +40,7 @@
         this.clock = clock;
     }
 
-    /** Runs work of the process, later if it is frozen, never if it is lost. */
+    /** Runs a task of the process, after the freeze if it is frozen, never if it is lost. */
     void run(Runnable work) {
         if (frozen) {
             pending.add(work);
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpConnectorTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpConnectorTest.java
@@ -36,7 +36,8 @@
 import net.jqwik.api.lifecycle.BeforeTry;
 
 /**
- * The client tells whole answers from cut ones, and unsent requests from those that may have run.
+ * Guards against truncated answers that look complete, and against requests reported as unsent that
+ * may have run.
  */
 class HttpConnectorTest {
     private static final long PATIENCE_SECONDS = 10;
@@ -48,7 +49,7 @@
     private HttpConnector connector;
     private ServerSocket listener;
 
-    /** Turns what a call brings into one line. */
+    /** Records the events of a call as one line. */
     private final class Recorder implements CallListener {
         private final StringBuilder body = new StringBuilder();
         private int status;
@@ -126,7 +127,10 @@
         }
     }
 
-    /** A server that accepts few connections from many is not kept from accepting others. */
+    /**
+     * Guards against idle connections that keep a server with few connections from accepting
+     * others.
+     */
     @Example
     void idleConnectionsStayWithinTheLimit() throws Exception {
         HostPort target = new HostPort("127.0.0.1", listener.getLocalPort());
@@ -152,7 +156,10 @@
         servers.get(5).close();
     }
 
-    /** A request sent as the server closes may or may not have run. */
+    /**
+     * Guards against a request sent while the server closes the connection, which may or may not
+     * have run.
+     */
     @Example
     void connectionIsNotReusedAfterItsServersKeepAliveTime() throws Exception {
         call("/first");
@@ -167,7 +174,10 @@
         assertTrue(second.readUntil("\r\n\r\n").startsWith("GET /third "));
     }
 
-    /** No byte of it may arrive, also on a connection that another call has left behind. */
+    /**
+     * Guards against any byte of such a call arriving, also on a connection reused from another
+     * call.
+     */
     @Example
     void callThatIsNoLongerWantedSendsNothing() throws Exception {
         call("/kept");
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpServerTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/HttpServerTest.java
@@ -32,7 +32,10 @@
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
 
-/** The server answers in order, refuses what can be read in two ways, and sees callers leave. */
+/**
+ * Guards against answers out of order, ambiguous requests that are served, and disconnects of
+ * callers that go unnoticed.
+ */
 class HttpServerTest {
     private static final long TIMEOUT_SECONDS = 10;
     private static final long HEAD_MILLIS = 400;
@@ -105,13 +108,13 @@
 
     @Example
     void disconnectOfTheCallerIsNoticedWhileItsRequestIsProcessed() throws Exception {
-        CountDownLatch gone = new CountDownLatch(1);
+        CountDownLatch disconnected = new CountDownLatch(1);
         try (RawSocket caller = RawSocket.to(server.port())) {
             caller.send(get("/1"));
             ServerExchange exchange = next();
-            loop.execute(() -> exchange.onDisconnect(gone::countDown));
+            loop.execute(() -> exchange.onDisconnect(disconnected::countDown));
         }
-        assertTrue(gone.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertTrue(disconnected.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     @Example
@@ -125,7 +128,7 @@
             respond(exchange, "done");
             caller.readUntil("done");
         }
-        assertTrue(requests.isEmpty(), "the rest was taken for a request");
+        assertTrue(requests.isEmpty(), "the remaining bytes were read as a request");
     }
 
     @Example
@@ -170,7 +173,7 @@
         }
     }
 
-    // Guards against connections that begin to rest in the same millisecond being closed in any
+    // Guards against closing connections that become idle in the same millisecond in arbitrary
     // order.
     @Property(tries = 30)
     void longestIdleConnectionIsClosedAlsoWithinAMillisecond() throws Exception {
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/KeepAliveTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/KeepAliveTest.java
@@ -23,7 +23,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** How long connections are kept that a server says it keeps for some time. */
+/** Guards against reusing connections for longer than their server announces to keep them. */
 class KeepAliveTest {
     private static long reuseMillis(String value) {
         return KeepAlive.reuseMillis(HeaderList.of("Keep-Alive", value));
@@ -40,7 +40,7 @@
                         "timeout = 4")) {
             assertEquals(2_000, reuseMillis(value), value);
         }
-        assertEquals(0, reuseMillis("timeout=0"), "not used again");
+        assertEquals(0, reuseMillis("timeout=0"), "not reused");
         assertEquals(500, reuseMillis("1"));
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/RawSocket.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/RawSocket.java
@@ -21,7 +21,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A caller or server that sends exactly the bytes a test wants, over the loopback interface. */
+/** A caller or server that sends exactly the bytes given by a test, over the loopback interface. */
 final class RawSocket implements AutoCloseable {
     private static final int TIMEOUT_MILLIS = 10_000;
 
@@ -47,7 +47,7 @@
         socket.getOutputStream().flush();
     }
 
-    /** Reads until what was read contains a text. */
+    /** Reads until the bytes read contain a text. */
     String readUntil(String end) throws IOException {
         StringBuilder text = new StringBuilder();
         InputStream in = socket.getInputStream();
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowCallerTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowCallerTest.java
@@ -41,13 +41,16 @@
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
 
-/** What becomes of answers whose callers read late, slowly, or not at all. */
+/**
+ * Guards against truncated answers that look complete, and memory that is not released, when
+ * callers read late, slowly, or not at all.
+ */
 class SlowCallerTest {
     private static final long TIMEOUT_SECONDS = 20;
     private static final long LONG_MILLIS = 60_000;
     private static final int RECEIVE_BYTES = 4 * 1024;
 
-    /** More than the sockets of both ends take. */
+    /** More bytes than the socket buffers of both ends hold. */
     private static final int LARGE = 24 << 20;
 
     private static final String EVENT = "id: 1\ndata: " + "x".repeat(1 << 20) + "\n\n";
@@ -81,7 +84,8 @@
             onLoop(() -> respond(exchange, LARGE));
             assertTrue(onLoop(() -> account.reserved(ReservationKind.ANSWERS_WAITING)) > 0);
             onLoop(this::closeResting);
-            assertEquals(1, onLoop(server::open), "an answer not yet read is not at rest");
+            assertEquals(
+                    1, onLoop(server::open), "a connection with an unread answer counts as open");
             assertTrue(caller.getInputStream().readAllBytes().length > LARGE);
         }
         awaitEmptyAccount();
@@ -127,18 +131,20 @@
 
     @Example
     void cutStreamEndsAtACompleteEventAndDoesNotLookComplete() throws Exception {
-        CountDownLatch gone = new CountDownLatch(1);
+        CountDownLatch disconnected = new CountDownLatch(1);
         try (Socket caller = caller("")) {
             ServerExchange exchange = next();
             onLoop(() -> begin(exchange, true));
-            onLoop(() -> onDisconnect(exchange, gone));
+            onLoop(() -> onDisconnect(exchange, disconnected));
             for (int event = 0; event < 24; event++) {
                 onLoop(() -> write(exchange, EVENT.getBytes(ascii())));
             }
             onLoop(() -> cut(exchange));
-            assertTrue(gone.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the sender was not told");
+            assertTrue(
+                    disconnected.await(TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                    "the sender was not notified");
             String answer = text(caller.getInputStream());
-            assertFalse(answer.endsWith(END), "it looks whole");
+            assertFalse(answer.endsWith(END), "it looks complete");
             assertTrue(answer.endsWith("\n\n\r\n"), "it ends inside an event");
         }
         awaitEmptyAccount();
@@ -186,7 +192,7 @@
             onLoop(() -> abort(exchange));
             String answer = text(caller.getInputStream());
             assertTrue(answer.length() > 24 * EVENT.length(), "events are missing");
-            assertFalse(answer.endsWith(END), "it looks whole");
+            assertFalse(answer.endsWith(END), "it looks complete");
         }
         awaitEmptyAccount();
     }
@@ -217,7 +223,7 @@
     private void awaitEmptyAccount() throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (onLoop(account::total) != 0) {
-            assertTrue(System.nanoTime() < end, () -> "still held: " + account.total());
+            assertTrue(System.nanoTime() < end, () -> "still reserved: " + account.total());
             Thread.sleep(20);
         }
     }
@@ -226,7 +232,7 @@
         return ("GET / HTTP/1.1\r\nHost: h\r\n" + fields + "\r\n").getBytes(ascii());
     }
 
-    /** Sends a request over a socket that takes little before it is read. */
+    /** Sends a request over a socket with a small receive buffer. */
     private Socket caller(String fields) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(RECEIVE_BYTES);
@@ -279,8 +285,8 @@
         return true;
     }
 
-    private static boolean onDisconnect(ServerExchange exchange, CountDownLatch gone) {
-        exchange.onDisconnect(gone::countDown);
+    private static boolean onDisconnect(ServerExchange exchange, CountDownLatch disconnected) {
+        exchange.onDisconnect(disconnected::countDown);
         return true;
     }
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowUpstreamTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/http/SlowUpstreamTest.java
@@ -34,13 +34,16 @@
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
 
-/** What is kept of bodies that a server does not take, and when it is let go. */
+/**
+ * Guards against request bodies that a server does not read being left uncounted, or counted for
+ * too long.
+ */
 class SlowUpstreamTest {
     private static final long PATIENCE_SECONDS = 20;
     private static final int RECEIVE_BYTES = 4 * 1024;
     private static final long REST_MILLIS = 60_000;
 
-    /** More than the sockets of both ends take. */
+    /** More bytes than the socket buffers of both ends hold. */
     private static final int LARGE = 24 << 20;
 
     private final BlockingQueue<String> results = new LinkedBlockingQueue<>();
@@ -49,7 +52,7 @@
     private ServerSocket listener;
     private HostPort target;
 
-    /** Tells how a call ended. */
+    /** Records how a call ended. */
     private final class Recorder implements CallListener {
         private int status;
 
--- a/trailladder-entry/src/test/java/io/trailladder/entry/log/EarlyLinesTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/log/EarlyLinesTest.java
@@ -26,7 +26,7 @@
 class EarlyLinesTest {
     private final List<String> written = new ArrayList<>();
 
-    /** A line whose text is asked for when it is written. */
+    /** A line whose text is made when it is written. */
     private Object line(String text) {
         return new Object() {
             @Override
--- a/trailladder-entry/src/test/java/io/trailladder/entry/loop/SteadyClockTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/loop/SteadyClockTest.java
@@ -30,7 +30,7 @@
     private long jump;
     private final SteadyClock clock = new SteadyClock(new MachineClock(), () -> steady);
 
-    /** True time and what somebody set the clock wrong by. */
+    /** The true time and the error of the system clock. */
     private final class MachineClock extends Clock {
         @Override
         public long millis() {
--- a/trailladder-platform/src/main/java/io/trailladder/platform/CloudApi.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/CloudApi.java
@@ -28,7 +28,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Reads the cloud's instance list, which lags, and its notices.
+ * Reads the cloud's instance list, which lags behind the actual instances, and its notices.
  *
  * @since 0.1
  */
@@ -40,13 +40,13 @@
     private final HostPort service;
 
     /**
-     * The instance list as the cloud tells it.
+     * The instance list as reported by the cloud.
      *
-     * @param upstreams instances live or leaving
+     * @param upstreams all instances, leaving ones included
      * @param leaving names of those that are leaving
      */
     public record InstanceList(List<LocalUpstream> upstreams, List<String> leaving) {
-        /** Copies both. */
+        /** Makes unmodifiable copies of both lists. */
         public InstanceList {
             upstreams = List.copyOf(upstreams);
             leaving = List.copyOf(leaving);
@@ -54,21 +54,21 @@
     }
 
     /**
-     * Says that an instance will be taken back.
+     * The notice that the cloud will take an instance back.
      *
      * @param id the instance's name
-     * @param remainingMillis how long it will still run
+     * @param remainingMillis how long it continues to run, in milliseconds
      */
     public record Notice(String id, long remainingMillis) {}
 
     /**
-     * An answer to a wait for notices.
+     * The answer to a wait for notices.
      *
      * @param notices the notices, oldest first
-     * @param next where to go on waiting
+     * @param next position to pass to the next wait
      */
     public record Notices(List<Notice> notices, long next) {
-        /** Copies the notices. */
+        /** Makes an unmodifiable copy of the notices. */
         public Notices {
             notices = List.copyOf(notices);
         }
@@ -77,8 +77,8 @@
     /**
      * Creates the adapter.
      *
-     * @param client makes the calls
-     * @param service where the cloud's API listens
+     * @param client sends the calls
+     * @param service address of the cloud's API
      */
     public CloudApi(HttpClient client, HostPort service) {
         this.client = client;
@@ -88,7 +88,7 @@
     /**
      * Reads the instance list.
      *
-     * @return the list
+     * @return the list; fails with {@link PlatformException} if the answer is not JSON
      */
     public CompletableFuture<InstanceList> instances() {
         return client.call(HttpCall.get(service, "/instances", IDLE_TIMEOUT_MILLIS))
@@ -98,9 +98,10 @@
     /**
      * Waits for notices.
      *
-     * @param after where the last answer ended
-     * @param timeoutMillis how long to wait
-     * @return the notices since then
+     * @param after {@code next} of the previous answer
+     * @param timeoutMillis maximum wait, in milliseconds
+     * @return the notices after that position; fails with {@link PlatformException} if the answer
+     *     is not JSON
      */
     public CompletableFuture<Notices> notices(long after, long timeoutMillis) {
         String path = "/notices?after=" + after + "&timeout=" + timeoutMillis;
@@ -139,7 +140,8 @@
         try {
             return JSON.readTree(reply.body());
         } catch (IOException e) {
-            throw new PlatformException("the cloud", reply.status() + " without JSON");
+            throw new PlatformException(
+                    "a call of the cloud API", reply.status() + " without JSON");
         }
     }
 }
--- a/trailladder-platform/src/main/java/io/trailladder/platform/HttpKeyValueStore.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/HttpKeyValueStore.java
@@ -35,7 +35,7 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Reaches the key-value service over HTTP with JSON.
+ * A {@link KeyValueStore} that calls the key-value service over HTTP with JSON.
  *
  * @since 0.1
  */
@@ -53,8 +53,8 @@
     /**
      * Creates the adapter.
      *
-     * @param client makes the calls
-     * @param service where the service listens
+     * @param client sends the calls
+     * @param service address of the service
      */
     public HttpKeyValueStore(HttpClient client, HostPort service) {
         this.client = client;
@@ -119,7 +119,7 @@
     }
 
     private CompletableFuture<HttpReply> call(
-            String method, String path, String body, long idleMillis, boolean writes) {
+            String method, String path, String body, long idleTimeoutMillis, boolean writes) {
         HttpCall call =
                 new HttpCall(
                         service,
@@ -127,7 +127,7 @@
                         path,
                         Map.of(),
                         body.getBytes(StandardCharsets.UTF_8),
-                        idleMillis);
+                        idleTimeoutMillis);
         String name = method + " " + path;
         return client.call(call)
                 .handle(
@@ -157,7 +157,8 @@
         try {
             return JSON.readTree(reply.body());
         } catch (IOException e) {
-            throw new PlatformException("a call", reply.status() + " without JSON");
+            throw new PlatformException(
+                    "a call of the key-value service", reply.status() + " without JSON");
         }
     }
 
@@ -175,7 +176,7 @@
     /**
      * Writes a value as JSON.
      *
-     * @param value a record of the core
+     * @param value a record
      * @return JSON text
      */
     static String toJson(Object value) {
--- a/trailladder-platform/src/main/java/io/trailladder/platform/KeyValueStore.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/KeyValueStore.java
@@ -20,32 +20,31 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The port to the platform's key-value service. Every future may fail with {@link
- * PlatformException}.
+ * The platform's key-value service. Every future may fail with {@link PlatformException}.
  *
  * @since 0.1
  */
 public interface KeyValueStore {
-    /** The version to expect of a key that must not exist. */
+    /** The expected version of a key that must not exist. */
     long ABSENT = 0;
 
     /**
-     * A value with its version.
+     * A key with its value and version.
      *
      * @param key the key
      * @param value the value; null in a watch if the key was deleted
-     * @param version version of the key, to be expected by the next write
+     * @param version version of the key, for the next conditional write
      */
     record Item(String key, String value, long version) {}
 
     /**
-     * What a watch or list returns.
+     * The result of a watch or list.
      *
      * @param items the items
-     * @param revision the service's revision, to watch on from
+     * @param revision the service's revision, from which to continue watching
      */
     record Batch(List<Item> items, long revision) {
-        /** Copies the items. */
+        /** Makes an unmodifiable copy of the items. */
         public Batch {
             items = List.copyOf(items);
         }
@@ -64,18 +63,18 @@
      *
      * @param key the key
      * @param value the value, at most 1 MB
-     * @param expectedVersion the version; {@link #ABSENT} to create
+     * @param expectedVersion the version; {@link #ABSENT} to create the key
      * @return the new version, or empty if the key has another version
      */
     CompletableFuture<Optional<Long>> put(String key, String value, long expectedVersion);
 
     /**
-     * Writes a value that vanishes when its lease lapses.
+     * Writes a value that is deleted when its lease expires.
      *
      * @param key the key
      * @param value the value
      * @param lease the lease's name
-     * @return done
+     * @return completes when the service has confirmed the call
      */
     CompletableFuture<Void> putLeased(String key, String value, String lease);
 
@@ -83,7 +82,7 @@
      * Deletes a key.
      *
      * @param key the key
-     * @return done
+     * @return completes when the service has confirmed the call
      */
     CompletableFuture<Void> delete(String key);
 
@@ -92,7 +91,7 @@
      *
      * @param lease its name
      * @param ttlMillis how long it lasts from now, in milliseconds
-     * @return done
+     * @return completes when the service has confirmed the call
      */
     CompletableFuture<Void> renew(String lease, long ttlMillis);
 
@@ -109,7 +108,7 @@
      *
      * @param prefix the prefix
      * @param afterRevision only changes after this revision
-     * @param timeoutMillis how long to wait; then an empty batch comes
+     * @param timeoutMillis maximum wait, in milliseconds; after it the batch is empty
      * @return the changed items
      */
     CompletableFuture<Batch> watch(String prefix, long afterRevision, long timeoutMillis);
--- a/trailladder-platform/src/main/java/io/trailladder/platform/PlatformException.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/PlatformException.java
@@ -18,7 +18,7 @@
 import io.trailladder.core.TrailladderException;
 
 /**
- * Is thrown when the platform cannot be reached or answers something unexpected.
+ * Thrown when the platform cannot be reached or its answer is not of the expected form.
  *
  * @since 0.1
  */
@@ -30,8 +30,8 @@
     /**
      * Creates the exception for a call without answer.
      *
-     * @param call what was asked for
-     * @param effectPossible true if the platform may have carried it out all the same
+     * @param call the call
+     * @param effectPossible true if the platform may have executed the call nevertheless
      * @param cause the lower layer's exception
      */
     public PlatformException(String call, boolean effectPossible, Throwable cause) {
@@ -46,8 +46,8 @@
     /**
      * Creates the exception for an answer of unexpected form.
      *
-     * @param call what was asked for
-     * @param answer what came
+     * @param call the call
+     * @param answer the answer
      */
     public PlatformException(String call, String answer) {
         super("the platform answered " + call + " with '" + answer + "'");
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Tells whether the call may have taken effect.
+     * Returns whether the call may have taken effect.
      *
      * @return false only if it certainly has not
      */
--- a/trailladder-platform/src/main/java/io/trailladder/platform/RangeStore.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/RangeStore.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Keeps the assignment of key ranges to entries as one value in the platform's key-value service.
+ * Stores the assignment of key ranges to entries as one value in the platform's key-value service.
  *
  * @since 0.1
  */
@@ -45,7 +45,7 @@
      * Creates the store.
      *
      * @param store the key-value service
-     * @param ranges how many ranges a fresh map has
+     * @param ranges number of ranges of a map that is not stored yet
      */
     public RangeStore(KeyValueStore store, int ranges) {
         this.store = store;
@@ -69,11 +69,11 @@
     }
 
     /**
-     * Replaces assignments whose epochs follow those in the stored map. Others are left as they
-     * are.
+     * Replaces each assignment whose new epoch is one above the stored epoch. Other changes are
+     * ignored.
      *
      * @param changes the new assignments by range
-     * @return the map as it is afterwards, whether or not it took the changes
+     * @return the stored map afterwards, with or without the changes
      */
     public CompletableFuture<RangeMap> change(Map<Integer, RangeAssignment> changes) {
         return read().thenCompose(present -> change(present, changes));
--- a/trailladder-platform/src/main/java/io/trailladder/platform/TableStore.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/TableStore.java
@@ -30,16 +30,16 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Keeps the table in the platform's key-value service: a record for each change, a head that names
- * the newest one, and now and then a snapshot.
+ * Stores the table in the platform's key-value service: a record per change, a head that identifies
+ * the newest change, and a snapshot after every 32nd change.
  *
- * <p>The compare-and-swap of the head is the commit. A change whose answer was lost is looked for
- * by its id, never guessed at.
+ * <p>The compare-and-swap of the head is the commit. If its answer is lost, the history is searched
+ * for the change to find out whether it was committed.
  *
  * @since 0.1
  */
 public final class TableStore {
-    /** Key of the head; a watch on it sees every commit. */
+    /** Key of the head; a watch on it reports every commit. */
     public static final String HEAD_KEY = "table/head";
 
     private static final String SNAPSHOT_KEY = "table/snapshot";
@@ -49,7 +49,7 @@
     private final KeyValueStore store;
 
     /**
-     * Names the newest change.
+     * Identifies the newest change.
      *
      * @param revision its revision
      * @param changeId its id
@@ -68,15 +68,15 @@
      * The stored form of a whole table.
      *
      * @param revision its revision
-     * @param changeId the change that made it
+     * @param changeId id of the change that produced it
      * @param rows its rows
      */
     public record Snapshot(long revision, String changeId, List<Row> rows) {}
 
-    /** Why a change is not in the table. */
+    /** The reason why a commit did not succeed. */
     public sealed interface CommitFailure {
         /**
-         * Another change came first.
+         * Another change was committed first.
          *
          * @param winner the newest change
          */
@@ -85,14 +85,14 @@
         /**
          * The platform cannot be reached to find out whether the change was committed.
          *
-         * @param changeId the change to ask for later
+         * @param changeId id of the change, to be looked up later
          */
         record Unknown(String changeId) implements CommitFailure {}
 
         /**
          * The platform cannot be reached; the change was certainly not committed.
          *
-         * @param cause why
+         * @param cause message of the failure
          */
         record Unreachable(String cause) implements CommitFailure {}
     }
@@ -119,8 +119,7 @@
      * Reads the changes after a table.
      *
      * @param known the table
-     * @return the changes in order; empty if the table is the newest, or if snapshots have replaced
-     *     changes it lacks
+     * @return the changes in order; empty if the table is up to date
      */
     public CompletableFuture<List<TableChange>> changesAfter(Table known) {
         return head().thenCompose(item -> walk(item.head(), known.revision(), new ArrayDeque<>()));
@@ -129,7 +128,7 @@
     /**
      * Reads the newest changes.
      *
-     * @param count how many at most
+     * @param count maximum number of changes
      * @return the changes, oldest first
      */
     public CompletableFuture<List<TableChange>> history(int count) {
@@ -146,10 +145,10 @@
      *
      * @param base the table it was made from
      * @param changeId a new unique id
-     * @param author who made it
+     * @param author the author of the change
      * @param puts rows added or replaced
-     * @param removals rows taken away
-     * @return the committed change, or why it is not committed
+     * @param removals keys of rows removed
+     * @return the committed change, or the reason why it is not committed
      */
     public CompletableFuture<Either<CommitFailure, TableChange>> commit(
             Table base, String changeId, String author, List<Row> puts, List<RowKey> removals) {
@@ -184,21 +183,23 @@
     }
 
     private CompletableFuture<Either<CommitFailure, TableChange>> commit(
-            TableChange change, HeadItem expected, int tries) {
+            TableChange change, HeadItem expected, int attempts) {
         boolean follows = expected.head().changeId().equals(change.previousChangeId());
         if (!follows) {
             return outcomeFromHistory(change);
         }
         Head next = new Head(change.revision(), change.changeId());
         return store.put(HEAD_KEY, json(next), expected.version())
-                .handle((version, failure) -> afterSwap(change, expected, tries, version, failure))
+                .handle(
+                        (version, failure) ->
+                                afterSwap(change, expected, attempts, version, failure))
                 .thenCompose(result -> result);
     }
 
     private CompletableFuture<Either<CommitFailure, TableChange>> afterSwap(
             TableChange change,
             HeadItem expected,
-            int tries,
+            int attempts,
             Optional<Long> version,
             Throwable failure) {
         if (failure == null) {
@@ -206,23 +207,24 @@
                     ? CompletableFuture.completedFuture(Either.right(change))
                     : outcomeFromHistory(change);
         }
-        if (tries <= 1) {
+        if (attempts <= 1) {
             return CompletableFuture.completedFuture(
                     Either.left(new CommitFailure.Unknown(change.changeId())));
         }
-        // the same swap again: it can succeed only once, whichever of the two was carried out
-        return commit(change, expected, tries - 1);
+        // repeating the same swap is safe: it can take effect only once
+        return commit(change, expected, attempts - 1);
     }
 
-    /** Looks in the history, which alone tells whether a swap whose answer was lost took effect. */
-    private CompletableFuture<Either<CommitFailure, TableChange>> outcomeFromHistory(TableChange change) {
+    /** Searches the history, the only evidence of whether a swap without an answer took effect. */
+    private CompletableFuture<Either<CommitFailure, TableChange>> outcomeFromHistory(
+            TableChange change) {
         return changesSince(change.revision() - 1)
                 .<Either<CommitFailure, TableChange>>thenApply(
                         changes -> {
-                            boolean ours = changes.contains(change);
+                            boolean committed = changes.contains(change);
                             TableChange newest =
                                     changes.isEmpty() ? change : changes.get(changes.size() - 1);
-                            return ours
+                            return committed
                                     ? Either.right(change)
                                     : Either.left(new CommitFailure.Lost(newest));
                         })
@@ -250,7 +252,7 @@
                                         json(snapshot),
                                         item.map(KeyValueStore.Item::version)
                                                 .orElse(KeyValueStore.ABSENT)))
-                // a snapshot that fails only makes the next start read more changes
+                // without this snapshot the next start only reads more changes
                 .handle((version, failure) -> result);
     }
 
@@ -323,10 +325,10 @@
     }
 
     /**
-     * Returns the exception a future failed with.
+     * Returns the exception that a future failed with.
      *
-     * @param failure what the future gave
-     * @return the cause without wrapping
+     * @param failure the exception, possibly wrapped in a {@link CompletionException}
+     * @return the exception without the wrapper
      */
     public static Throwable unwrapped(Throwable failure) {
         return failure instanceof CompletionException ? failure.getCause() : failure;
--- a/trailladder-platform/src/main/java/io/trailladder/platform/http/ExchangeFilter.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/http/ExchangeFilter.java
@@ -27,7 +27,7 @@
 import org.glassfish.grizzly.http.HttpContent;
 import org.glassfish.grizzly.http.HttpResponsePacket;
 
-/** Passes what Grizzly reads from a connection to the connection's exchange. */
+/** Passes the content that Grizzly reads from a connection to the exchange of that connection. */
 final class ExchangeFilter extends BaseFilter {
     private static final Attribute<HttpExchange> EXCHANGE =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("trailladder.exchange");
--- a/trailladder-platform/src/main/java/io/trailladder/platform/http/HostPort.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/http/HostPort.java
@@ -18,9 +18,9 @@
 import io.trailladder.core.TrailladderException;
 
 /**
- * An address given by IP number and port.
+ * A host and a port.
  *
- * @param host IP number
+ * @param host IP address
  * @param port from 0 to 65535; 0 lets the system choose
  * @since 0.1
  */
@@ -28,11 +28,11 @@
     private static final int MAX_PORT = 65_535;
 
     /**
-     * Reads an address.
+     * Parses an address.
      *
      * @param text for example {@code 127.0.0.1:8080}
      * @return the address
-     * @throws BadAddressException if the text is none
+     * @throws BadAddressException if the text is not an address
      */
     public static HostPort parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -42,13 +42,13 @@
                 return new HostPort(text.substring(0, colon), port);
             }
         } catch (NumberFormatException e) {
-            // refused below like any other malformed address
+            // reported below like any other malformed address
         }
         throw new BadAddressException(text);
     }
 
-    // written out: the methods that records get are linked at their first call, which takes a
-    // process that starts some 5 ms of processor time for each record
+    // explicit, because the generated methods of a record are linked at their first call, which
+    // takes about 5 ms of processor time per record at the start of a process
     @Override
     public boolean equals(Object other) {
         return other instanceof HostPort that && port == that.port && host.equals(that.host);
@@ -64,7 +64,7 @@
         return host + ":" + port;
     }
 
-    /** Is thrown for text that is no address. */
+    /** Thrown for text that is not an address. */
     public static class BadAddressException extends TrailladderException {
         private static final long serialVersionUID = 1L;
 
--- a/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpCall.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpCall.java
@@ -27,7 +27,8 @@
  * @param path path with query
  * @param headers HTTP headers
  * @param body the body; empty for none
- * @param idleTimeoutMillis longest silence before the call fails, in milliseconds
+ * @param idleTimeoutMillis maximum time without bytes from the server before the call fails, in
+ *     milliseconds
  * @since 0.1
  */
 public record HttpCall(
@@ -42,11 +43,11 @@
      *
      * @param target the server
      * @param path path with query
-     * @param idleMillis longest silence, in milliseconds
+     * @param idleTimeoutMillis maximum time without bytes from the server, in milliseconds
      * @return the call
      */
-    public static HttpCall get(HostPort target, String path, long idleMillis) {
-        return new HttpCall(target, "GET", path, Map.of(), new byte[0], idleMillis);
+    public static HttpCall get(HostPort target, String path, long idleTimeoutMillis) {
+        return new HttpCall(target, "GET", path, Map.of(), new byte[0], idleTimeoutMillis);
     }
 
     /**
@@ -55,13 +56,13 @@
      * @param target the server
      * @param path path with query
      * @param json the body
-     * @param idleMillis longest silence, in milliseconds
+     * @param idleTimeoutMillis maximum time without bytes from the server, in milliseconds
      * @return the call
      */
-    public static HttpCall post(HostPort target, String path, String json, long idleMillis) {
+    public static HttpCall post(HostPort target, String path, String json, long idleTimeoutMillis) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Content-Type", "application/json");
         byte[] body = json.getBytes(StandardCharsets.UTF_8);
-        return new HttpCall(target, "POST", path, headers, body, idleMillis);
+        return new HttpCall(target, "POST", path, headers, body, idleTimeoutMillis);
     }
 }
--- a/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpClient.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpClient.java
@@ -38,9 +38,9 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 
 /**
- * Calls HTTP servers without blocking. Every call has a connection of its own, so an answer that
- * was cut or never ended cannot spill into the next one, and a connection that the server closes
- * while idle can never make it doubtful whether a request was sent.
+ * Calls HTTP servers without blocking. Every call uses its own connection, so that bytes of an
+ * incomplete answer cannot reach the next call, and so that it is never uncertain whether a request
+ * was sent on a connection that the server closed while idle.
  *
  * <pre>{@code
  * try (HttpClient client = new HttpClient(timer)) {
@@ -51,7 +51,7 @@
  * @since 0.1
  */
 public final class HttpClient implements AutoCloseable {
-    /** Most bytes that {@link #call} collects. */
+    /** Maximum size of the body that {@link #call} collects, in bytes. */
     public static final int MAX_COLLECTED_BYTES = 4 * 1024 * 1024;
 
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
@@ -63,7 +63,7 @@
     /**
      * Creates a client.
      *
-     * @param timer runs the check for silent servers
+     * @param timer runs the check for servers that do not respond
      */
     public HttpClient(ScheduledExecutorService timer) {
         transport =
@@ -91,8 +91,8 @@
      * Sends a call.
      *
      * @param call the call
-     * @param listener told of the answer, on a thread that must not block
-     * @return the exchange, to cancel it
+     * @param listener receives the answer, on a thread that must not block
+     * @return the exchange, by which the call can be cancelled
      */
     public HttpExchange send(HttpCall call, HttpListener listener) {
         HttpExchange exchange = new HttpExchange(call, listener);
@@ -103,7 +103,7 @@
                 address,
                 new EmptyCompletionHandler<>() {
                     @Override
-                    @SuppressWarnings("rawtypes") // Grizzly's own signature
+                    @SuppressWarnings("rawtypes") // signature of Grizzly
                     public void completed(Connection connection) {
                         write(exchange, connection);
                     }
@@ -125,7 +125,7 @@
      * Sends a call and collects its answer.
      *
      * @param call the call
-     * @return the whole answer; fails with {@link HttpFailureException}
+     * @return the complete answer; fails with {@link HttpFailureException}
      */
     public CompletableFuture<HttpReply> call(HttpCall call) {
         Collector collector = new Collector(call.target());
@@ -171,7 +171,9 @@
         exchanges.forEach(exchange -> failIfIdle(exchange, now));
     }
 
-    /** One listener that throws must not end the check for all other calls. */
+    /**
+     * Fails an idle exchange; an exception of its listener must not end the check for the others.
+     */
     private static void failIfIdle(HttpExchange exchange, long now) {
         try {
             exchange.failIfIdle(now);
@@ -181,7 +183,7 @@
         }
     }
 
-    /** Collects a bounded answer. */
+    /** Collects an answer of at most {@link #MAX_COLLECTED_BYTES}. */
     private static final class Collector implements HttpListener {
         private final CompletableFuture<HttpReply> reply = new CompletableFuture<>();
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -199,8 +201,8 @@
         }
 
         @Override
-        public void head(int answered, String type) {
-            status = answered;
+        public void head(int answerStatus, String type) {
+            status = answerStatus;
             contentType = type;
         }
 
--- a/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpExchange.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpExchange.java
@@ -20,7 +20,7 @@
 import org.glassfish.grizzly.Connection;
 
 /**
- * One call on its own connection. It tells its listener the end exactly once.
+ * One call on its own connection. It reports the end to its listener exactly once.
  *
  * @since 0.1
  */
@@ -38,7 +38,7 @@
         this.listener = listener;
     }
 
-    /** Breaks the call off; the listener is told that it failed unless it has ended. */
+    /** Cancels the call. The listener receives a failure unless the call has already ended. */
     public void cancel() {
         fail(Kind.CANCELLED);
     }
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Marks that bytes may leave from now on.
+     * Records that bytes of the request may be sent from now on.
      *
-     * @param opened the connection they leave on
+     * @param opened the connection they are sent on
      * @return false if the call is over and must not be sent
      */
     boolean beginSend(Connection<?> opened) {
--- a/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpFailureException.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpFailureException.java
@@ -18,7 +18,7 @@
 import io.trailladder.core.TrailladderException;
 
 /**
- * How a call ends that gets no whole answer.
+ * Reports that a call ended without a complete answer.
  *
  * @since 0.1
  */
@@ -28,15 +28,15 @@
     private final Kind kind;
     private final boolean sent;
 
-    /** What went wrong. */
+    /** The kind of a failure. */
     public enum Kind {
-        /** No connection came about. */
+        /** No connection was established. */
         UNREACHABLE,
-        /** The connection ended before the answer did. */
+        /** The connection was closed before the end of the answer. */
         CUT,
-        /** The server was silent for too long. */
+        /** The server sent nothing within the idle timeout. */
         SILENT,
-        /** The answer is not HTTP, or too large. */
+        /** The answer is not valid HTTP, or too large. */
         MALFORMED,
         /** The caller of the client cancelled the call. */
         CANCELLED
@@ -45,8 +45,8 @@
     /**
      * Creates the exception.
      *
-     * @param kind what went wrong
-     * @param sent true if any byte of the request may have left
+     * @param kind the kind of the failure
+     * @param sent true if any byte of the request may have been sent
      * @param target the server
      */
     public HttpFailureException(Kind kind, boolean sent, HostPort target) {
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Returns what went wrong.
+     * Returns the kind of the failure.
      *
      * @return the kind
      */
@@ -71,9 +71,9 @@
     }
 
     /**
-     * Tells whether the request may have reached the server.
+     * Returns whether the request may have reached the server.
      *
-     * @return false only if certainly no byte left
+     * @return false only if certainly no byte was sent
      */
     public boolean sent() {
         return sent;
--- a/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpListener.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpListener.java
@@ -16,13 +16,14 @@
 package io.trailladder.platform.http;
 
 /**
- * Is told of an answer while it arrives. Either {@link #ended} or {@link #failed} comes last, once.
+ * Receives an answer while it arrives. The last call is either {@link #ended} or {@link #failed},
+ * once.
  *
  * @since 0.1
  */
 public interface HttpListener {
     /**
-     * The answer begins.
+     * Called when the status and headers have arrived.
      *
      * @param status HTTP status
      * @param contentType the {@code Content-Type}; empty if none
@@ -30,19 +31,19 @@
     void head(int status, String contentType);
 
     /**
-     * A part of the body came.
+     * Called when a part of the body has arrived.
      *
      * @param bytes the part
      */
     void body(byte[] bytes);
 
-    /** The answer is whole. */
+    /** Called when the answer is complete. */
     void ended();
 
     /**
-     * The answer will never be whole.
+     * Called when the call has ended without a complete answer.
      *
-     * @param failure why, and whether the request may have reached the server
+     * @param failure the reason, and whether the request may have reached the server
      */
     void failed(HttpFailureException failure);
 }
--- a/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpReply.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/http/HttpReply.java
@@ -18,7 +18,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A whole answer of an HTTP server.
+ * A complete answer of an HTTP server.
  *
  * @param status HTTP status
  * @param contentType the {@code Content-Type}; empty if none
@@ -29,7 +29,7 @@
     /**
      * Returns the body as text.
      *
-     * @return the body read as UTF-8
+     * @return the body decoded as UTF-8
      */
     public String text() {
         return new String(body, StandardCharsets.UTF_8);
--- a/trailladder-platform/src/main/java/io/trailladder/platform/http/package-info.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/http/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A small asynchronous HTTP client on Grizzly that tells whether any byte of a request may have
- * left.
+ * An asynchronous HTTP client on Grizzly that reports whether any byte of a failed request may have
+ * been sent.
  *
  * @since 0.1
  */
--- a/trailladder-platform/src/main/java/io/trailladder/platform/package-info.java
+++ b/trailladder-platform/src/main/java/io/trailladder/platform/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Ports to the platform (key-value service, instance list, cloud notices) and their HTTP adapters.
+ * Interfaces to the platform (key-value service, instance list, cloud notices) and their HTTP
+ * adapters.
  *
  * @since 0.1
  */
--- a/trailladder-wire/src/main/java/io/trailladder/wire/EntryInfo.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/EntryInfo.java
@@ -16,13 +16,13 @@
 package io.trailladder.wire;
 
 /**
- * How an entry presents itself to its peers.
+ * The name, place and addresses that an entry sends to its peers.
  *
- * @param id its name, new at every start
- * @param dataCentre where it runs
+ * @param id its name, different after every start
+ * @param dataCentre the data centre it runs in
  * @param peerAddress host and port of its peer link
- * @param callerAddress host and port where it takes callers' requests
- * @param operatorAddress host and port where it answers operators
+ * @param callerAddress host and port where it accepts callers' requests
+ * @param operatorAddress host and port of its operator interface
  * @since 0.1
  */
 public record EntryInfo(
--- a/trailladder-wire/src/main/java/io/trailladder/wire/MessageType.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/MessageType.java
@@ -19,7 +19,8 @@
 import java.util.Map;
 
 /**
- * Numbers the messages on the wire. A number is never used again for another message.
+ * The type of a message, with its number on the wire. The number of a removed message is never
+ * assigned to another one.
  *
  * @since 0.1
  */
@@ -64,7 +65,7 @@
     RECORD_FIND(19, PeerMessage.RecordFind.class),
     /** {@link PeerMessage.RecordFound}. */
     RECORD_FOUND(20, PeerMessage.RecordFound.class),
-    /** {@link PeerMessage.ClaimAsk}. */
+    /** {@link PeerMessage.ClaimRequest}. */
     CLAIM_ASK(21, PeerMessage.ClaimRequest.class),
     /** {@link PeerMessage.ClaimAnswer}. */
     CLAIM_ANSWER(22, PeerMessage.ClaimAnswer.class),
@@ -78,7 +79,7 @@
     CLAIM_ALL_KEPT(26, PeerMessage.ClaimAllKept.class),
     /** {@link PeerMessage.ClaimRelease}. */
     CLAIM_RELEASE(27, PeerMessage.ClaimRelease.class),
-    /** {@link PeerMessage.RangeMapNews}. */
+    /** {@link PeerMessage.RangeMapUpdate}. */
     RANGE_MAP_NEWS(28, PeerMessage.RangeMapUpdate.class),
     /** {@link NodeMessage.NodeHello}. */
     NODE_HELLO(29, NodeMessage.NodeHello.class),
@@ -86,11 +87,11 @@
     SNAPSHOT(32, NodeMessage.Snapshot.class),
     /** {@link NodeMessage.UsageHistory}. */
     USAGE_HISTORY(33, NodeMessage.UsageHistory.class),
-    /** {@link NodeMessage.NodeDigest}; 30 was a digest without scope. */
+    /** {@link NodeMessage.NodeDigest}; number 30 was a digest without scope. */
     NODE_DIGEST(34, NodeMessage.NodeDigest.class),
-    /** {@link NodeMessage.SnapshotAsk}; 31 asked for everything. */
+    /** {@link NodeMessage.SnapshotRequest}; number 31 requested everything. */
     SNAPSHOT_ASK(35, NodeMessage.SnapshotRequest.class),
-    /** {@link NodeMessage.UpstreamNews}. */
+    /** {@link NodeMessage.UpstreamUpdate}. */
     UPSTREAM_NEWS(36, NodeMessage.UpstreamUpdate.class),
     /** {@link NodeMessage.RolloutReport}. */
     ROLLOUT_REPORT(37, NodeMessage.RolloutReport.class),
@@ -116,7 +117,7 @@
     }
 
     /**
-     * Finds the type of a message.
+     * Returns the type of a message.
      *
      * @param message the message
      * @return its type
@@ -126,11 +127,11 @@
     }
 
     /**
-     * Finds a type by its number.
+     * Returns the type with a number.
      *
      * @param number the number on the wire
      * @return the type
-     * @throws WireException if no message has this number
+     * @throws WireException if no type has this number
      */
     public static MessageType of(int number) {
         MessageType type = BY_NUMBER.get(number);
@@ -142,7 +143,7 @@
     }
 
     /**
-     * Returns the number on the wire.
+     * Returns the number of this type on the wire.
      *
      * @return from 1 to 255
      */
@@ -151,9 +152,9 @@
     }
 
     /**
-     * Returns the record that carries this message.
+     * Returns the class of the messages of this type.
      *
-     * @return its class
+     * @return the record class
      */
     public Class<? extends PeerMessage> messageClass() {
         return messageClass;
--- a/trailladder-wire/src/main/java/io/trailladder/wire/NodeMessage.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/NodeMessage.java
@@ -29,43 +29,44 @@
  */
 public sealed interface NodeMessage extends PeerMessage {
     /**
-     * Opens a link.
+     * The first message of each side of a link.
      *
      * @param name the sender's name
-     * @param incarnation names this life of the sender
+     * @param incarnation identifies one run of the sender, from its start to its end
      * @param dataCentre its data centre
-     * @param address where it takes links
+     * @param address host and port where it accepts links
      */
     record NodeHello(String name, String incarnation, String dataCentre, String address)
             implements NodeMessage {}
 
-    /** Whose figures a digest carries. */
+    /** Which processes the figures of a digest cover. */
     enum DigestScope {
-        /** The sender's own: it relies on the receiver to pass them on. */
+        /** The sender only; the receiver, its hub, passes them on. */
         OWN,
-        /** Those of the sender, a hub, and of all that rely on it. */
+        /** The sender, a hub, and all its leaves. */
         GROUP,
-        /** Those of all processes but the receiver, as its hub sees them. */
+        /** All processes except the receiver, as known to its hub. */
         REST
     }
 
     /**
-     * What the sender knows and does, sent a few times a second.
+     * The state and load of the sender, sent a few times a second.
      *
-     * @param policyVersion version of the policy in force there; 0 if it knows none
-     * @param directoryRevision revision of its list of upstreams; 0 if it knows none
+     * @param policyVersion version of the policy that the sender applies; 0 if it has none
+     * @param directoryRevision revision of its list of upstreams; 0 if it has none
      * @param storeReachable true if the platform's store answers the sender
      * @param draining true if it is stopping
-     * @param scope whose figures follow
-     * @param processes how many processes the figures are of
-     * @param members how many processes the sender has read in the store; 0 if none
-     * @param usage requests that began to run, where that has changed since the digest before
-     * @param quotas what was let pass, by organisation
-     * @param uses what is under way at upstreams
-     * @param demands the prompts that upstreams of services are to read
-     * @param evidence what was seen of the speed of upstreams; empty if not told this time
-     * @param leaving upstreams it saw leaving lately
-     * @param sections what parts of the product tell each other, in forms of their own
+     * @param scope which processes the figures cover
+     * @param processes how many processes the figures cover
+     * @param members how many processes are listed in the store, as last read by the sender; 0 if
+     *     none
+     * @param usage counts of requests that began to run, where changed since the previous digest
+     * @param quotas admitted units by organisation
+     * @param uses requests in progress at upstreams
+     * @param demands rates of prompt tokens by service
+     * @param evidence observations of the speed of upstreams; empty if this digest has none
+     * @param leaving upstreams that it recently found to be leaving
+     * @param sections figures of separate components, each in its own format
      */
     record NodeDigest(
             long policyVersion,
@@ -84,12 +85,12 @@
             List<DigestSection> sections)
             implements NodeMessage {
         /**
-         * Returns the digest with other news of usage.
+         * Returns a copy of the digest with other usage.
          *
-         * @param news requests that began to run
-         * @return a copy
+         * @param newUsage counts of requests that began to run
+         * @return the copy
          */
-        public NodeDigest withUsage(List<UsageHistory> news) {
+        public NodeDigest withUsage(List<UsageHistory> newUsage) {
             return new NodeDigest(
                     policyVersion,
                     directoryRevision,
@@ -98,7 +99,7 @@
                     scope,
                     processes,
                     members,
-                    news,
+                    newUsage,
                     quotas,
                     uses,
                     demands,
@@ -108,14 +109,14 @@
         }
 
         /**
-         * Returns the digest with other figures of services.
+         * Returns a copy of the digest with other figures of services.
          *
-         * @param sound the demands
-         * @param soundEvidence the evidence
-         * @return a copy
+         * @param newDemands the demands
+         * @param newEvidence the evidence
+         * @return the copy
          */
         public NodeDigest withFigures(
-                List<ServiceDemand> sound, List<EngineEvidence> soundEvidence) {
+                List<ServiceDemand> newDemands, List<EngineEvidence> newEvidence) {
             return new NodeDigest(
                     policyVersion,
                     directoryRevision,
@@ -127,62 +128,65 @@
                     usage,
                     quotas,
                     uses,
-                    sound,
-                    soundEvidence,
+                    newDemands,
+                    newEvidence,
                     leaving,
                     sections);
         }
     }
 
     /**
-     * What one part of the product tells its like at the receiver. A receiver without that part, or
-     * with an older form of it, passes the section over, so that processes of two versions work
-     * together while they are replaced.
+     * The figures of one component for the same component at the receiver. A receiver without that
+     * component, or with another version of its format, ignores the section, so that processes of
+     * two versions work together during an upgrade.
      *
-     * @param name names the part
-     * @param version form of the body
+     * @param name name of the component
+     * @param version version of the format of the body
      * @param ageMillis age of the figures when they were sent, in milliseconds
-     * @param body the figures, in the part's form; at most {@link #MOST_BYTES}
+     * @param body the figures in the component's format; at most {@link #MAX_BODY_BYTES} bytes
      */
     record DigestSection(String name, int version, long ageMillis, byte[] body) {
-        /** Most bytes of a body: what 100 upstreams or organisations take at 40 bytes each. */
+        /** Maximum size of a body: 100 upstreams or organisations at about 40 bytes each. */
         public static final int MAX_BODY_BYTES = 4_096;
 
-        /** Most sections of a digest: several times the parts that exist. */
+        /** Maximum number of sections of a digest, several times the number of components. */
         public static final int MAX_SECTIONS = 16;
     }
 
     /**
-     * One organisation's use.
+     * The units that one organisation has used.
      *
      * @param organisation the organisation
-     * @param used units let pass since the sender's start
-     * @param toldBefore the part of them that other processes have been told of already
-     * @param level units left over all processes, as the sender sees it
+     * @param used units admitted since the sender's start
+     * @param reportedBefore those of them that are already reported to other processes
+     * @param level units left across all processes, as calculated by the sender
      */
     record OrganisationUse(String organisation, double used, double reportedBefore, double level) {}
 
     /**
-     * What a region knows and does, told to other regions and passed on within them as it came.
+     * The state of a region, sent to other regions and forwarded unchanged within them.
      *
-     * @param speaks true if the origin tells for its region; else only versions are told
-     * @param hears who tells the origin for the receiver's region; empty if nobody does
-     * @param origin the process that told it first
-     * @param digest the sums of all processes of its region that the origin hears
+     * @param represents true if the origin represents its region; otherwise only the versions apply
+     * @param receivesFrom the process from which the origin receives the digests of the receiver's
+     *     region; empty if there is none
+     * @param origin the process that created the digest
+     * @param digest the sums over all processes of its region from which the origin receives
+     *     digests
      */
-    record RegionDigest(boolean represents, String receivesFrom, NodeHello origin, NodeDigest digest)
+    record RegionDigest(
+            boolean represents, String receivesFrom, NodeHello origin, NodeDigest digest)
             implements NodeMessage {}
 
     /**
-     * Requests that began to run at one process, told to a peer that may not have heard of them.
+     * Counts of requests that began to run at one process, for a peer that may lack them.
      *
-     * @param life names the life of the process
+     * @param incarnation identifies the run of the process
      * @param usage its counts of recent windows
      */
     record UsageHistory(String incarnation, List<UsageCount> usage) implements NodeMessage {}
 
     /**
-     * Asks for what the receiver knows of policy and upstreams, where that is newer.
+     * Requests the receiver's policy and list of upstreams, where they are newer.
      *
      * @param policyVersion version of the policy that the sender has
      * @param directoryRevision revision of the sender's list of upstreams
@@ -190,32 +194,33 @@
     record SnapshotRequest(long policyVersion, long directoryRevision) implements NodeMessage {}
 
     /**
-     * One change of the list of upstreams, told by a hub to its leaves.
+     * One change of the list of upstreams, sent by a hub to its leaves.
      *
      * @param after revision of the list before the change
      * @param revision revision of the list with it
-     * @param upstream the entry; without bytes if it is gone
+     * @param upstream the entry; without bytes if it is removed
      */
-    record UpstreamUpdate(long after, long revision, UpstreamEntry upstream) implements NodeMessage {}
+    record UpstreamUpdate(long after, long revision, UpstreamEntry upstream)
+            implements NodeMessage {}
 
     /**
-     * What the sender knows and has seen of roll-outs; sent only while there are some.
+     * The state and evidence of roll-outs at the sender; sent only while there are any.
      *
-     * @param rollouts one entry a service
+     * @param rollouts one update per service
      */
     record RolloutReport(List<RolloutUpdate> rollouts) implements NodeMessage {
-        /** Copies the entries. */
+        /** Makes an unmodifiable copy of the updates. */
         public RolloutReport {
             rollouts = List.copyOf(rollouts);
         }
     }
 
     /**
-     * What the sender knows of policy and upstreams, as the platform wrote it.
+     * The sender's policy and list of upstreams, in the bytes that the platform wrote.
      *
-     * @param policyVersion version of the policy; 0 if it knows none
+     * @param policyVersion version of the policy; 0 if the sender has none
      * @param policy the policy's bytes
-     * @param directoryRevision revision of the list of upstreams; 0 if it knows none
+     * @param directoryRevision revision of the list of upstreams; 0 if the sender has none
      * @param upstreams the upstreams' entries
      */
     record Snapshot(
--- a/trailladder-wire/src/main/java/io/trailladder/wire/NodePacker.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/NodePacker.java
@@ -41,26 +41,26 @@
 import org.msgpack.core.MessagePack;
 
 /**
- * Writes messages of gateways as MessagePack arrays of their fields in order, as the general mapper
- * of {@link PeerCodec} would. That one looks every class up by reflection, which took a process
- * that starts longer than all the rest of its start.
+ * Encodes messages between gateways as MessagePack arrays of their fields in order, in the same
+ * form as the general mapper of {@link PeerCodec}. It is separate because the mapper inspects every
+ * class by reflection, which takes longer than everything else at the start of a process.
  */
 final class NodePacker {
     private final MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
 
-    /** Writes one part of a message. */
+    /** Writes one element of a list. */
     private interface PartWriter<T> {
-        void write(T part) throws IOException;
+        void write(T element) throws IOException;
     }
 
     private NodePacker() {}
 
     /**
-     * Writes a message.
+     * Encodes a message.
      *
      * @param message the message
-     * @return its bytes
-     * @throws IOException if a field cannot be written
+     * @return the payload of its frame
+     * @throws IOException if a field cannot be encoded
      */
     static byte[] pack(NodeMessage message) throws IOException {
         NodePacker self = new NodePacker();
@@ -75,10 +75,13 @@
             hello(hello);
         } else if (message instanceof UsageHistory history) {
             usageHistory(history);
-        } else if (message instanceof SnapshotRequest ask) {
-            fields(2).number(ask.policyVersion()).number(ask.directoryRevision());
-        } else if (message instanceof UpstreamUpdate news) {
-            fields(3).number(news.after()).number(news.revision()).upstreamEntry(news.upstream());
+        } else if (message instanceof SnapshotRequest request) {
+            fields(2).number(request.policyVersion()).number(request.directoryRevision());
+        } else if (message instanceof UpstreamUpdate update) {
+            fields(3)
+                    .number(update.after())
+                    .number(update.revision())
+                    .upstreamEntry(update.upstream());
         } else if (message instanceof RolloutReport report) {
             fields(1).list(report.rollouts(), this::rollout);
         } else if (message instanceof Snapshot snapshot) {
@@ -175,17 +178,17 @@
                 .decimal(sums.xy());
     }
 
-    private void rollout(RolloutUpdate news) throws IOException {
-        RolloutOrder order = news.order();
+    private void rollout(RolloutUpdate update) throws IOException {
+        RolloutOrder order = update.order();
         fields(8)
                 .text(order.service())
                 .text(order.version())
                 .number(order.durationMillis())
                 .number(order.revision())
-                .text(news.phase().name())
-                .number(news.remainingMillis())
-                .number(news.round())
-                .list(news.evidence(), this::routeEvidence);
+                .text(update.phase().name())
+                .number(update.remainingMillis())
+                .number(update.round())
+                .list(update.evidence(), this::routeEvidence);
     }
 
     private void routeEvidence(RouteEvidence evidence) throws IOException {
@@ -207,10 +210,10 @@
         return this;
     }
 
-    private <T> NodePacker list(List<T> parts, PartWriter<T> writer) throws IOException {
-        packer.packArrayHeader(parts.size());
-        for (T part : parts) {
-            writer.write(part);
+    private <T> NodePacker list(List<T> elements, PartWriter<T> writer) throws IOException {
+        packer.packArrayHeader(elements.size());
+        for (T element : elements) {
+            writer.write(element);
         }
         return this;
     }
--- a/trailladder-wire/src/main/java/io/trailladder/wire/NodeUnpacker.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/NodeUnpacker.java
@@ -44,14 +44,14 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Reads what {@link NodePacker} writes. Bytes from a stranger lead to an exception, and to no more
- * memory than some times their length.
+ * Decodes what {@link NodePacker} encodes. Invalid bytes from an unknown sender cause an exception,
+ * and no allocation beyond a small multiple of their length.
  */
 final class NodeUnpacker {
     private final MessageUnpacker unpacker;
     private final int length;
 
-    /** Reads one part of a message. */
+    /** Reads one element of a list. */
     private interface PartReader<T> {
         T read() throws IOException;
     }
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Tells whether a type of message is read here.
+     * Returns whether this class decodes a type of message.
      *
      * @param type the type
      * @return true for messages between gateways
@@ -72,21 +72,21 @@
     }
 
     /**
-     * Reads a message.
+     * Decodes a message.
      *
-     * @param type its type, one that is read here
-     * @param bytes holds it
-     * @param from where it begins
-     * @param length how many bytes it has
+     * @param type its type, one for which {@link #canRead} returns true
+     * @param bytes an array that contains the payload
+     * @param from index of its first byte
+     * @param length its length in bytes
      * @return the message
-     * @throws IOException if the bytes are no message of this type
+     * @throws IOException if the bytes are not a message of this type
      */
     static NodeMessage unpack(MessageType type, byte[] bytes, int from, int length)
             throws IOException {
         NodeUnpacker self = new NodeUnpacker(bytes, from, length);
         NodeMessage message = self.message(type);
         if (self.unpacker.hasNext()) {
-            throw new IOException("bytes after the end of the message");
+            throw new IOException("message is followed by surplus bytes, expected none");
         }
         return message;
     }
@@ -101,7 +101,7 @@
             case SNAPSHOT -> snapshot();
             case ROLLOUT_REPORT -> rolloutReport();
             case REGION_DIGEST -> regionDigest();
-            default -> throw new IOException(type + " is no message between gateways");
+            default -> throw new IOException(type + " is not a message between gateways");
         };
     }
 
@@ -116,9 +116,9 @@
     }
 
     private NodeDigest digest() throws IOException {
-        int further = fieldsAtLeast(14);
+        int surplus = fieldsAtLeast(14);
         NodeDigest digest = digestFields();
-        unpacker.skipValue(further);
+        unpacker.skipValue(surplus);
         return digest;
     }
 
@@ -150,7 +150,7 @@
         try {
             return DigestScope.valueOf(name);
         } catch (IllegalArgumentException e) {
-            throw new IOException("scope of a digest: " + name, e);
+            throw new IOException("unknown scope of a digest: " + name, e);
         }
     }
 
@@ -220,7 +220,7 @@
         try {
             return RolloutPhase.valueOf(name);
         } catch (IllegalArgumentException e) {
-            throw new IOException("phase of a roll-out: " + name, e);
+            throw new IOException("unknown phase of a roll-out: " + name, e);
         }
     }
 
@@ -238,7 +238,7 @@
         return new UpstreamEntry(text(), bytes());
     }
 
-    /** Reads the head of fields to which a later version may have added some: how many it has. */
+    /** Reads the header of an array that a later version may extend; returns its surplus fields. */
     private int fieldsAtLeast(int expected) throws IOException {
         int found = unpacker.unpackArrayHeader();
         if (found < expected) {
@@ -256,11 +256,11 @@
 
     private <T> List<T> list(PartReader<T> reader) throws IOException {
         int size = checkedSize(unpacker.unpackArrayHeader());
-        List<T> parts = new ArrayList<>(size);
+        List<T> elements = new ArrayList<>(size);
         for (int i = 0; i < size; i++) {
-            parts.add(reader.read());
+            elements.add(reader.read());
         }
-        return parts;
+        return elements;
     }
 
     private long number() throws IOException {
@@ -287,10 +287,14 @@
         return unpacker.readPayload(checkedSize(unpacker.unpackBinaryHeader()));
     }
 
-    /** Every part has at least one byte, so there cannot be more of them than bytes. */
+    /**
+     * Checks a size before anything is allocated for it. Each element takes at least one byte, so
+     * no size can exceed the length of the message.
+     */
     private int checkedSize(int size) throws IOException {
         if (size > length) {
-            throw new IOException(size + " parts or bytes announced in a message of " + length);
+            throw new IOException(
+                    size + " elements or bytes announced, expected at most " + length);
         }
         return size;
     }
--- a/trailladder-wire/src/main/java/io/trailladder/wire/PeerCodec.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/PeerCodec.java
@@ -24,8 +24,8 @@
 import org.msgpack.jackson.dataformat.MessagePackMapper;
 
 /**
- * Writes and reads frames: four bytes of length, one of version, one of message type, then the
- * message as a MessagePack array.
+ * Encodes and decodes frames. A frame has four bytes of length, one byte of version, one byte of
+ * message type, then the message as a MessagePack array.
  *
  * <pre>{@code
  * byte[] frame = PeerCodec.encode(new PeerMessage.RecordDrop("r1"));
@@ -35,13 +35,13 @@
  * @since 0.1
  */
 public final class PeerCodec {
-    /** Version of the frames and messages; both sides of a link must have the same. */
+    /** Version of frames and messages; both sides of a link must use the same one. */
     public static final int VERSION = 1;
 
-    /** Bytes that hold a frame's length. */
+    /** Size of the length field, in bytes. */
     public static final int LENGTH_BYTES = 4;
 
-    /** Most bytes a frame may have after its length. */
+    /** Maximum size of a frame without its length field, in bytes. */
     public static final int MAX_FRAME_BYTES = 8 * 1024 * 1024;
 
     private static final int HEADER_BYTES = 2;
@@ -49,17 +49,20 @@
 
     private PeerCodec() {}
 
-    /** The mapper for all other messages; a process that sends none of them never makes it. */
+    /**
+     * Holds the mapper for messages other than {@link NodeMessage}; it is created at the first use
+     * because a gateway process never needs it.
+     */
     private static final class General {
         private static final ObjectMapper MAPPER = mapper();
     }
 
     /**
-     * Writes a message as a frame.
+     * Encodes a message as a frame.
      *
      * @param message the message
-     * @return the whole frame with its length
-     * @throws WireException if the message is too large
+     * @return the frame, with its length field
+     * @throws WireException if the message is too large or cannot be encoded
      */
     public static byte[] encode(PeerMessage message) {
         MessageType type = MessageType.of(message);
@@ -75,10 +78,10 @@
     }
 
     /**
-     * Checks the length that a frame announces.
+     * Checks the value of a length field.
      *
-     * @param length the announced length
-     * @throws WireException if it is below two bytes or above {@link #MAX_FRAME_BYTES}
+     * @param length the length, in bytes
+     * @throws WireException if it is below 2 or above {@link #MAX_FRAME_BYTES}
      */
     public static void checkLength(int length) {
         if (length < HEADER_BYTES || length > MAX_FRAME_BYTES) {
@@ -93,13 +96,13 @@
     }
 
     /**
-     * Reads a message.
+     * Decodes a message.
      *
-     * @param bytes a frame
-     * @param from where the version byte is
-     * @param to where the frame ends
+     * @param bytes an array that contains a frame
+     * @param from index of the version byte
+     * @param to index after the last byte of the frame
      * @return the message
-     * @throws WireException if the bytes are no message of this version
+     * @throws WireException if the bytes are not a message of {@link #VERSION}
      */
     public static PeerMessage decode(byte[] bytes, int from, int to) {
         checkLength(to - from);
--- a/trailladder-wire/src/main/java/io/trailladder/wire/PeerMessage.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/PeerMessage.java
@@ -25,16 +25,16 @@
 import java.util.List;
 
 /**
- * Any message between two entries. Each type has its number in {@link MessageType}.
+ * A message between two processes. Each type has a number in {@link MessageType}.
  *
  * @since 0.1
  */
 public interface PeerMessage {
     /**
-     * Opens a link.
+     * The first message of each side of a link.
      *
-     * @param self who calls, or answers
-     * @param nonce random bytes the other side must sign with the shared key
+     * @param self the sender
+     * @param nonce random bytes that the other side must sign with the shared key
      */
     record Hello(EntryInfo self, byte[] nonce) implements PeerMessage {}
 
@@ -46,13 +46,14 @@
     record Proof(byte[] proof) implements PeerMessage {}
 
     /**
-     * Is sent every second, and at once when the table's revision changes.
+     * State and load of the sender; sent every second, and at once when the table's revision
+     * changes.
      *
      * @param tableRevision revision in force at the sender
-     * @param rangeMapVersion sum of the epochs of the sender's range map
+     * @param rangeMapVersion sum of the epochs in the sender's range map
      * @param draining true if the sender is stopping
-     * @param loads how long a new request would wait in the sender's data centre, by target
-     * @param demands requests of limited rows the sender took lately
+     * @param loads predicted wait of a new request in the sender's data centre, by target
+     * @param demands recent rates of requests of limited rows at the sender
      */
     record Heartbeat(
             long tableRevision,
@@ -63,7 +64,7 @@
             implements PeerMessage {}
 
     /**
-     * The wait for one target in a data centre.
+     * The predicted wait for one target in a data centre.
      *
      * @param target the model or service
      * @param queueMillis predicted wait before a prompt is computed, in milliseconds
@@ -71,16 +72,16 @@
     record TargetLoad(String target, int queueMillis) {}
 
     /**
-     * How much of a limited row an entry was asked for.
+     * The rate of requests for a limited row at an entry.
      *
      * @param organisation the row's organisation
      * @param target the row's target
-     * @param perSecond requests a second, lately
+     * @param perSecond recent requests per second
      */
     record RowDemand(String organisation, String target, double perSecond) {}
 
     /**
-     * Names the entries the sender knows.
+     * Lists the entries known to the sender.
      *
      * @param entries the entries
      */
@@ -94,10 +95,10 @@
     record TableDelta(List<TableChange> changes) implements PeerMessage {}
 
     /**
-     * Carries the whole table, for a receiver that lags too far.
+     * Carries the whole table, for a receiver that lags too far behind for single changes.
      *
      * @param revision its revision
-     * @param changeId the change that made it
+     * @param changeId id of the change that produced it
      * @param rows its rows
      */
     record TableSnapshot(long revision, String changeId, List<Row> rows) implements PeerMessage {}
@@ -105,36 +106,36 @@
     /**
      * Carries the instance list of the sender's data centre.
      *
-     * @param listed upstreams live or leaving
+     * @param listed all upstreams, leaving ones included
      * @param leaving names of those that are leaving
      */
     record UpstreamList(List<LocalUpstream> listed, List<String> leaving) implements PeerMessage {}
 
     /**
-     * Says that upstreams have begun to leave.
+     * Announces that upstreams are leaving.
      *
-     * @param notices one for each
+     * @param notices one per upstream
      */
     record LeavingNotice(List<Notice> notices) implements PeerMessage {}
 
     /**
-     * One notice.
+     * The notice that one upstream is leaving.
      *
      * @param upstream the upstream's name
-     * @param remainingMillis how long it will still run
+     * @param remainingMillis how long it continues to run, in milliseconds
      */
     record Notice(String upstream, long remainingMillis) {}
 
     /**
-     * Asks a peer to serve a request.
+     * Requests a peer to serve a request.
      *
-     * @param exchange names this exchange at the sender
-     * @param requestId the request's name
+     * @param exchange identifies the exchange at the sender
+     * @param requestId the request's id
      * @param organisation the caller's organisation
      * @param method HTTP method
      * @param path path with query
-     * @param headers headers to be passed on
-     * @param body the body, which the sender has not read
+     * @param headers headers to be forwarded
+     * @param body the body, not interpreted by the sender
      */
     record Forward(
             long exchange,
@@ -155,18 +156,18 @@
     record Header(String name, String value) {}
 
     /**
-     * Begins the answer to a {@link Forward}.
+     * The status and headers of the answer to a {@link Forward}.
      *
-     * @param exchange the exchange's name
+     * @param exchange the exchange's id
      * @param status HTTP status
      * @param headers HTTP headers
      */
     record AnswerHead(long exchange, int status, List<Header> headers) implements PeerMessage {}
 
     /**
-     * Carries a part of an answer.
+     * Carries a part of the body of an answer.
      *
-     * @param exchange the exchange's name
+     * @param exchange the exchange's id
      * @param sequence number of the part, from 0
      * @param bytes the part
      */
@@ -175,21 +176,21 @@
     /**
      * Ends an answer.
      *
-     * @param exchange the exchange's name
-     * @param parts how many parts it had
-     * @param whole false if the answer was broken off
+     * @param exchange the exchange's id
+     * @param parts number of its parts
+     * @param whole false if the answer is incomplete
      */
     record AnswerEnd(long exchange, int parts, boolean whole) implements PeerMessage {}
 
     /**
-     * Says that the caller of a {@link Forward} is gone.
+     * Cancels a {@link Forward} because its caller has disconnected.
      *
-     * @param exchange the exchange's name
+     * @param exchange the exchange's id
      */
     record AnswerCancel(long exchange) implements PeerMessage {}
 
     /**
-     * Asks a peer to keep a copy of an accepted request.
+     * Requests a peer to keep a copy of an accepted request.
      *
      * @param request the request
      */
@@ -198,54 +199,54 @@
     /**
      * Confirms a {@link RecordPut}.
      *
-     * @param requestId the request's name
+     * @param requestId the request's id
      */
     record RecordKept(String requestId) implements PeerMessage {}
 
     /**
      * Adds tokens to the copies of several requests.
      *
-     * @param parts one for each request
+     * @param parts one per request
      */
     record RecordTokens(List<TokenPart> parts) implements PeerMessage {}
 
     /**
-     * The growth of one answer.
+     * New tokens of one answer.
      *
-     * @param requestId the request's name
+     * @param requestId the request's id
      * @param from position of the first token
      * @param tokens the tokens
-     * @param complete true if the answer is whole now
+     * @param complete true if the answer is complete with them
      */
     record TokenPart(String requestId, int from, List<String> tokens, boolean complete) {}
 
     /**
-     * Gives a copy up, because the request had its final answer.
+     * Drops a copy because the caller has received the final answer.
      *
-     * @param requestId the request's name
+     * @param requestId the request's id
      */
     record RecordDrop(String requestId) implements PeerMessage {}
 
     /**
-     * Hands a request over: the receiver is to go on with it.
+     * Hands a request over to the receiver, which resumes it.
      *
      * @param request the request
      */
     record RecordHandOver(RequestRecord request) implements PeerMessage {}
 
     /**
-     * Asks who has a request.
+     * Asks whether the receiver has a request.
      *
-     * @param requestId the request's name
-     * @param organisation the organisation that asks
+     * @param requestId the request's id
+     * @param organisation the organisation of the caller
      */
     record RecordFind(String requestId, String organisation) implements PeerMessage {}
 
     /**
      * Answers a {@link RecordFind}.
      *
-     * @param requestId the request's name
-     * @param standing what the sender has of it
+     * @param requestId the request's id
+     * @param standing what the sender has of the request
      */
     record RecordFound(String requestId, Standing standing) implements PeerMessage {}
 
@@ -253,14 +254,14 @@
     enum Standing {
         /** Nothing. */
         NONE,
-        /** A copy; another entry works on it. */
+        /** A copy; another entry serves the request. */
         COPY,
-        /** It works on it, or has its whole answer. */
+        /** The request itself, in progress or with its complete answer. */
         HOLDER
     }
 
     /**
-     * Asks the owner of a key's range for a claim.
+     * Requests a claim from the owner of the key's range.
      *
      * @param claim the claim
      */
@@ -269,16 +270,16 @@
     /**
      * Answers a {@link ClaimRequest}.
      *
-     * @param requestId the request's name
+     * @param requestId the request's id
      * @param reply the answer
      */
     record ClaimAnswer(String requestId, ClaimReply reply) implements PeerMessage {}
 
     /**
-     * Asks the backup to keep a claim.
+     * Requests the backup to keep a claim.
      *
      * @param range the range
-     * @param epoch the epoch under which the sender acts
+     * @param epoch the epoch in which the sender owns the range
      * @param claim the claim
      */
     record ClaimCopy(int range, long epoch, Claim claim) implements PeerMessage {}
@@ -290,7 +291,7 @@
      * @param epoch the epoch
      * @param key the claim's key
      * @param requestId the claim's request
-     * @param kept true if the backup keeps it
+     * @param kept true if the backup has stored the claim
      */
     record ClaimCopied(int range, long epoch, ClaimKey key, String requestId, boolean kept)
             implements PeerMessage {}
@@ -313,7 +314,7 @@
     record ClaimAllKept(int range, long epoch) implements PeerMessage {}
 
     /**
-     * Gives a claim up that was certainly not used.
+     * Releases a claim that has certainly not been used.
      *
      * @param key the claim's key
      * @param requestId the claim's request
@@ -321,7 +322,7 @@
     record ClaimRelease(ClaimKey key, String requestId) implements PeerMessage {}
 
     /**
-     * Carries a range map the receiver may lack.
+     * Carries a range map that the receiver may lack.
      *
      * @param map the map
      */
--- a/trailladder-wire/src/main/java/io/trailladder/wire/RequestRecord.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/RequestRecord.java
@@ -18,18 +18,18 @@
 import java.util.List;
 
 /**
- * All that another entry needs to go on with an accepted model request.
+ * An accepted model request with all that another entry needs to resume it.
  *
- * @param requestId the request's name
+ * @param requestId the request's id
  * @param organisation its organisation
  * @param model the model
  * @param prompt the prompt text
- * @param maxTokens most tokens the answer may have
+ * @param maxTokens maximum number of tokens in the answer
  * @param chat true if the caller used the chat interface
- * @param stream true if the caller asked for a stream
+ * @param stream true if the caller requested a stream
  * @param createdMillis when it was accepted, in milliseconds since 1970
  * @param tokens the tokens generated so far
- * @param complete true if the answer is whole
+ * @param complete true if all tokens have been generated
  * @since 0.1
  */
 public record RequestRecord(
@@ -43,17 +43,17 @@
         long createdMillis,
         List<String> tokens,
         boolean complete) {
-    /** Copies the tokens. */
+    /** Makes an unmodifiable copy of the tokens. */
     public RequestRecord {
         tokens = List.copyOf(tokens);
     }
 
     /**
-     * Returns this record with more of its answer.
+     * Returns a copy of this record with other tokens.
      *
-     * @param newTokens all tokens so far
-     * @param nowComplete true if the answer is whole
-     * @return the changed record
+     * @param newTokens all tokens generated so far
+     * @param nowComplete true if these are all tokens of the answer
+     * @return the copy
      */
     public RequestRecord with(List<String> newTokens, boolean nowComplete) {
         return new RequestRecord(
--- a/trailladder-wire/src/main/java/io/trailladder/wire/WireException.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/WireException.java
@@ -18,7 +18,7 @@
 import io.trailladder.core.TrailladderException;
 
 /**
- * Is thrown when bytes from a peer are no valid frame, or a message cannot be written as one.
+ * Thrown when bytes from a peer are not a valid frame, or when a message cannot be encoded as one.
  *
  * @since 0.1
  */
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Creates the exception for a payload the codec refuses.
+     * Creates the exception for a payload that cannot be encoded or decoded.
      *
      * @param type the message type
      * @param cause the codec's exception
--- a/trailladder-wire/src/main/java/io/trailladder/wire/package-info.java
+++ b/trailladder-wire/src/main/java/io/trailladder/wire/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Messages between entries: MessagePack records in length-prefixed frames over TCP.
+ * Messages between processes, and their encoding as MessagePack arrays in length-prefixed frames.
  *
  * @since 0.1
  */
--- a/trailladder-wire/src/test/java/io/trailladder/wire/NodeMessageProperties.java
+++ b/trailladder-wire/src/test/java/io/trailladder/wire/NodeMessageProperties.java
@@ -55,7 +55,10 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** Messages between gateways come back unchanged, and bytes from a stranger only throw. */
+/**
+ * Messages between gateways are decoded as they were encoded, and invalid bytes cause nothing but a
+ * {@link WireException}.
+ */
 class NodeMessageProperties {
     private static final int FIRST_TYPE = 29;
     private static final int LAST_TYPE = 37;
@@ -135,14 +138,14 @@
     void otherMessagesComeBackUnchanged() {
         NodeHello hello = new NodeHello("n", "i", "z", "127.0.0.1:1");
         assertEquals(hello, roundTrip(hello));
-        SnapshotRequest ask = new SnapshotRequest(Long.MAX_VALUE, 0);
-        assertEquals(ask, roundTrip(ask));
+        SnapshotRequest request = new SnapshotRequest(Long.MAX_VALUE, 0);
+        assertEquals(request, roundTrip(request));
         UsageHistory history = new UsageHistory("life", List.of());
         assertEquals(history, roundTrip(history));
-        UpstreamUpdate news = new UpstreamUpdate(1, 2, new UpstreamEntry("w", new byte[] {1, 2}));
-        UpstreamUpdate newsBack = (UpstreamUpdate) roundTrip(news);
-        assertArrayEquals(news.upstream().value(), newsBack.upstream().value());
-        Snapshot snapshot = new Snapshot(3, new byte[300], 4, List.of(news.upstream()));
+        UpstreamUpdate update = new UpstreamUpdate(1, 2, new UpstreamEntry("w", new byte[] {1, 2}));
+        UpstreamUpdate updateBack = (UpstreamUpdate) roundTrip(update);
+        assertArrayEquals(update.upstream().value(), updateBack.upstream().value());
+        Snapshot snapshot = new Snapshot(3, new byte[300], 4, List.of(update.upstream()));
         Snapshot snapshotBack = (Snapshot) roundTrip(snapshot);
         assertEquals(300, snapshotBack.policy().length);
         assertEquals("w", snapshotBack.upstreams().get(0).id());
@@ -151,12 +154,12 @@
     @Example
     void digestOfARegionComesBackUnchanged() {
         NodeHello origin = new NodeHello("n", "i", "z", "127.0.0.1:1");
-        RegionDigest told = new RegionDigest(true, "m", origin, digest(77, 1.5, "w"));
-        RegionDigest back = (RegionDigest) roundTrip(told);
+        RegionDigest sent = new RegionDigest(true, "m", origin, digest(77, 1.5, "w"));
+        RegionDigest back = (RegionDigest) roundTrip(sent);
         assertEquals(origin, back.origin());
-        assertEquals(told.represents(), back.represents());
+        assertEquals(sent.represents(), back.represents());
         assertEquals("m", back.receivesFrom());
-        assertArrayEquals(PeerCodec.encode(told), PeerCodec.encode(back));
+        assertArrayEquals(PeerCodec.encode(sent), PeerCodec.encode(back));
     }
 
     @Property(tries = 300, seed = "20261202")
@@ -165,8 +168,8 @@
         RouteEvidence evidence =
                 new RouteEvidence(name, new AnswerCount(9, 3, 5), new AnswerCount(8, 1, 2));
         RolloutOrder order = new RolloutOrder(name, "v2", 12_000, number);
-        RolloutUpdate news = new RolloutUpdate(order, phase, -number, 7, List.of(evidence));
-        RolloutReport report = new RolloutReport(List.of(news));
+        RolloutUpdate update = new RolloutUpdate(order, phase, -number, 7, List.of(evidence));
+        RolloutReport report = new RolloutReport(List.of(update));
         assertEquals(report, roundTrip(report));
     }
 
@@ -227,7 +230,7 @@
         try {
             PeerCodec.decode(frame, from, frame.length);
         } catch (WireException e) {
-            // the only exception a stranger's bytes may cause
+            // the only exception that invalid bytes may cause
         }
     }
 }
--- a/trailladder-wire/src/test/java/io/trailladder/wire/PeerCodecProperties.java
+++ b/trailladder-wire/src/test/java/io/trailladder/wire/PeerCodecProperties.java
@@ -31,7 +31,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
 
-/** Frames carry messages unchanged, and no bytes from a stranger do more than throw. */
+/**
+ * Messages between entries are decoded as they were encoded, and invalid bytes cause nothing but a
+ * {@link WireException}.
+ */
 class PeerCodecProperties {
     private static PeerMessage roundTrip(PeerMessage message) {
         byte[] frame = PeerCodec.encode(message);
@@ -80,7 +83,7 @@
         try {
             PeerCodec.decode(frame, 0, frame.length);
         } catch (WireException e) {
-            // the only exception a stranger's bytes may cause
+            // the only exception that invalid bytes may cause
         }
     }
 
@@ -95,7 +98,7 @@
         try {
             PeerCodec.decode(frame, PeerCodec.LENGTH_BYTES, frame.length);
         } catch (WireException e) {
-            // the only exception a damaged frame may cause
+            // the only exception that a damaged frame may cause
         }
     }
 
