--- a/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MemberFormatTest.java
+++ b/trailladder-entry/src/test/java/io/trailladder/entry/gateway/MemberFormatTest.java
@@ -45,8 +45,8 @@
     @Example
     void malformedEntryIsRefused() {
         byte[] nameless = "{\"address\":\"h:1\"}".getBytes(StandardCharsets.UTF_8);
-        assertTrue(MemberFormat.read(nameless).getLeft().contains("lacks name"));
-        assertTrue(MemberFormat.read(new byte[] {1, 2}).getLeft().contains("no JSON"));
+        assertTrue(MemberFormat.read(nameless).getLeft().contains("missing name"));
+        assertTrue(MemberFormat.read(new byte[] {1, 2}).getLeft().contains("invalid JSON"));
         assertTrue(MemberFormat.read(new byte[0]).isLeft());
     }
 
